--- a/src/bench/java/topazladder/BrainBenchmark.java
+++ b/src/bench/java/topazladder/AdmissionControllerBenchmark.java
@@ -17,11 +17,12 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import topazladder.ticket.Customer;
-import topazladder.ticket.Ending;
-import topazladder.ticket.Offering;
-import topazladder.ticket.Ruling;
-import topazladder.ticket.Ticket;
+import topazladder.admission.AdmissionController;
+import topazladder.request.Decision;
+import topazladder.request.Outcome;
+import topazladder.request.Request;
+import topazladder.request.RequestClass;
+import topazladder.request.Tenant;
 
 /**
  * What one request and one tick cost the decision module, by classes and tenants in its settings. A request here is its
@@ -34,9 +35,9 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 3, time = 1)
 @Fork(value = 1, jvmArgs = {"-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC"})
-public class BrainBenchmark {
+public class AdmissionControllerBenchmark {
     private static final double GAP = 1.0 / 93;
-    private static final int IN_HAND = 28;
+    private static final int IN_FLIGHT = 28;
     private static final double RUN = 0.3;
     private static final Map<String, Double> GAUGES = Map.of("core-use", 0.8, "on-cores", 28.0);
 
@@ -45,47 +46,49 @@
     @Param({"100", "33000"})
     private int tenants;
 
-    private Brain brain;
-    private final List<Offering> offerings = new ArrayList<>();
-    private final List<Customer> customers = new ArrayList<>();
+    private AdmissionController admissionController;
+    private final List<RequestClass> requestClasses = new ArrayList<>();
+    private final List<Tenant> tenants = new ArrayList<>();
     private final SplittableRandom chance = new SplittableRandom(1);
-    private final Ticket[] inHand = new Ticket[IN_HAND];
+    private final Request[] inFlight = new Request[IN_FLIGHT];
     private int next;
     private double now;
 
     @Setup public void open() {
         for (int i = 0; i < classes; i++) {
-            offerings.add(new Offering("route-" + i, Offering.Repeats.RETRIABLE, 1.8, 4.6, 1, 0, 0, false, 0));
+            requestClasses
+                    .add(new RequestClass("route-" + i, RequestClass.Repeats.RETRIABLE, 1.8, 4.6, 1, 0, 0, false, 0));
         }
         for (int i = 0; i < tenants; i++) {
-            customers.add(new Customer("tenant-" + i, 1.0 / tenants, 93));
+            tenants.add(new Tenant("tenant-" + i, 1.0 / tenants, 93));
         }
-        Map<String, Object> terms = new HashMap<>(Map.of("offerings", offerings, "customers", customers, "cores", 40.0,
-                "memory", 1e9));
-        brain = new Brain(new SplittableRandom(1), terms);
-        brain.start(0);
-        for (int i = 0; i < IN_HAND * 100; i++) {
+        Map<String, Object> terms =
+                new HashMap<>(Map.of("offerings", requestClasses, "customers", tenants, "cores", 40.0,
+                        "memory", 1e9));
+        admissionController = new AdmissionController(new SplittableRandom(1), terms);
+        admissionController.start(0);
+        for (int i = 0; i < IN_FLIGHT * 100; i++) {
             request();
         }
     }
 
     /** One arrives, and the one before the last 28 ends. */
-    @Benchmark public List<Ruling> request() {
+    @Benchmark public List<Decision> request() {
         now += GAP;
-        Ticket oldest = inHand[next];
+        Request oldest = inFlight[next];
         if (oldest != null) {
-            brain.runEnded(now, oldest, Ending.OK, RUN);
+            admissionController.runEnded(now, oldest, Outcome.OK, RUN);
         }
-        Ticket arrives = new Ticket(offerings.get(chance.nextInt(classes)), customers.get(chance.nextInt(tenants)),
+        Request arrives = new Request(requestClasses.get(chance.nextInt(classes)), tenants.get(chance.nextInt(tenants)),
                 chance.nextDouble(), 10, 0, 0, false, false, null);
-        inHand[next] = arrives;
-        next = (next + 1) % IN_HAND;
-        return brain.arrive(now, arrives);
+        inFlight[next] = arrives;
+        next = (next + 1) % IN_FLIGHT;
+        return admissionController.arrive(now, arrives);
     }
 
     /** A look at all that is in hand. */
-    @Benchmark public List<Ruling> tick() {
+    @Benchmark public List<Decision> tick() {
         now += 1e-9;
-        return brain.timer(now, GAUGES);
+        return admissionController.timer(now, GAUGES);
     }
 }
--- a/src/main/java/topazladder/Launch.java
+++ b/src/main/java/topazladder/Launch.java
@@ -9,12 +9,12 @@
 import org.slf4j.LoggerFactory;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
-import topazladder.config.BadTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.net.Rehearsal;
-import topazladder.net.Service;
-import topazladder.wire.MalformedWire;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
+import topazladder.net.ServiceInstance;
+import topazladder.net.WarmUp;
+import topazladder.wire.MalformedWireException;
 import topazladder.wire.WireHost;
 
 /** Starts a service instance with its signals, or the simulator's wire. */
@@ -28,9 +28,9 @@
      *
      * @param settings read at the start and at each reload
      */
-    public static void serve(Supplier<OwnSettings> settings) {
+    public static void serve(Supplier<ExtensionSettings> settings) {
         // First of all: a signal that comes while the libraries load would end the process as if it had failed.
-        AtomicReference<Service> service = new AtomicReference<>();
+        AtomicReference<ServiceInstance> service = new AtomicReference<>();
         SignalHandler leave = s -> {
             if (service.get() == null) {
                 System.exit(0); // nothing was read yet
@@ -42,7 +42,7 @@
         // What is replaced while it is read for the first time is read again once there is who can move.
         AtomicBoolean early = new AtomicBoolean();
         Runnable reload = () -> {
-            service.get().reload(() -> ServiceTerms.read(System.getenv()));
+            service.get().reload(() -> ServiceSettings.read(System.getenv()));
             service.get().reloadOwn(settings);
         };
         SignalHandler before = Signal.handle(new Signal("HUP"), s -> {
@@ -55,17 +55,17 @@
             // The Java machine keeps to that, as nohup means it to; a reload would go by without a word.
             LOG.warn("SIGHUP is ignored, as by nohup: the configuration can't be read anew while this process runs");
         }
-        Signal.handle(new Signal("USR1"), s -> Optional.ofNullable(service.get()).ifPresent(Service::tell));
+        Signal.handle(new Signal("USR1"), s -> Optional.ofNullable(service.get()).ifPresent(ServiceInstance::tell));
         try {
-            ServiceTerms terms = ServiceTerms.read(System.getenv());
-            OwnSettings own = settings.get();
-            Rehearsal.play(terms);
-            service.set(new Service(terms, own, System::exit));
+            ServiceSettings terms = ServiceSettings.read(System.getenv());
+            ExtensionSettings own = settings.get();
+            WarmUp.play(terms);
+            service.set(new ServiceInstance(terms, own, System::exit));
             service.get().start();
             if (early.getAndSet(false)) {
                 reload.run();
             }
-        } catch (BadTerms e) {
+        } catch (InvalidSettingsException e) {
             System.err.println("serve: " + e.getMessage());
             System.exit(2);
         }
@@ -74,7 +74,7 @@
     public static void wirehost() throws IOException {
         try {
             new WireHost(System.in, System.out).run();
-        } catch (MalformedWire | BadTerms e) {
+        } catch (MalformedWireException | InvalidSettingsException e) {
             System.err.println("wirehost: " + e.getMessage());
             System.exit(1);
         }
--- a/src/main/java/topazladder/Main.java
+++ b/src/main/java/topazladder/Main.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Stream;
-import topazladder.config.OwnSettings;
+import topazladder.config.ExtensionSettings;
 
 /**
  * Entry point. The two plain commands are started here, on nothing but the libraries they need; all else goes to the
@@ -24,7 +24,7 @@
 
     public static void main(String[] args) throws Exception {
         switch (args.length == 1 ? args[0] : "") {
-            case "serve" -> Launch.serve(() -> OwnSettings.NONE);
+            case "serve" -> Launch.serve(() -> ExtensionSettings.NONE);
             case "wirehost" -> Launch.wirehost();
             default -> commands(args);
         }
--- a/src/main/java/topazladder/Brain.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -1,4 +1,4 @@
-package topazladder;
+package topazladder.admission;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -13,23 +13,23 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import topazladder.ticket.Ending;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
-import topazladder.ticket.Offering;
-import topazladder.ticket.Offering.Repeats;
-import topazladder.ticket.Ruling;
-import topazladder.ticket.Ruling.What;
-import topazladder.ticket.Ticket;
+import topazladder.request.Decision;
+import topazladder.request.Decision.What;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
+import topazladder.request.Outcome;
+import topazladder.request.Request;
+import topazladder.request.RequestClass;
+import topazladder.request.RequestClass.Repeats;
 
 /**
- * What one server takes, runs and turns away. One Brain lives in each server process and shares nothing.
+ * What one server takes, runs and turns away. One Admission controller lives in each server process and shares nothing.
  * Its caller tells it each happening by one method, with the time in seconds since its start, and carries
- * out the rulings it gets back in their order. The types are in {@code topazladder.ticket}; docs/design.md
- * tells the mechanism. A ticket passes the stages below from top to bottom; what ends passes them upwards.
+ * out the decisions it gets back in their order. The types are in {@code topazladder.request}; docs/design.md
+ * tells the mechanism. A request passes the stages below from top to bottom; what ends passes them upwards.
  */
-public final class Brain {
-    /** Rulings take effect a batch late and footprints are rounded: never plan for the last of the memory. */
+public final class AdmissionController {
+    /** Decisions take effect a batch late and footprints are rounded: never plan for the last of the memory. */
     private static final double MEMORY_USED = 0.95;
     /** The crowd is averaged by others over their own span, so stay clear of what kills. */
     private static final double CROWD_USED = 0.75;
@@ -39,10 +39,10 @@
 
     private final RandomGenerator chance;
     private final Map<String, Object> terms;
-    private final List<Ruling> rulings = new ArrayList<>();
-    private final Map<Ticket, Case> open = new LinkedHashMap<>(); // all in hand; emptied by their endings
-    private final Set<Ticket> unrunNow = new HashSet<>(); // ended unrun just now; emptied as time goes on
-    private final Map<Offering, Mean> runTimes = new LinkedHashMap<>(); // one for each offering in the terms
+    private final List<Decision> decisions = new ArrayList<>();
+    private final Map<Request, Case> open = new LinkedHashMap<>(); // all in hand; emptied by their endings
+    private final Set<Request> unrunNow = new HashSet<>(); // ended unrun just now; emptied as time goes on
+    private final Map<RequestClass, Mean> runTimes = new LinkedHashMap<>(); // one for each request class in the terms
     private final Repeating repeats;
     private final Draining drain;
     private final Memory memory;
@@ -55,15 +55,15 @@
     private final double shortestLimit;
     private double now;
     private final Flow finished;
-    private final Mean laterTries = new Mean(40);
+    private final Mean retries = new Mean(40);
     private Map<String, Double> gauges = Map.of();
 
-    public Brain(RandomGenerator chance, Map<String, Object> terms) {
+    public AdmissionController(RandomGenerator chance, Map<String, Object> terms) {
         this.chance = chance;
         this.terms = terms;
-        List<Offering> offerings = term("offerings", List.of());
-        offerings.forEach(o -> runTimes.put(o, new Mean(10)));
-        shortestLimit = offerings.stream().mapToDouble(Offering::softLimit).min().orElse(1);
+        List<RequestClass> requestClasses = term("offerings", List.of());
+        requestClasses.forEach(o -> runTimes.put(o, new Mean(10)));
+        shortestLimit = requestClasses.stream().mapToDouble(RequestClass::latencyObjectiveSeconds).min().orElse(1);
         // A quarter of the slack leaves room for a late batch and costs few timers.
         period = Math.max(term("tick", 0.001), Math.max(0.01, term("answer-slack", 0.0) / 4));
         finished = new Flow(shortestLimit);
@@ -77,31 +77,31 @@
         stages = List.of(repeats, drain, memory, level, hold, cores, calls);
     }
 
-    public List<Ruling> start(double time) {
+    public List<Decision> start(double time) {
         return at(time, () -> {
             // A check answered from store costs next to nothing; a real one loads cores and what lies below.
-            rulings.add(Ruling.health(true));
+            decisions.add(Decision.health(true));
 
-            rulings.add(Ruling.of(What.WAKE, period));
+            decisions.add(Decision.of(What.WAKE, period));
         });
     }
 
-    public List<Ruling> arrive(double time, Ticket ticket) {
+    public List<Decision> requestArrived(double time, Request request) {
         return at(time, () -> {
-            Case c = new Case(ticket);
-            laterTries.add(ticket.laterTry() ? 1 : 0);
-            open.put(ticket, c);
+            Case c = new Case(request);
+            retries.add(request.retry() ? 1 : 0);
+            open.put(request, c);
             memory.taken += c.footprint();
             repeats.take(c);
         });
     }
 
-    public List<Ruling> callWanted(double time, Ticket ticket) {
-        return at(time, ticket, Place.RUNNING, c -> {
+    public List<Decision> dependencyCallRequested(double time, Request request) {
+        return at(time, request, Place.RUNNING, c -> {
             c.doubtedUntil = c.startAgainAt = Double.POSITIVE_INFINITY;
             cores.leave(c);
             if (c.answered) {
-                rulings.add(Ruling.of(What.BREAK_OFF, ticket));
+                decisions.add(Decision.of(What.BREAK_OFF, request));
             } else {
                 calls.take(c);
             }
@@ -113,34 +113,34 @@
      * again, one with an effect could run twice if it ends just then: it waits for a sign three times as long
      * as runs take, as most starts were read.
      */
-    public List<Ruling> startInDoubt(double time, Ticket ticket) {
-        return at(time, ticket, Place.RUNNING, c -> {
-            if (c.offering.repeats() == Repeats.RETRIABLE) {
-                rulings.add(Ruling.of(What.START, ticket));
+    public List<Decision> startUncertain(double time, Request request) {
+        return at(time, request, Place.RUNNING, c -> {
+            if (c.requestClass.idempotency() == Repeats.RETRY_SAFE) {
+                decisions.add(Decision.of(What.START, request));
             } else {
-                double usual = runTimes.get(c.offering).value;
+                double usual = runTimes.get(c.requestClass).value;
                 c.doubtedUntil = usual > 0 ? Math.min(c.useful, now + 3 * usual) : c.useful;
             }
         });
     }
 
-    public List<Ruling> callEnded(double time, Ticket ticket, Ending ending, double elapsed) {
-        return at(time, ticket, Place.CALLING, c -> calls.ended(c, ending, elapsed));
+    public List<Decision> dependencyCallEnded(double time, Request request, Outcome ending, double elapsed) {
+        return at(time, request, Place.CALLING, c -> calls.ended(c, ending, elapsed));
     }
 
-    public List<Ruling> runEnded(double time, Ticket ticket, Ending ending, double elapsed) {
-        return at(time, ticket, null, c -> {
-            if (ending == Ending.OK && !c.answered && c.place == Place.RUNNING) {
+    public List<Decision> runEnded(double time, Request request, Outcome ending, double elapsed) {
+        return at(time, request, null, c -> {
+            if (ending == Outcome.SUCCEEDED && !c.answered && c.place == Place.RUNNING) {
                 finished.add(1);
-                runTimes.get(c.offering).add(elapsed);
+                runTimes.get(c.requestClass).add(elapsed);
             }
-            c.ran &= !ending.neverRan(); // it may be run after all, by another try
+            c.ran &= !ending.provesNoEffect(); // it may be run after all, by another try
             close(c);
         });
     }
 
-    public List<Ruling> callerGone(double time, Ticket ticket) {
-        return at(time, ticket, null, c -> {
+    public List<Decision> callerDisconnected(double time, Request request) {
+        return at(time, request, null, c -> {
             c.answered = true;
             if (c.place == Place.RUNNING) {
                 stop(c);
@@ -150,7 +150,7 @@
         });
     }
 
-    public List<Ruling> timer(double time, Map<String, Double> readings) {
+    public List<Decision> tick(double time, Map<String, Double> readings) {
         return at(time, () -> {
             gauges = readings;
             for (Case c : List.copyOf(open.values())) {
@@ -159,50 +159,50 @@
                 }
             }
             stages.forEach(Stage::tend);
-            rulings.add(Ruling.of(What.WAKE, period));
+            decisions.add(Decision.of(What.WAKE, period));
         });
     }
 
-    public List<Ruling> leave(double time, double secondsToStop) {
+    public List<Decision> drain(double time, double secondsToStop) {
         return at(time, () -> drain.begin(secondsToStop));
     }
 
     /** What holds for other servers too, as far as their machines are alike: the level is each one's own. */
-    public List<Learned> learned(double time) {
+    public List<LearnedEstimate> learnedEstimates(double time) {
         now = Math.max(now, time);
-        List<Learned> all = new ArrayList<>();
+        List<LearnedEstimate> all = new ArrayList<>();
         if (cores.speed() < 1 || now < 2 * shortestLimit) {
-            return all; // what a cold machine or a few tickets tell misleads
+            return all; // what a cold machine or a few requests tell misleads
         }
         runTimes.forEach((o, mean) -> mean.tell(Kind.RUN_TIME, o.name(), all));
-        calls.usual.tell(Kind.CALLS_IN_HAND, "", all);
+        calls.usual.tell(Kind.CALLS_IN_FLIGHT, "", all);
         if (finished.rate() > 0) {
-            all.add(new Learned(Kind.OUTGOING, "", finished.rate(), finished.mass, 0));
+            all.add(new LearnedEstimate(Kind.COMPLETION_RATE, "", finished.rate(), finished.mass, 0));
         }
         return all;
     }
 
     /** Takes what others learned, weighed for this machine, where nothing was seen yet; it lifts no bound. */
-    public List<Ruling> learn(double time, List<Learned> facts) {
+    public List<Decision> learn(double time, List<LearnedEstimate> facts) {
         return at(time, () -> facts.forEach(this::learn));
     }
 
-    private void learn(Learned f) {
+    private void learn(LearnedEstimate f) {
         switch (f.kind()) {
             // Under the soft limit, as a wrong one must not make hopeless what could start at once.
             case RUN_TIME -> runTimes.forEach((o, mean) -> {
                 if (o.name().equals(f.subject())) {
-                    mean.learn(Math.min(f.value() / cores.speed(), o.softLimit() * 0.6), f.weight());
+                    mean.learn(Math.min(f.value() / cores.speed(), o.latencyObjectiveSeconds() * 0.6), f.weight());
                 }
             });
-            case CALLS_IN_HAND -> calls.usual.learn(f.value(), f.weight());
-            case OUTGOING -> hold.heardOutgoing = f.value();
+            case CALLS_IN_FLIGHT -> calls.usual.learn(f.value(), f.weight());
+            case COMPLETION_RATE -> hold.heardOutgoing = f.value();
         }
     }
 
-    /** Whether the ticket can still be named in a ruling. */
-    public boolean inHand(Ticket ticket) {
-        return open.containsKey(ticket);
+    /** Whether the request can still be named in a decision. */
+    public boolean isInFlight(Request request) {
+        return open.containsKey(request);
     }
 
     // ---- What all stages use
@@ -210,8 +210,8 @@
     private enum Place { HELD, FOLLOWING, JOINED, RUNNING, PARKED, CALLING, OVER }
 
     private final class Case {
-        final Ticket ticket;
-        final Offering offering;
+        final Request request;
+        final RequestClass requestClass;
         final double arrived;
         final double due;
         final double useful; // past this nothing is earned any more
@@ -227,27 +227,29 @@
         double doubtedUntil = Double.POSITIVE_INFINITY; // no sign by then: its run is given up for lost
         double startAgainAt = Double.POSITIVE_INFINITY;
 
-        Case(Ticket ticket) {
-            this.ticket = ticket;
-            offering = ticket.offering();
-            arrived = now - ticket.waited();
-            double last = ticket.patience() > 0 ? now + ticket.patience() : arrived + offering.outerLimit();
+        Case(Request request) {
+            this.request = request;
+            requestClass = request.requestClass();
+            arrived = now - request.queuedSeconds();
+            double last = request.remainingSeconds() > 0 ? now + request.remainingSeconds()
+                    : arrived + requestClass.deadlineSeconds();
             due = Math.max(now, last);
-            useful = offering.latePayoff() > 0 ? due : Math.min(due, arrived + offering.softLimit());
+            useful = requestClass.lateValueShare() > 0 ? due
+                    : Math.min(due, arrived + requestClass.latencyObjectiveSeconds());
         }
 
         double footprint() {
             boolean small = place == Place.HELD || place == Place.FOLLOWING;
-            return place == Place.OVER ? 0 : ticket.footprint() * (small ? 1 : term("run-factor", 1.0));
+            return place == Place.OVER ? 0 : request.memoryKilobytes() * (small ? 1 : term("run-factor", 1.0));
         }
 
         /** Whether nothing more can be earned with it if it starts in so many seconds. */
         boolean hopeless(double wait) {
-            return now + wait + runTimes.get(offering).value > useful;
+            return now + wait + runTimes.get(requestClass).value > useful;
         }
     }
 
-    /** A stage keeps a ticket, ends it or passes it on; back tells each, last first, that it has ended. */
+    /** A stage keeps a request, ends it or passes it on; back tells each, last first, that it has ended. */
     private abstract class Stage {
         abstract void take(Case c);
 
@@ -256,20 +258,20 @@
         void tend() {}
     }
 
-    private List<Ruling> at(double time, Runnable happening) {
+    private List<Decision> at(double time, Runnable happening) {
         if (time > now) {
             unrunNow.clear();
         }
         now = time;
         happening.run();
-        List<Ruling> result = List.copyOf(rulings);
-        rulings.clear();
+        List<Decision> result = List.copyOf(decisions);
+        decisions.clear();
         return result;
     }
 
-    /** What comes too late, or for a ticket that is over, changes nothing. */
-    private List<Ruling> at(double time, Ticket ticket, Place place, Consumer<Case> happening) {
-        Case c = open.get(ticket);
+    /** What comes too late, or for a request that is over, changes nothing. */
+    private List<Decision> at(double time, Request request, Place place, Consumer<Case> happening) {
+        Case c = open.get(request);
         return at(time, () -> {
             if (c != null && (place == null || c.place == place)) {
                 happening.accept(c);
@@ -289,26 +291,26 @@
      * tenth of later tries is sign enough; counted over less than forty it would be luck on a small server.
      */
     private boolean fullElsewhere(Case c) {
-        return !drain.leaving && (c.ticket.laterTry() || chance.nextDouble() < 10 * laterTries.value);
+        return !drain.leaving && (c.request.retry() || chance.nextDouble() < 10 * retries.value);
     }
 
     private void defer(Case c, double stayAway, boolean notElsewhere) {
         double most = term("stay-away", false) ? term("stay-away-most", 0.0) : 0;
-        rulings.add(Ruling.defer(c.ticket, Math.min(stayAway, most), notElsewhere));
+        decisions.add(Decision.defer(c.request, Math.min(stayAway, most), notElsewhere));
         c.answered = true;
     }
 
     /** The final answer, at once; what still runs is stopped where that can be done. */
     private void giveUp(Case c) {
-        if (!c.ran || c.offering.repeats() == Repeats.RETRIABLE) {
+        if (!c.ran || c.requestClass.idempotency() == Repeats.RETRY_SAFE) {
             defer(c, hold.drainTime(), fullElsewhere(c));
         } else {
-            rulings.add(Ruling.of(What.BREAK_OFF, c.ticket));
+            decisions.add(Decision.of(What.BREAK_OFF, c.request));
             c.answered = true;
         }
         switch (c.place) {
             case RUNNING -> {
-                runTimes.get(c.offering).add(now - c.started);
+                runTimes.get(c.requestClass).add(now - c.started);
                 stop(c);
             }
             // The end of its run is still to be told.
@@ -319,7 +321,7 @@
 
     private void stop(Case c) {
         if (!term("halt", "none").equals("none")) {
-            rulings.add(Ruling.of(What.STOP, c.ticket));
+            decisions.add(Decision.of(What.STOP, c.request));
         }
     }
 
@@ -328,9 +330,9 @@
             stages.get(i).back(c);
         }
         move(c, Place.OVER);
-        open.remove(c.ticket);
+        open.remove(c.request);
         if (!c.ran) {
-            unrunNow.add(c.ticket);
+            unrunNow.add(c.request);
         }
         repeats.release(c);
         hold.pull();
@@ -339,22 +341,22 @@
     // ---- Repeats: no effect twice
 
     private final class Repeating extends Stage {
-        /** Emptied as windows end, and by tickets that end without having run. */
+        /** Emptied as windows end, and by requests that end without having run. */
         private final PriorityQueue<Case> entries =
                 new PriorityQueue<>(Comparator.comparingDouble((Case c) -> c.rememberedUntil));
 
         @Override void take(Case c) {
-            if (c.offering.repeats() != Repeats.FINGERPRINTED) {
+            if (c.requestClass.idempotency() != Repeats.IDEMPOTENT_BY_KEY) {
                 drain.take(c);
                 return;
             }
-            Ticket first = c.ticket.forerunner();
+            Request first = c.request.original();
             Case forerunner = first == null ? null : open.get(first);
             if (forerunner != null && !forerunner.ran) {
                 // Two held copies must not both run: the later waits for what becomes of the first.
                 move(c, Place.FOLLOWING);
                 forerunner.followers.add(c);
-            } else if (c.ticket.repeat() && !unrunNow.contains(first)) {
+            } else if (c.request.duplicate() && !unrunNow.contains(first)) {
                 join(c);
             } else {
                 takeNew(c);
@@ -362,36 +364,36 @@
         }
 
         private void takeNew(Case c) {
-            // Run unremembered it could run twice; a window too long for the memory costs tickets instead.
+            // Run unremembered it could run twice; a window too long for the memory costs requests instead.
             // But fingerprints may not starve what else is to run: what fills the cores is kept free.
             double fill = term("cores", 1.0) * memory.footprints.value * term("run-factor", 1.0);
             double all = footprint() + term("fingerprint-footprint", 0.0) + Math.max(memory.taken, fill);
             if (all > term("memory", Double.MAX_VALUE) * MEMORY_USED) {
                 // Entries go with their window, not with the load: a tenth of it frees room for some.
-                defer(c, c.offering.window() / 10, false);
+                defer(c, c.requestClass.idempotencyWindowSeconds() / 10, false);
                 close(c);
                 return;
             }
             drain.take(c);
-            if (c.place != Place.OVER && c.offering.window() > 0) {
+            if (c.place != Place.OVER && c.requestClass.idempotencyWindowSeconds() > 0) {
                 // From its reading on, not from its arrival: a try that came within a short window may lie
                 // unread as long as this one did, and would run as well if the window had ended meanwhile.
-                rulings.add(Ruling.of(What.REMEMBER, c.ticket, c.offering.window()));
-                c.rememberedUntil = now + c.offering.window();
+                decisions.add(Decision.of(What.REMEMBER, c.request, c.requestClass.idempotencyWindowSeconds()));
+                c.rememberedUntil = now + c.requestClass.idempotencyWindowSeconds();
                 entries.add(c);
             }
         }
 
         private void join(Case c) {
             move(c, Place.JOINED);
-            rulings.add(Ruling.of(What.JOIN, c.ticket));
+            decisions.add(Decision.of(What.JOIN, c.request));
         }
 
         @Override void back(Case c) {
             // Also past its window: a try of then that is read now would wait for a run that never was.
             if (!c.ran && c.rememberedUntil > 0) {
                 entries.remove(c);
-                rulings.add(Ruling.of(What.FORGET, c.ticket));
+                decisions.add(Decision.of(What.FORGET, c.request));
             }
         }
 
@@ -429,7 +431,7 @@
             graceEnds = now + term("drain-grace", 0.0);
             stop = now + left;
             leaving = true;
-            rulings.add(Ruling.health(false));
+            decisions.add(Decision.health(false));
         }
 
         double lastAnswer() {
@@ -439,7 +441,7 @@
 
         @Override void take(Case c) {
             read.add(1);
-            waits.add(c.ticket.waited());
+            waits.add(c.request.queuedSeconds());
             if (tooLate(c)) {
                 giveUp(c);
             } else {
@@ -449,7 +451,7 @@
 
         /** Also what could not end before the stop: run all the same, it would have to be broken off. */
         boolean tooLate(Case c) {
-            return c.arrived > graceEnds || now + runTimes.get(c.offering).value >= lastAnswer();
+            return c.arrived > graceEnds || now + runTimes.get(c.requestClass).value >= lastAnswer();
         }
     }
 
@@ -464,7 +466,7 @@
         }
 
         @Override void take(Case c) {
-            footprints.add(c.ticket.footprint());
+            footprints.add(c.request.memoryKilobytes());
             // What was read takes memory already: turned away here, it frees it before anything is held.
             if (room(0)) {
                 level.take(c);
@@ -485,8 +487,8 @@
         private double nextUpdate = 1;
 
         @Override void take(Case c) {
-            tally[Math.min(BINS - 1, (int) (c.ticket.rank() * BINS))]++;
-            if (c.ticket.rank() < cut) {
+            tally[Math.min(BINS - 1, (int) (c.request.rank() * BINS))]++;
+            if (c.request.rank() < cut) {
                 giveUp(c);
             } else {
                 taken.add(1);
@@ -517,7 +519,7 @@
             }
             Arrays.setAll(tally, i -> tally[i] * Math.exp(-every / shortestLimit));
             if (cut != before && term("level-unit", "none").equals("min_rank")) {
-                rulings.add(Ruling.of(What.POST, cut));
+                decisions.add(Decision.of(What.POST, cut));
             }
         }
 
@@ -560,7 +562,7 @@
         @Override void take(Case c) {
             held.add(c);
             // One always runs, or a server that was slow for a while would never learn that it is not; but no
-            // ticket that lay unread until nothing can be earned: started, it would only be stopped again.
+            // request that lay unread until nothing can be earned: started, it would only be stopped again.
             if (now >= c.useful || cores.on > 0 && c.hopeless(cores.room(c) ? 0 : waitFor(c))) {
                 giveUp(c);
             } else {
@@ -578,9 +580,9 @@
 
         /** Whether a starts after b. */
         private boolean after(Case a, Case b) {
-            // By payoff first, against a flood of cheap tickets that came before the dear ones.
-            if (a.offering.payoff() != b.offering.payoff()) {
-                return a.offering.payoff() < b.offering.payoff();
+            // By payoff first, against a flood of cheap requests that came before the dear ones.
+            if (a.requestClass.priorityWeight() != b.requestClass.priorityWeight()) {
+                return a.requestClass.priorityWeight() < b.requestClass.priorityWeight();
             }
             // Newest first once the hold has stood full for a while: the oldest would all come too late.
             return now - fullFrom > shortestLimit ? a.arrived < b.arrived : a.arrived > b.arrived;
@@ -597,7 +599,7 @@
             }
         }
 
-        /** Seconds until the hold is back at its target: sooner, the caller would only be deferred again. */
+        /** Seconds until the hold is back at its target: sooner, the caller would only be rejected again. */
         double drainTime() {
             double rate = drain.leaving ? 0 : finished.rate();
             return rate <= 0 ? shortestLimit : Math.max(0, held.size() - level.target()) / rate;
@@ -648,11 +650,11 @@
         }
 
         boolean room(Case c) {
-            double more = c.ticket.footprint() * (term("run-factor", 1.0) - 1);
+            double more = c.request.memoryKilobytes() * (term("run-factor", 1.0) - 1);
             // Readings count for half the bound at most, or a flood of them would leave nothing running.
-            // Tickets at a call, or left without one, may all come back to the cores at once.
+            // Requests at a call, or left without one, may all come back to the cores at once.
             return on < bound && on + Math.min(others.value - 1, bound / 2) < bound
-                    && on + calls.inHand + calls.parked.size() < ceiling() && memory.room(more);
+                    && on + calls.inFlight + calls.parked.size() < ceiling() && memory.room(more);
         }
 
         /**
@@ -669,7 +671,7 @@
                     && newcomers.value <= 2 * term("cores", 1.0) && (closing || used.value < 0.6);
             if (close != closing) {
                 closing = close;
-                rulings.add(Ruling.of(What.CLOSE_IDLE, closing ? period : longest));
+                decisions.add(Decision.of(What.CLOSE_IDLE, closing ? period : longest));
             }
         }
 
@@ -678,7 +680,7 @@
             c.started = now;
             move(c, Place.RUNNING);
             on++;
-            rulings.add(Ruling.of(What.START, c.ticket));
+            decisions.add(Decision.of(What.START, c.request));
         }
 
         void leave(Case c) {
@@ -702,14 +704,14 @@
         private void settle(Case c) {
             if (now >= c.startAgainAt) {
                 c.startAgainAt = Double.POSITIVE_INFINITY;
-                rulings.add(Ruling.of(What.START, c.ticket));
+                decisions.add(Decision.of(What.START, c.request));
             } else if (now >= c.doubtedUntil) {
                 c.doubtedUntil = Double.POSITIVE_INFINITY;
                 // The answer takes another way than the start, which must not come before it.
                 c.startAgainAt = now + Math.max(shortestLimit / 4, term("answer-slack", 0.0));
                 if (!c.answered) {
                     c.answered = true;
-                    rulings.add(Ruling.of(What.BREAK_OFF, c.ticket));
+                    decisions.add(Decision.of(What.BREAK_OFF, c.request));
                 }
             }
         }
@@ -748,7 +750,7 @@
         private double quickest = Double.POSITIVE_INFINITY;
         /** How many times the quickest recent calls took; capped, or one that hung would count for thirty. */
         private final Mean strain = new Mean(10);
-        private int inHand;
+        private int inFlight;
         private double pace = most() / 4; // calls this server means to have in hand on average
         private final Mean usual = new Mean(40); // in hand without strain: a crowd must not teach it
         private double spent; // call-seconds beyond the pace
@@ -774,7 +776,7 @@
         private void follow(double times) {
             strain.add(Math.min(4, times));
             if (strain.value <= 2) {
-                usual.add(inHand);
+                usual.add(inFlight);
                 pace = most();
             } else {
                 pace = Math.min(most(), Math.max(most() / 16, 3 * usual.value / strain.value));
@@ -789,31 +791,31 @@
             if (pace == Double.POSITIVE_INFINITY) {
                 return true;
             }
-            spent = Math.max(0, spent + (inHand + lingering.size() - pace) * (now - spentAt));
+            spent = Math.max(0, spent + (inFlight + lingering.size() - pace) * (now - spentAt));
             spentAt = now;
-            double burst = pace * term("calls-span", 5.0) / (c.offering.poorerShare() > 0 ? 8 : 4);
+            double burst = pace * term("calls-span", 5.0) / (c.requestClass.degradedValueShare() > 0 ? 8 : 4);
             // With nothing spent one call is made, or what was slow would never be known to have recovered.
             // The second bound acts in a burst, before call-seconds have added up: both are needed.
             return spent + Math.min(callTime.value, burst) <= burst
-                    && inHand + lingering.size() < Math.max(1, 4 * pace);
+                    && inFlight + lingering.size() < Math.max(1, 4 * pace);
         }
 
         void pump() {
             for (Case c : List.copyOf(parked)) {
                 if (c.place == Place.PARKED && !c.answered && now >= c.callAgainAt) {
                     // One is always made: with none made, an old belief in slow ones would stand.
-                    if (now + (inHand > 0 ? callTime.value : 0) >= c.useful) {
+                    if (now + (inFlight > 0 ? callTime.value : 0) >= c.useful) {
                         without(c);
                     } else if (allowed(c)) {
                         parked.remove(c);
                         move(c, Place.CALLING);
-                        inHand++;
+                        inFlight++;
                         // What never comes back must leave time to ask again, where that may be done.
-                        boolean once = c.offering.repeats() != Repeats.RETRIABLE
+                        boolean once = c.requestClass.idempotency() != Repeats.RETRY_SAFE
                                 || longTime.seen < longTime.most;
-                        rulings.add(Ruling.of(What.CALL, c.ticket,
+                        decisions.add(Decision.of(What.CALL, c.request,
                                 Math.min(c.useful - now, once ? c.useful : 4 * longTime.value)));
-                    } else if (now - c.waitingSince > callTime.value && c.offering.poorerShare() > 0) {
+                    } else if (now - c.waitingSince > callTime.value && c.requestClass.degradedValueShare() > 0) {
                         without(c);
                     }
                 }
@@ -823,17 +825,17 @@
         /** A poorer answer where that earns something, else none is left to give. */
         private void without(Case c) {
             parked.remove(c);
-            if (c.offering.poorerShare() > 0 && now < c.useful) {
-                rulings.add(Ruling.of(What.DO_WITHOUT, c.ticket));
+            if (c.requestClass.degradedValueShare() > 0 && now < c.useful) {
+                decisions.add(Decision.of(What.DO_WITHOUT, c.request));
                 cores.resume(c);
             } else {
                 giveUp(c);
             }
         }
 
-        void ended(Case c, Ending ending, double elapsed) {
-            inHand--;
-            if (ending == Ending.OK) {
+        void ended(Case c, Outcome ending, double elapsed) {
+            inFlight--;
+            if (ending == Outcome.SUCCEEDED) {
                 callTime.add(elapsed);
                 longTime.add(elapsed);
                 if (longTime.seen == longTime.most) {
@@ -843,9 +845,9 @@
                 cores.resume(c);
             } else {
                 // A failure tells of a crowd below as the longest call does, a spoilt connection of none.
-                boolean spoilt = ending == Ending.BROKEN_OFF;
+                boolean spoilt = ending == Outcome.CONNECTION_LOST;
                 follow(spoilt ? strain.value : 4);
-                if (ending == Ending.ABANDONED) {
+                if (ending == Outcome.TIMED_OUT) {
                     lingering.add(now + term("call-lingers", 0.0));
                     callTime.add(elapsed);
                 }
@@ -853,10 +855,10 @@
                 if (c.answered) {
                     return;
                 }
-                boolean again = ending.neverRan()
-                        || c.offering.repeats() == Repeats.RETRIABLE && ending != Ending.ABANDONED;
-                if (again && (c.offering.poorerShare() == 0 || spoilt && c.tries == 0)) {
-                    // Turned away and asked again at once, a few tickets would read the tier below to death.
+                boolean again = ending.provesNoEffect()
+                        || c.requestClass.idempotency() == Repeats.RETRY_SAFE && ending != Outcome.TIMED_OUT;
+                if (again && (c.requestClass.degradedValueShare() == 0 || spoilt && c.tries == 0)) {
+                    // Turned away and asked again at once, a few requests would read the tier below to death.
                     double wait = (spoilt ? 0 : Math.max(period, callTime.value)) * ++c.tries;
                     c.callAgainAt = now + wait * (0.5 + chance.nextDouble());
                     take(c);
@@ -869,7 +871,7 @@
         /** Its answer is given: what lies below may still be at work on the call for a while. */
         void abandon(Case c) {
             if (c.place == Place.CALLING) {
-                inHand--;
+                inFlight--;
                 lingering.add(now + term("call-lingers", 0.0));
             }
             parked.remove(c);
@@ -918,9 +920,9 @@
             }
         }
 
-        void tell(Kind kind, String subject, List<Learned> all) {
+        void tell(Kind kind, String subject, List<LearnedEstimate> all) {
             if (own == most) {
-                all.add(new Learned(kind, subject, value, own, now - asOf));
+                all.add(new LearnedEstimate(kind, subject, value, own, now - asOf));
             }
         }
     }
--- a/src/main/java/topazladder/below/Use.java
+++ b/src/main/java/topazladder/below/Use.java
@@ -46,7 +46,7 @@
         private double since;
         private long token;
         private int tries; // by itself, that came to nothing
-        private int inHand;
+        private int inFlight;
 
         Server(String name) {
             this.name = name;
@@ -98,8 +98,8 @@
         int other = drawn(parts, sum);
         Server a = servers.get(one);
         Server b = servers.get(other);
-        int best = a.inHand / parts[one] <= b.inHand / parts[other] ? one : other;
-        servers.get(best).inHand++;
+        int best = a.inFlight / parts[one] <= b.inFlight / parts[other] ? one : other;
+        servers.get(best).inFlight++;
         return best;
     }
 
@@ -121,7 +121,7 @@
     /** What became of a call that went there. */
     public void ended(double now, int server, How how) {
         Server s = servers.get(server);
-        s.inHand = Math.max(0, s.inHand - 1);
+        s.inFlight = Math.max(0, s.inFlight - 1);
         s.symptoms.add(now, how);
         repeats = Math.min(MOST_REPEATS, repeats + REPEATS);
         turn(now);
@@ -129,7 +129,7 @@
 
     /** The call was given up before it told anything of the server. */
     public void dropped(int server) {
-        servers.get(server).inHand = Math.max(0, servers.get(server).inHand - 1);
+        servers.get(server).inFlight = Math.max(0, servers.get(server).inFlight - 1);
     }
 
     /** Whether a call that surely did not run may go to another server; a few of many may, or a storm would feed. */
@@ -279,7 +279,7 @@
     /** For operators: each server with where it stands and how it looks. */
     public Map<String, String> told(double now) {
         Map<String, String> all = new TreeMap<>();
-        servers.forEach(s -> all.put(s.name, s.state + " " + s.symptoms.look(now) + " in hand " + s.inHand));
+        servers.forEach(s -> all.put(s.name, s.state + " " + s.symptoms.look(now) + " in hand " + s.inFlight));
         return all;
     }
 }
--- a/src/main/java/topazladder/below/Verdicts.java
+++ b/src/main/java/topazladder/below/Verdicts.java
@@ -10,13 +10,13 @@
 import java.util.TreeSet;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.Out.Phase;
-import topazladder.drain.Out.Why;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Subject;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.Disruption.Phase;
+import topazladder.disruption.Disruption.Why;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
 
 /**
  * What the group's leader makes of how the servers below look to all instances: which one the hall should leave out,
@@ -63,18 +63,18 @@
         }
     }
 
-    private final OutLedger ledger;
+    private final DisruptionStateMachine ledger;
     private final Map<String, Heard> heard = new TreeMap<>(); // by watcher; forgotten once stale
     private final Map<String, Double> illSince = new HashMap<>(); // by server
-    private final Map<Subject, Double> since = new HashMap<>(); // of each phase, by this leader's clock
-    private final Map<Subject, Phase> phases = new HashMap<>();
-    private final Map<Subject, OutOp> pending = new HashMap<>();
+    private final Map<DisruptionTarget, Double> since = new HashMap<>(); // of each phase, by this leader's clock
+    private final Map<DisruptionTarget, Phase> phases = new HashMap<>();
+    private final Map<DisruptionTarget, DisruptionCommand> pending = new HashMap<>();
     private final Map<String, Set<String>> avoiding = new HashMap<>(); // by server, the watchers that may
     private boolean leading;
     private double mostUntil = Double.NEGATIVE_INFINITY;
     private long asks;
 
-    public Verdicts(OutLedger ledger) {
+    public Verdicts(DisruptionStateMachine ledger) {
         this.ledger = ledger;
     }
 
@@ -111,13 +111,13 @@
     }
 
     /** An operation was applied, or nobody knows whether it was. */
-    public void over(OutOp op) {
+    public void over(DisruptionCommand op) {
         pending.values().removeIf(op::equals);
     }
 
     /** What time and reports bring, to be proposed. */
-    public List<OutOp> tick(double now) {
-        List<OutOp> ops = new ArrayList<>();
+    public List<DisruptionCommand> tick(double now) {
+        List<DisruptionCommand> ops = new ArrayList<>();
         if (!leading) {
             return ops;
         }
@@ -136,7 +136,7 @@
         });
         Set<String> lookIll = new HashSet<>(ill);
         // What is out is tried by nobody, and so counts as it was when it went.
-        ledger.all().stream().filter(o -> o.subject().kind() == Subject.Kind.BELOW && o.why() == Why.ILL
+        ledger.all().stream().filter(o -> o.subject().kind() == DisruptionTarget.Kind.BELOW && o.why() == Why.ILL
                 && (o.phase() == Phase.GRANTED || o.phase() == Phase.GONE)).forEach(o -> lookIll.add(
                         o.subject()
                                 .name()));
@@ -146,20 +146,21 @@
             mostUntil = now + AFTER_MOST;
         }
         // Also of one that nobody speaks of, as behind an election: what was asked for by then has no reason any more.
-        ledger.all().stream().filter(o -> o.subject().kind() == Subject.Kind.BELOW).forEach(o -> counts.putIfAbsent(
-                o.subject().name(), new Count(0, 0)));
+        ledger.all().stream().filter(o -> o.subject().kind() == DisruptionTarget.Kind.BELOW)
+                .forEach(o -> counts.putIfAbsent(
+                        o.subject().name(), new Count(0, 0)));
         counts.forEach((server, c) -> decide(now, server, c, ill.contains(server), most, ops));
         avoid(counts, ill, most);
         return ops;
     }
 
-    private void decide(double now, String server, Count c, boolean ill, boolean most, List<OutOp> ops) {
-        Subject s = subject(server);
-        Out out = ledger.get(s);
+    private void decide(double now, String server, Count c, boolean ill, boolean most, List<DisruptionCommand> ops) {
+        DisruptionTarget s = subject(server);
+        Disruption out = ledger.get(s);
         double held = now - since.getOrDefault(s, now);
         if (out == null) {
             if (ill && !most && now >= mostUntil && now - illSince.get(server) >= SURE_AFTER) {
-                propose(new OutOp.Ask(s, Why.ILL, BY + ' ' + server + ' ' + ++asks, BY), s, ops);
+                propose(new DisruptionCommand.Ask(s, Why.ILL, BY + ' ' + server + ' ' + ++asks, BY), s, ops);
             }
             return;
         }
@@ -167,19 +168,19 @@
             case ASKED -> {
                 // No reason any more, or one too many: whoever waits in vain would go when it is well again.
                 if (out.why() == Why.ILL && (!ill || most)) {
-                    propose(new OutOp.Withdraw(s, out.request()), s, ops);
+                    propose(new DisruptionCommand.Withdraw(s, out.request()), s, ops);
                 }
             }
             case GRANTED, GONE -> {
                 if (out.why() == Why.ILL && (held >= Waits.seconds(out.life()) || most)) {
-                    propose(new OutOp.Rejoins(s), s, ops);
+                    propose(new DisruptionCommand.Rejoins(s), s, ops);
                 }
             }
             case RETURNING -> {
                 if (ill && !most && held >= SURE_AFTER) {
-                    propose(new OutOp.Lost(s, out.life()), s, ops);
+                    propose(new DisruptionCommand.Lost(s, out.life()), s, ops);
                 } else if (held >= Ramp.whole() && 2 * c.well() >= c.tried()) {
-                    propose(new OutOp.Steady(s), s, ops);
+                    propose(new DisruptionCommand.Steady(s), s, ops);
                 }
             }
             default -> throw new IllegalStateException("no phase of a server: " + out.phase());
@@ -216,9 +217,9 @@
 
     /** Since when each is in its phase, by this leader's clock; after an election that is a little later. */
     private void follow(double now, Map<String, Count> counts) {
-        Set<Subject> there = new HashSet<>();
-        for (Out o : ledger.all()) {
-            if (o.subject().kind() == Subject.Kind.BELOW) {
+        Set<DisruptionTarget> there = new HashSet<>();
+        for (Disruption o : ledger.all()) {
+            if (o.subject().kind() == DisruptionTarget.Kind.BELOW) {
                 there.add(o.subject());
                 if (phases.put(o.subject(), o.phase()) != o.phase()) {
                     since.put(o.subject(), now);
@@ -234,11 +235,11 @@
     }
 
     /** A share of what there is has to know what there is. */
-    private void know(Set<String> servers, List<OutOp> ops) {
+    private void know(Set<String> servers, List<DisruptionCommand> ops) {
         for (String server : servers) {
-            Subject s = subject(server);
+            DisruptionTarget s = subject(server);
             if (!ledger.capacities().containsKey(s)) {
-                propose(new OutOp.Known(s, 0), s, ops);
+                propose(new DisruptionCommand.Known(s, 0), s, ops);
             }
         }
     }
@@ -272,8 +273,8 @@
     /** Servers that may still be out, by the budgets of all zones. */
     private double room() {
         double room = 0;
-        for (Budget b : ledger.budgets()) {
-            if (b.kind() == Subject.Kind.BELOW && b.zone().isEmpty()) {
+        for (DisruptionBudget b : ledger.budgets()) {
+            if (b.kind() == DisruptionTarget.Kind.BELOW && b.zone().isEmpty()) {
                 long out = ledger.taken().stream().filter(b::covers).count();
                 room = Math.max(room, b.most() - out);
             }
@@ -284,8 +285,8 @@
     /** What one instance is told. */
     public List<Word> words(double now, String watcher) {
         List<Word> words = new ArrayList<>();
-        for (Out o : ledger.all()) {
-            if (o.subject().kind() == Subject.Kind.BELOW && o.takesPlace()) {
+        for (Disruption o : ledger.all()) {
+            if (o.subject().kind() == DisruptionTarget.Kind.BELOW && o.takesPlace()) {
                 // Applied since the last look it is new: by the age of the phase before it would be back all at once.
                 double age = phases.get(o.subject()) == o.phase() ? now - since.get(o.subject()) : 0;
                 words.add(new Word(o.subject().name(), o.phase() == Phase.RETURNING ? Word.Kind.RETURNING
@@ -308,11 +309,11 @@
         return all;
     }
 
-    private static Subject subject(String server) {
-        return new Subject(Subject.Kind.BELOW, server, "");
+    private static DisruptionTarget subject(String server) {
+        return new DisruptionTarget(DisruptionTarget.Kind.BELOW, server, "");
     }
 
-    private void propose(OutOp op, Subject s, List<OutOp> ops) {
+    private void propose(DisruptionCommand op, DisruptionTarget s, List<DisruptionCommand> ops) {
         if (pending.putIfAbsent(s, op) == null) {
             ops.add(op);
         }
--- a/src/main/java/topazladder/cli/Commands.java
+++ b/src/main/java/topazladder/cli/Commands.java
@@ -11,9 +11,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import topazladder.Launch;
-import topazladder.config.BadTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.SettingsFile;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.InvalidSettingsException;
 import topazladder.experiment.AmqpExperiment;
 import topazladder.experiment.PeerExperiment;
 
@@ -31,7 +31,7 @@
         }
         CommandLine line = new CommandLine(new Commands());
         line.setExecutionExceptionHandler((e, command, parsed) -> {
-            if (e instanceof BadTerms) {
+            if (e instanceof InvalidSettingsException) {
                 command.getErr().println(command.getCommandName() + ": " + e.getMessage());
                 return 2;
             }
@@ -59,7 +59,7 @@
         private Path settings;
 
         @Override public Integer call() {
-            Launch.serve(() -> settings == null ? OwnSettings.NONE : SettingsFile.read(settings));
+            Launch.serve(() -> settings == null ? ExtensionSettings.NONE : ExtensionSettingsFile.read(settings));
             return SERVING;
         }
     }
@@ -80,7 +80,7 @@
         private Path file;
 
         @Override public Integer call() {
-            OwnSettings own = SettingsFile.read(file);
+            ExtensionSettings own = ExtensionSettingsFile.read(file);
             System.out.println("core speed " + (own.coreSpeed() > 0 ? own.coreSpeed() : "unknown")
                     + (own.hall().isEmpty() ? "" : ", hall " + own.hall()));
             System.out.println(own.peering() == null ? "peering is off" : "peering with " + own.peering().peers().size()
@@ -136,14 +136,14 @@
             private int seeds;
             @Option(names = "--tickets", defaultValue = "200000",
                     description = "Tickets of the cost (${DEFAULT-VALUE}).")
-            private int tickets;
+            private int requests;
             @Option(names = "--out", required = true, paramLabel = "FILE", description = "Where the tables go.")
             private Path out;
 
             @Override public Integer call() throws Exception {
                 String tables = "# Deliveries, measured\n\n" + AmqpExperiment.schedules(schedules)
                         + AmqpExperiment.recovery()
-                        + AmqpExperiment.mixed(seeds) + (tickets > 0 ? AmqpExperiment.cost(tickets) : "");
+                        + AmqpExperiment.mixed(seeds) + (requests > 0 ? AmqpExperiment.cost(requests) : "");
                 Files.writeString(out, tables);
                 System.out.print(tables);
                 return 0;
--- a/src/main/java/topazladder/cli/DutiesCommand.java
+++ b/src/main/java/topazladder/cli/DutiesCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import topazladder.config.ScheduleFile;
+import topazladder.config.FaultScheduleFile;
 import topazladder.experiment.DutiesExperiment;
 import topazladder.experiment.DutiesExperiment.Result;
 import topazladder.faults.Schedule;
@@ -60,7 +60,7 @@
         String table;
         RigPlan.Pace pace = usual ? RigPlan.Pace.USUAL : RigPlan.Pace.QUICK;
         if (write != null) {
-            Files.writeString(write, ScheduleFile.text(DutiesExperiment.drawn(trial.seed(), processes, storms)));
+            Files.writeString(write, FaultScheduleFile.text(DutiesExperiment.drawn(trial.seed(), processes, storms)));
             return 0;
         }
         if (sizes != null) {
@@ -92,7 +92,7 @@
     }
 
     private Result ofFile() throws Exception {
-        Schedule s = ScheduleFile.of(Files.readString(schedule));
+        Schedule s = FaultScheduleFile.of(Files.readString(schedule));
         return emulated ? DutiesExperiment.emulated(s) : DutiesExperiment.real(s);
     }
 }
--- a/src/main/java/topazladder/cli/FleetCommands.java
+++ b/src/main/java/topazladder/cli/FleetCommands.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import topazladder.config.BadTerms;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 import topazladder.hall.Saying.Command.Kind;
 import topazladder.net.hall.FleetClient;
@@ -76,7 +76,7 @@
             try {
                 bytes = Files.readAllBytes(key);
             } catch (IOException e) {
-                throw new BadTerms("--key-file: the file can't be read: " + key);
+                throw new InvalidSettingsException("--key-file: the file can't be read: " + key);
             }
             int length = bytes.length;
             while (length > 0 && (bytes[length - 1] == '\n' || bytes[length - 1] == '\r')) {
--- a/src/main/java/topazladder/cli/GroupCommands.java
+++ b/src/main/java/topazladder/cli/GroupCommands.java
@@ -6,10 +6,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import topazladder.config.BadTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.config.SettingsFile;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
 import topazladder.net.hall.Founding;
 
 /** What is done to a group by hand, on the machine of each of its voters. */
@@ -37,11 +37,11 @@
         private long formed;
 
         @Override public Integer call() {
-            OwnSettings own = SettingsFile.read(settings);
+            ExtensionSettings own = ExtensionSettingsFile.read(settings);
             if (own.members() == null) {
-                throw new BadTerms("the settings have no hall");
+                throw new InvalidSettingsException("the settings have no hall");
             }
-            System.out.println(Founding.found(name != null ? name : ServiceTerms.read(System.getenv()).name(),
+            System.out.println(Founding.found(name != null ? name : ServiceSettings.read(System.getenv()).name(),
                     own.members(), formed));
             return 0;
         }
--- a/src/main/java/topazladder/cli/ReleaseCommands.java
+++ b/src/main/java/topazladder/cli/ReleaseCommands.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import topazladder.cli.FleetCommands.To;
-import topazladder.config.BadTerms;
-import topazladder.config.PlanFile;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.RolloutPlanFile;
 import topazladder.hall.Saying.Command.Kind;
 import topazladder.release.Plan;
 
@@ -37,7 +37,7 @@
         try {
             return Files.readString(plan);
         } catch (IOException e) {
-            throw new BadTerms("the plan can't be read: " + plan);
+            throw new InvalidSettingsException("the plan can't be read: " + plan);
         }
     }
 
@@ -47,7 +47,7 @@
         private Path plan;
 
         @Override public Integer call() {
-            Plan p = PlanFile.of(read(plan));
+            Plan p = RolloutPlanFile.of(read(plan));
             System.out.println(p.name() + ": " + p.from() + " to " + p.to() + " in " + p.waves().size()
                     + " waves and the rest" + (p.oneWay() ? ", with no way back" : ""));
             return 0;
@@ -65,7 +65,7 @@
 
         @Override String text() {
             String all = read(plan);
-            PlanFile.of(all);
+            RolloutPlanFile.of(all);
             return all;
         }
     }
--- a/src/main/java/topazladder/cli/ScaleCommand.java
+++ b/src/main/java/topazladder/cli/ScaleCommand.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import topazladder.config.BadTerms;
+import topazladder.config.InvalidSettingsException;
 import topazladder.experiment.ScaleExperiment;
 import topazladder.rig.ScaleSettings;
 
@@ -68,7 +68,8 @@
             parts = List.of("sizes");
         }
         if (sizes.stream().anyMatch(s -> s < real + voters + 1)) {
-            throw new BadTerms("--sizes should be over " + (real + voters) + ", the real processes alone");
+            throw new InvalidSettingsException(
+                    "--sizes should be over " + (real + voters) + ", the real processes alone");
         }
         ScaleSettings base = new ScaleSettings(0, real, voters, leases, changes, settle, seconds, each, load, seed);
         ScaleExperiment scale = new ScaleExperiment(folder, System.err);
@@ -80,7 +81,8 @@
                 case "others" -> scale.others(one, List.of(10, leases, 200), List.of(3, 5, 7),
                         List.of(changes, 50 * changes));
                 case "failures" -> scale.failures(one, List.of(1, at / 12));
-                default -> throw new BadTerms("--parts knows compare, sizes, others and failures, not " + part);
+                default -> throw new InvalidSettingsException(
+                        "--parts knows compare, sizes, others and failures, not " + part);
             }
             scale.report();
         }
--- a/src/main/java/topazladder/config/BrokerTerms.java
+++ b/src/main/java/topazladder/config/BrokerSettings.java
@@ -1,8 +1,8 @@
 package topazladder.config;
 
 import java.util.List;
-import topazladder.config.OwnSettings.Secret;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ExtensionSettings.Secret;
+import topazladder.config.ServiceSettings.Address;
 
 /**
  * One broker of AMQP 0-9-1, as the settings have it.
@@ -12,8 +12,8 @@
  * @param heartbeat seconds
  * @param declare null where the topology is only looked for
  */
-public record BrokerTerms(String name, Address address, String virtualHost, String user, Secret password, Tls tls,
-        double heartbeat, List<QueueTerms> queues, Topology declare) {
+public record BrokerSettings(String name, Address address, String virtualHost, String user, Secret password, Tls tls,
+        double heartbeat, List<QueueSettings> queues, Topology declare) {
 
     /**
      * @param trust PEM certificates
--- a/src/main/java/topazladder/config/HallSettings.java
+++ b/src/main/java/topazladder/config/ClusterSettings.java
@@ -3,8 +3,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.drain.Budget;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.disruption.DisruptionBudget;
 
 /**
  * A hall of members that know of each other, as the settings have it.
@@ -23,9 +23,10 @@
  * @param clockRate how fast the clock runs; 1 but in rehearsals
  * @param below servers to choose from, or null where there is one address
  */
-public record HallSettings(Address advertise, List<Address> seeds, List<String> voters, Path folder, double heartbeat,
+public record ClusterSettings(Address advertise, List<Address> seeds, List<String> voters, Path folder,
+        double heartbeat,
         List<Duty> duties, boolean holdsNone, double period, Map<String, Address> routes,
-        double clockRate, List<Budget> budgets, String version, Path nextFile, double notice,
+        double clockRate, List<DisruptionBudget> budgets, String version, Path nextFile, double notice,
         Below below) {
 
     /**
--- a/src/main/java/topazladder/config/OwnSettings.java
+++ b/src/main/java/topazladder/config/ExtensionSettings.java
@@ -4,22 +4,23 @@
 import java.util.List;
 import java.util.Objects;
 import java.util.Set;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.ticket.Learned;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.request.LearnedEstimate;
 
 /**
  * What an installation sets beyond its configuration, checked and with its defaults; a part that is null is off. It
- * is read by {@link SettingsFile}, so that the program runs without the libraries for that where there is no file.
+ * is read by {@link ExtensionSettingsFile}, so that the program runs without the libraries for that where there is no
+ * file.
  *
  * @param coreSpeed beside the installation's yardstick of 1; 0 where nobody knows
  * @param hall where the machine stands, or empty
  * @param brokers to consume from
  * @param members of a hall that know of each other, and their duties
  */
-public record OwnSettings(double coreSpeed, String hall, Peering peering, List<BrokerTerms> brokers,
-        HallSettings members) {
+public record ExtensionSettings(double coreSpeed, String hall, Peering peering, List<BrokerSettings> brokers,
+        ClusterSettings members) {
 
-    public static final OwnSettings NONE = new OwnSettings(0, "", null, List.of(), null);
+    public static final ExtensionSettings NONE = new ExtensionSettings(0, "", null, List.of(), null);
 
     /** Whoever may be asked. */
     public record Peer(String name, Address address, String hall) {
@@ -39,7 +40,7 @@
      */
     public record Peering(Address listen, List<Peer> peers, Secret key, Secret otherKey, double waitAtMost,
             double hedgeAfter, double tryFor, int tries, double sharesPerSecond, double loopShare,
-            Set<Learned.Kind> leaveOut) {
+            Set<LearnedEstimate.Kind> leaveOut) {
     }
 
     /** Bytes of a key; never told by a log, an error or a dump of the settings. */
--- a/src/main/java/topazladder/config/SettingsFile.java
+++ b/src/main/java/topazladder/config/ExtensionSettingsFile.java
@@ -14,11 +14,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import topazladder.config.OwnSettings.Peer;
-import topazladder.config.OwnSettings.Peering;
-import topazladder.config.OwnSettings.Secret;
-import topazladder.config.QueueTerms.Fields;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ExtensionSettings.Peer;
+import topazladder.config.ExtensionSettings.Peering;
+import topazladder.config.ExtensionSettings.Secret;
+import topazladder.config.QueueSettings.Fields;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.config.proto.Broker;
 import topazladder.config.proto.Consume;
 import topazladder.config.proto.Duty;
@@ -28,81 +28,83 @@
 import topazladder.config.proto.Settings;
 import topazladder.config.proto.Tls;
 import topazladder.config.proto.Topology;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
-import topazladder.ticket.Learned;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.request.LearnedEstimate;
 
 /** Reads and checks a file of own settings, protobuf text format by {@code src/main/proto/settings.proto}. */
-public final class SettingsFile {
+public final class ExtensionSettingsFile {
     private static final int SHORTEST_KEY = 16;
     private static final int LONGEST_FILE = 1 << 18;
     private static final int MOST_PEERS = 1000;
     private static final int MOST_DUTIES = 1000;
     private static final int MOST_BELOW = 200;
 
-    private SettingsFile() {}
+    private ExtensionSettingsFile() {}
 
     /** Paths inside the file count from the folder that it is in. */
-    public static OwnSettings read(Path file) {
+    public static ExtensionSettings read(Path file) {
         String text;
         try {
             text = Files.readString(file);
         } catch (IOException e) {
-            throw new BadTerms("settings: the file can't be read: " + file);
+            throw new InvalidSettingsException("settings: the file can't be read: " + file);
         }
         return of(text, file.toAbsolutePath().getParent());
     }
 
-    public static OwnSettings of(String text, Path folder) {
+    public static ExtensionSettings of(String text, Path folder) {
         Settings s;
         try {
             s = TextFormat.parse(text, Settings.class);
         } catch (TextFormat.ParseException e) {
-            throw new BadTerms("settings: line " + e.getLine() + ": " + e.getMessage());
+            throw new InvalidSettingsException("settings: line " + e.getLine() + ": " + e.getMessage());
         }
         Peering peering = s.hasPeering() ? peering(s.getPeering(), folder) : null;
-        List<BrokerTerms> brokers = brokers(s, folder);
-        return new OwnSettings(number("machine.core_speed", s.getMachine().getCoreSpeed(), 0, 1000),
+        List<BrokerSettings> brokers = brokers(s, folder);
+        return new ExtensionSettings(number("machine.core_speed", s.getMachine().getCoreSpeed(), 0, 1000),
                 s.getMachine().getHall(), peering, brokers,
                 s.hasHall() ? hall(s.getHall(), peering, brokers, folder) : null);
     }
 
-    private static HallSettings hall(Hall h, Peering peering, List<BrokerTerms> brokers, Path folder) {
+    private static ClusterSettings hall(Hall h, Peering peering, List<BrokerSettings> brokers, Path folder) {
         if (peering == null || peering.listen() == null) {
-            throw new BadTerms("hall needs peering with listen");
+            throw new InvalidSettingsException("hall needs peering with listen");
         }
         Set<String> voters = new LinkedHashSet<>(h.getVotersList());
         if (voters.size() != h.getVotersCount() || !Set.of(0, 1, 3, 5, 7).contains(voters.size())) {
-            throw new BadTerms("hall.voters should be 3, 5 or 7 names that differ: " + h.getVotersList());
+            throw new InvalidSettingsException(
+                    "hall.voters should be 3, 5 or 7 names that differ: " + h.getVotersList());
         }
         if (h.getDutiesCount() > 0 && voters.isEmpty()) {
-            throw new BadTerms("hall.duties need hall.voters");
+            throw new InvalidSettingsException("hall.duties need hall.voters");
         }
-        List<HallSettings.Duty> duties = new ArrayList<>();
+        List<ClusterSettings.Duty> duties = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Duty d : h.getDutiesList()) {
             String at = "hall.duties[" + duties.size() + "].";
             if (!d.getName().matches("[A-Za-z0-9._-]{1,100}") || !names.add(d.getName())) {
-                throw new BadTerms(at + "name should be a word of its own: '" + d.getName() + "'");
+                throw new InvalidSettingsException(at + "name should be a word of its own: '" + d.getName() + "'");
             }
-            duties.add(new HallSettings.Duty(d.getName(), number(at + "lease", d.hasLease() ? d.getLease() : 10, 0.5,
+            duties.add(new ClusterSettings.Duty(d.getName(), number(at + "lease", d.hasLease() ? d.getLease() : 10, 0.5,
                     600),
                     (int) number(at + "most_losses", d.hasMostLosses() ? d.getMostLosses() : 3, 1, 16),
                     what(at, d, brokers)));
         }
         if (duties.size() > MOST_DUTIES) {
-            throw new BadTerms("hall.duties should be " + MOST_DUTIES + " at most: " + duties.size());
+            throw new InvalidSettingsException("hall.duties should be " + MOST_DUTIES + " at most: " + duties.size());
         }
         Map<String, Address> routes = new HashMap<>();
         h.getRoutesList().forEach(r -> routes.put(r.getName(), Address.of("hall.routes.address", r.getAddress())));
         double heartbeat = number("hall.heartbeat", h.hasHeartbeat() ? h.getHeartbeat() : 0.5, 0.05, 10);
-        for (HallSettings.Duty d : duties) {
+        for (ClusterSettings.Duty d : duties) {
             if (d.lease() < 4 * heartbeat) {
-                throw new BadTerms("hall.duties.lease of " + d.name() + " should be at least four heartbeats: "
-                        + d.lease());
+                throw new InvalidSettingsException(
+                        "hall.duties.lease of " + d.name() + " should be at least four heartbeats: "
+                                + d.lease());
             }
         }
-        return new HallSettings(h.getAdvertise().isEmpty() ? peering.listen()
+        return new ClusterSettings(h.getAdvertise().isEmpty() ? peering.listen()
                 : Address.of("hall.advertise", h.getAdvertise()),
                 h.getSeedsList().stream().map(a -> Address.of("hall.seeds", a)).toList(), List.copyOf(voters),
                 h.getFolder().isEmpty() ? null : folder == null ? Path.of(h.getFolder())
@@ -115,93 +117,100 @@
                 number("hall.notice", h.hasNotice() ? h.getNotice() : 1, 0, 60), h.hasBelow() ? below(h) : null);
     }
 
-    private static HallSettings.Below below(Hall h) {
-        List<HallSettings.Below.Server> servers = new ArrayList<>();
+    private static ClusterSettings.Below below(Hall h) {
+        List<ClusterSettings.Below.Server> servers = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Hall.Below.Server s : h.getBelow().getServersList()) {
             String at = "hall.below.servers[" + servers.size() + "].";
             if (!s.getName().matches("[A-Za-z0-9._-]{1,100}") || !names.add(s.getName())) {
-                throw new BadTerms(at + "name should be a word of its own: '" + s.getName() + "'");
+                throw new InvalidSettingsException(at + "name should be a word of its own: '" + s.getName() + "'");
             }
-            servers.add(new HallSettings.Below.Server(s.getName(), Address.of(at + "address", s.getAddress())));
+            servers.add(new ClusterSettings.Below.Server(s.getName(), Address.of(at + "address", s.getAddress())));
         }
         if (servers.isEmpty() || servers.size() > MOST_BELOW) {
-            throw new BadTerms("hall.below.servers should be 1 to " + MOST_BELOW + ": " + servers.size());
+            throw new InvalidSettingsException(
+                    "hall.below.servers should be 1 to " + MOST_BELOW + ": " + servers.size());
         }
         if (h.getVotersCount() == 0) {
-            throw new BadTerms("hall.below needs hall.voters");
+            throw new InvalidSettingsException("hall.below needs hall.voters");
         }
-        return new HallSettings.Below(List.copyOf(servers), number("hall.below.alone",
+        return new ClusterSettings.Below(List.copyOf(servers), number("hall.below.alone",
                 h.getBelow().hasAlone() ? h.getBelow().getAlone() : 0.25, 0, 0.5));
     }
 
-    private static List<Budget> budgets(Hall h) {
-        List<Budget> all = new ArrayList<>();
+    private static List<DisruptionBudget> budgets(Hall h) {
+        List<DisruptionBudget> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Hall.OutBudget b : h.getBudgetsList()) {
             String at = "hall.budgets[" + all.size() + "].";
             if (b.getName().isBlank() || !names.add(b.getName())) {
-                throw new BadTerms(at + "name should be a word of its own: '" + b.getName() + "'");
+                throw new InvalidSettingsException(at + "name should be a word of its own: '" + b.getName() + "'");
             }
-            all.add(new Budget(b.getName(), b.getBelow() ? Subject.Kind.BELOW : Subject.Kind.INSTANCE, b.getZone(),
+            all.add(new DisruptionBudget(b.getName(),
+                    b.getBelow() ? DisruptionTarget.Kind.BELOW : DisruptionTarget.Kind.INSTANCE, b.getZone(),
                     (int) number(at + "most", b.hasMost() ? b.getMost() : 1, 0, 1000),
                     number(at + "share", b.hasShare() ? b.getShare() : 1, 0.001, 1)));
         }
         return List.copyOf(all);
     }
 
-    private static HallSettings.What what(String at, Duty d, List<BrokerTerms> brokers) {
+    private static ClusterSettings.What what(String at, Duty d, List<BrokerSettings> brokers) {
         return switch (d.getWhatCase()) {
-            case TOUCH -> new HallSettings.Touch(Address.of(at + "touch.address", d.getTouch().getAddress()),
+            case TOUCH -> new ClusterSettings.Touch(Address.of(at + "touch.address", d.getTouch().getAddress()),
                     number(at + "touch.every", d.getTouch().hasEvery() ? d.getTouch().getEvery() : 1, 0.01, 3600));
             case PROBE -> {
                 if (!d.getProbe().getService().equals("index")) {
-                    throw new BadTerms(at + "probe.service should be index: '" + d.getProbe().getService() + "'");
+                    throw new InvalidSettingsException(
+                            at + "probe.service should be index: '" + d.getProbe().getService() + "'");
                 }
-                yield new HallSettings.Probe(number(at + "probe.every",
+                yield new ClusterSettings.Probe(number(at + "probe.every",
                         d.getProbe().hasEvery() ? d.getProbe().getEvery() : 1, 0.01, 3600));
             }
             case CONSUME -> {
                 Consume c = d.getConsume();
                 if (brokers.stream().noneMatch(b -> b.name().equals(c.getBroker())
                         && b.queues().stream().anyMatch(q -> q.queue().equals(c.getQueue())))) {
-                    throw new BadTerms(at + "consume should name a queue of brokers: " + c.getBroker() + ", "
-                            + c.getQueue());
+                    throw new InvalidSettingsException(
+                            at + "consume should name a queue of brokers: " + c.getBroker() + ", "
+                                    + c.getQueue());
                 }
-                yield new HallSettings.Consume(c.getBroker(), c.getQueue());
+                yield new ClusterSettings.Consume(c.getBroker(), c.getQueue());
             }
-            case CONDUCT -> new HallSettings.Conduct();
-            case WHAT_NOT_SET -> throw new BadTerms(at + "should say what it is: touch, probe, consume or conduct");
+            case CONDUCT -> new ClusterSettings.Conduct();
+            case WHAT_NOT_SET -> throw new InvalidSettingsException(
+                    at + "should say what it is: touch, probe, consume or conduct");
         };
     }
 
-    private static List<BrokerTerms> brokers(Settings s, Path folder) {
-        List<BrokerTerms> all = new ArrayList<>();
+    private static List<BrokerSettings> brokers(Settings s, Path folder) {
+        List<BrokerSettings> all = new ArrayList<>();
         Set<String> names = new HashSet<>();
         for (Broker b : s.getBrokersList()) {
             String at = "brokers[" + all.size() + "].";
             if (b.getName().isBlank() || !names.add(b.getName())) {
-                throw new BadTerms(at + "name should be a word that no other broker has: '" + b.getName() + "'");
+                throw new InvalidSettingsException(
+                        at + "name should be a word that no other broker has: '" + b.getName() + "'");
             }
             if (b.getExternal() && !(b.hasTls() && !b.getTls().getCertificateFile().isEmpty())) {
-                throw new BadTerms(at + "external needs tls with a certificate");
+                throw new InvalidSettingsException(at + "external needs tls with a certificate");
             }
             if (!b.getExternal() && b.getUser().isEmpty()) {
-                throw new BadTerms(at + "user is missing");
+                throw new InvalidSettingsException(at + "user is missing");
             }
             if (b.getQueuesCount() == 0) {
-                throw new BadTerms(at + "queues is missing");
+                throw new InvalidSettingsException(at + "queues is missing");
             }
-            List<QueueTerms> queues = new ArrayList<>();
+            List<QueueSettings> queues = new ArrayList<>();
             Set<String> queueNames = new HashSet<>();
             for (Queue q : b.getQueuesList()) {
                 String of = at + "queues[" + queues.size() + "].";
                 if (q.getName().isEmpty() || q.getName().length() > 255 || !queueNames.add(q.getName())) {
-                    throw new BadTerms(of + "name should be that of a queue, once: '" + q.getName() + "'");
+                    throw new InvalidSettingsException(
+                            of + "name should be that of a queue, once: '" + q.getName() + "'");
                 }
                 queues.add(queue(of, q));
             }
-            all.add(new BrokerTerms(b.getName(), Address.of(at + "address", b.getAddress()),
+            all.add(new BrokerSettings(b.getName(), Address.of(at + "address", b.getAddress()),
                     b.getVirtualHost().isEmpty() ? "/" : b.getVirtualHost(), b.getUser(),
                     b.getExternal() ? null : secret(at + "password_file", b.getPasswordFile(), folder, 1),
                     b.hasTls() ? tls(at + "tls.", b, folder) : null,
@@ -211,13 +220,14 @@
         return all;
     }
 
-    private static QueueTerms queue(String at, Queue q) {
+    private static QueueSettings queue(String at, Queue q) {
         if (q.getOffering().isEmpty()) {
-            throw new BadTerms(at + "offering is missing");
+            throw new InvalidSettingsException(at + "offering is missing");
         }
-        return new QueueTerms(q.getName(), new Fields(Pick.of(at + "offering", q.getOffering()),
-                Pick.of(at + "customer", q.getCustomer()), Pick.of(at + "fingerprint", q.getFingerprint()),
-                Pick.of(at + "rank", q.getRank()), Pick.of(at + "footprint", q.getFootprint()),
+        return new QueueSettings(q.getName(), new Fields(FieldSource.of(at + "offering", q.getOffering()),
+                FieldSource.of(at + "customer", q.getCustomer()),
+                FieldSource.of(at + "fingerprint", q.getFingerprint()),
+                FieldSource.of(at + "rank", q.getRank()), FieldSource.of(at + "footprint", q.getFootprint()),
                 q.getBelieveTimestamp()),
                 (int) number(at + "prefetch", q.hasPrefetch() ? q.getPrefetch() : 32, 1, 10_000),
                 (int) number(at + "tries", q.hasTries() ? q.getTries() : 8, 1, 1000),
@@ -228,39 +238,40 @@
                 !q.getHoldUnknownRedelivered());
     }
 
-    private static QueueTerms.Route route(String at, Route r) {
+    private static QueueSettings.Route route(String at, Route r) {
         if (r.getExchange().isEmpty() && r.getRoutingKey().isEmpty()) {
-            throw new BadTerms(at + " should name an exchange, or a queue as its routing key");
+            throw new InvalidSettingsException(at + " should name an exchange, or a queue as its routing key");
         }
-        return new QueueTerms.Route(r.getExchange(), r.getRoutingKey());
+        return new QueueSettings.Route(r.getExchange(), r.getRoutingKey());
     }
 
-    private static BrokerTerms.Tls tls(String at, Broker b, Path folder) {
+    private static BrokerSettings.Tls tls(String at, Broker b, Path folder) {
         Tls t = b.getTls();
         if (t.getCertificateFile().isEmpty() != t.getKeyFile().isEmpty()) {
-            throw new BadTerms(at + "certificate_file and key_file go together");
+            throw new InvalidSettingsException(at + "certificate_file and key_file go together");
         }
         boolean own = !t.getCertificateFile().isEmpty();
-        return new BrokerTerms.Tls(text(at + "trust_file", t.getTrustFile(), folder),
+        return new BrokerSettings.Tls(text(at + "trust_file", t.getTrustFile(), folder),
                 own ? text(at + "certificate_file", t.getCertificateFile(), folder) : null,
                 own ? new Secret(text(at + "key_file", t.getKeyFile(), folder).getBytes(StandardCharsets.UTF_8)) : null,
                 t.getServerName());
     }
 
-    private static BrokerTerms.Topology topology(String at, Topology t) {
+    private static BrokerSettings.Topology topology(String at, Topology t) {
         t.getExchangesList().forEach(e -> {
             if (!List.of("direct", "topic", "fanout", "headers").contains(e.getType())) {
-                throw new BadTerms(at + "exchanges.type should be direct, topic, fanout or headers: " + e.getType());
+                throw new InvalidSettingsException(
+                        at + "exchanges.type should be direct, topic, fanout or headers: " + e.getType());
             }
         });
-        return new BrokerTerms.Topology(
-                t.getExchangesList().stream().map(e -> new BrokerTerms.Exchange(e.getName(), e.getType())).toList(),
-                t.getQueuesList().stream().map(q -> new BrokerTerms.Queue(q.getName(),
+        return new BrokerSettings.Topology(
+                t.getExchangesList().stream().map(e -> new BrokerSettings.Exchange(e.getName(), e.getType())).toList(),
+                t.getQueuesList().stream().map(q -> new BrokerSettings.Queue(q.getName(),
                         // A key alone means the default exchange, which takes a message to the queue of that name.
                         q.getDeadLetterRoutingKey().isEmpty() ? empty(q.getDeadLetterExchange())
                                 : q.getDeadLetterExchange(),
                         empty(q.getDeadLetterRoutingKey()), q.getTimeToLive(), q.getMostMessages())).toList(),
-                t.getBindingsList().stream().map(b -> new BrokerTerms.Binding(b.getQueue(), b.getExchange(),
+                t.getBindingsList().stream().map(b -> new BrokerSettings.Binding(b.getQueue(), b.getExchange(),
                         b.getRoutingKey())).toList());
     }
 
@@ -278,23 +289,24 @@
         for (topazladder.config.proto.Peer peer : p.getPeersList()) {
             String at = "peering.peers[" + peers.size() + "].";
             if (peer.getName().isBlank() || peer.getName().length() > 100) {
-                throw new BadTerms(at + "name should be a word: '" + peer.getName() + "'");
+                throw new InvalidSettingsException(at + "name should be a word: '" + peer.getName() + "'");
             }
             if (!names.add(peer.getName())) {
-                throw new BadTerms(at + "name stands twice: " + peer.getName());
+                throw new InvalidSettingsException(at + "name stands twice: " + peer.getName());
             }
             peers.add(new Peer(peer.getName(), Address.of(at + "address", peer.getAddress()), peer.getHall()));
         }
         if (peers.size() > MOST_PEERS) {
-            throw new BadTerms("peering.peers should be " + MOST_PEERS + " at most: " + peers.size());
+            throw new InvalidSettingsException("peering.peers should be " + MOST_PEERS + " at most: " + peers.size());
         }
-        Set<Learned.Kind> leaveOut = EnumSet.noneOf(Learned.Kind.class);
+        Set<LearnedEstimate.Kind> leaveOut = EnumSet.noneOf(LearnedEstimate.Kind.class);
         for (String kind : p.getLeaveOutList()) {
             try {
-                leaveOut.add(Learned.Kind.valueOf(kind));
+                leaveOut.add(LearnedEstimate.Kind.valueOf(kind));
             } catch (IllegalArgumentException e) {
-                throw new BadTerms("peering.leave_out should be one of " + Arrays.toString(Learned.Kind.values())
-                        + ": " + kind);
+                throw new InvalidSettingsException(
+                        "peering.leave_out should be one of " + Arrays.toString(LearnedEstimate.Kind.values())
+                                + ": " + kind);
             }
         }
         return new Peering(p.getListen().isEmpty() ? null : Address.of("peering.listen", p.getListen()), peers,
@@ -312,7 +324,7 @@
         if (value >= least && value <= most) {
             return value;
         }
-        throw new BadTerms(key + " should be a number from " + least + " to " + most + ": " + value);
+        throw new InvalidSettingsException(key + " should be a number from " + least + " to " + most + ": " + value);
     }
 
     private static Secret secret(String key, String path, Path folder) {
@@ -321,13 +333,14 @@
 
     private static Secret secret(String key, String path, Path folder, int shortest) {
         if (path.isEmpty()) {
-            throw new BadTerms(key + " is missing");
+            throw new InvalidSettingsException(key + " is missing");
         }
         Path file = folder == null ? Path.of(path) : folder.resolve(path);
         try {
             long size = Files.size(file);
             if (size > LONGEST_FILE) {
-                throw new BadTerms(key + " should name a file of at most " + LONGEST_FILE + " bytes: " + path);
+                throw new InvalidSettingsException(
+                        key + " should name a file of at most " + LONGEST_FILE + " bytes: " + path);
             }
             // Editors end a file with a line break, which no operator means as a part of the key.
             byte[] bytes = Files.readAllBytes(file);
@@ -336,11 +349,12 @@
                 length--;
             }
             if (length < shortest) {
-                throw new BadTerms(key + " should name a file of at least " + shortest + " bytes: " + path);
+                throw new InvalidSettingsException(
+                        key + " should name a file of at least " + shortest + " bytes: " + path);
             }
             return new Secret(Arrays.copyOf(bytes, length));
         } catch (IOException e) {
-            throw new BadTerms(key + ": the file can't be read: " + path);
+            throw new InvalidSettingsException(key + ": the file can't be read: " + path);
         }
     }
 }
--- a/src/main/java/topazladder/config/ScheduleFile.java
+++ b/src/main/java/topazladder/config/FaultScheduleFile.java
@@ -13,7 +13,7 @@
 import topazladder.faults.Schedule;
 
 /** Faults over a hall as a file, protobuf text format: written from what was drawn, changed by hand, played again. */
-public final class ScheduleFile {
+public final class FaultScheduleFile {
     private static final int MOST_PROCESSES = 2000;
     private static final int MOST_FAULTS = 10_000;
     private static final double LONGEST = 86_400;
@@ -21,23 +21,24 @@
     private static final Set<Kind> SIDES = Set.of(Kind.HALVES, Kind.BRIDGE);
     private static final Set<Kind> OF_ALL = Set.of(Kind.LOSS, Kind.KILL_ALL, Kind.MINORITY, Kind.HALVES);
 
-    private ScheduleFile() {}
+    private FaultScheduleFile() {}
 
-    /** @throws BadTerms what is wrong, and where */
+    /** @throws InvalidSettingsException what is wrong, and where */
     public static Schedule of(String text) {
         FaultSchedule f;
         try {
             f = TextFormat.parse(text, FaultSchedule.class);
         } catch (TextFormat.ParseException e) {
-            throw new BadTerms("schedule: line " + e.getLine() + ": " + e.getMessage());
+            throw new InvalidSettingsException("schedule: line " + e.getLine() + ": " + e.getMessage());
         }
         int processes = (int) number("processes", f.getProcesses(), 1, MOST_PROCESSES);
         int voters = f.getVoters();
         if (!Set.of(1, 3, 5, 7).contains(voters) || voters > processes) {
-            throw new BadTerms("schedule: voters should be 1, 3, 5 or 7 of the processes: " + voters);
+            throw new InvalidSettingsException("schedule: voters should be 1, 3, 5 or 7 of the processes: " + voters);
         }
         if (f.getFaultsCount() > MOST_FAULTS || f.getClocksCount() > processes) {
-            throw new BadTerms("schedule: there should be " + MOST_FAULTS + " faults at most, and a clock a process");
+            throw new InvalidSettingsException(
+                    "schedule: there should be " + MOST_FAULTS + " faults at most, and a clock a process");
         }
         List<Double> clocks = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
@@ -56,20 +57,21 @@
         try {
             kind = Kind.valueOf(a.getKind().toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new BadTerms("schedule: " + at + "kind is none that there is: '" + a.getKind() + "'");
+            throw new InvalidSettingsException("schedule: " + at + "kind is none that there is: '" + a.getKind() + "'");
         }
         int who = a.getWho().isEmpty() ? -1 : a.getWho().equals("leader") ? Fault.LEADER
                 : a.getWho().equals("holder") ? Fault.HOLDER : process(at + "who", a.getWho(), processes);
         if ((who == -1) != OF_ALL.contains(kind)) {
-            throw new BadTerms("schedule: " + at + "who " + (who == -1 ? "is missing" : "says nothing here") + " of "
-                    + a.getKind());
+            throw new InvalidSettingsException(
+                    "schedule: " + at + "who " + (who == -1 ? "is missing" : "says nothing here") + " of "
+                            + a.getKind());
         }
         int other = -1;
         if (PAIRS.contains(kind)) {
             other = process(at + "other", a.getOther(), processes);
         } else if (SIDES.contains(kind)) {
             if (a.getSideCount() == 0) {
-                throw new BadTerms("schedule: " + at + "side is missing");
+                throw new InvalidSettingsException("schedule: " + at + "side is missing");
             }
             other = 0;
             for (String name : a.getSideList()) {
@@ -77,7 +79,8 @@
             }
         }
         if (!PAIRS.contains(kind) && !a.getOther().isEmpty() || !SIDES.contains(kind) && a.getSideCount() > 0) {
-            throw new BadTerms("schedule: " + at + "other is for pairs, and side for halves and bridges");
+            throw new InvalidSettingsException(
+                    "schedule: " + at + "other is for pairs, and side for halves and bridges");
         }
         double least = kind == Kind.FLAP ? 0.001 : 0;
         return new Fault(number(at + "at", a.getAt(), 0, LONGEST), kind, who, other,
@@ -89,14 +92,16 @@
         if (name.matches("n[0-9]{1,4}") && Integer.parseInt(name.substring(1)) < processes) {
             return Integer.parseInt(name.substring(1));
         }
-        throw new BadTerms("schedule: " + key + " should be one of n0 to n" + (processes - 1) + ": '" + name + "'");
+        throw new InvalidSettingsException(
+                "schedule: " + key + " should be one of n0 to n" + (processes - 1) + ": '" + name + "'");
     }
 
     private static double number(String key, double value, double least, double most) {
         if (value >= least && value <= most) {
             return value;
         }
-        throw new BadTerms("schedule: " + key + " should be a number from " + least + " to " + most + ": " + value);
+        throw new InvalidSettingsException(
+                "schedule: " + key + " should be a number from " + least + " to " + most + ": " + value);
     }
 
     /** What {@link #of} reads as the same schedule. */
--- a/src/main/java/topazladder/config/Pick.java
+++ b/src/main/java/topazladder/config/FieldSource.java
@@ -1,43 +1,44 @@
 package topazladder.config;
 
 /**
- * Where a ticket's field is taken from. As text: {@code =word} for always that word, {@code header:NAME},
+ * Where a request's field is taken from. As text: {@code =word} for always that word, {@code header:NAME},
  * {@code property:NAME}, {@code routing-key}, {@code routing-key:N} for its Nth word counted from 1,
  * {@code exchange} and {@code queue}.
  */
-public record Pick(From from, String name, int word) {
+public record FieldSource(From from, String name, int word) {
 
     public enum From { ALWAYS, HEADER, PROPERTY, ROUTING_KEY, ROUTING_WORD, EXCHANGE, QUEUE }
 
     /** @param key where the text stands, for the error; null for an absent text */
-    public static Pick of(String key, String text) {
+    public static FieldSource of(String key, String text) {
         if (text == null || text.isEmpty()) {
             return null;
         }
         if (text.startsWith("=")) {
-            return new Pick(From.ALWAYS, text.substring(1), 0);
+            return new FieldSource(From.ALWAYS, text.substring(1), 0);
         }
         String name = text.substring(text.indexOf(':') + 1);
         if (text.startsWith("header:") && !name.isEmpty()) {
-            return new Pick(From.HEADER, name, 0);
+            return new FieldSource(From.HEADER, name, 0);
         }
         if (text.startsWith("property:")) {
             switch (name) {
                 case "message-id", "correlation-id", "type", "priority" -> {
-                    return new Pick(From.PROPERTY, name, 0);
+                    return new FieldSource(From.PROPERTY, name, 0);
                 }
-                default -> throw new BadTerms(key + " should name message-id, correlation-id, type or priority: "
-                        + text);
+                default -> throw new InvalidSettingsException(
+                        key + " should name message-id, correlation-id, type or priority: "
+                                + text);
             }
         }
         if (text.matches("routing-key:[1-9][0-9]{0,2}")) {
-            return new Pick(From.ROUTING_WORD, "", Integer.parseInt(name));
+            return new FieldSource(From.ROUTING_WORD, "", Integer.parseInt(name));
         }
         return switch (text) {
-            case "routing-key" -> new Pick(From.ROUTING_KEY, "", 0);
-            case "exchange" -> new Pick(From.EXCHANGE, "", 0);
-            case "queue" -> new Pick(From.QUEUE, "", 0);
-            default -> throw new BadTerms(key
+            case "routing-key" -> new FieldSource(From.ROUTING_KEY, "", 0);
+            case "exchange" -> new FieldSource(From.EXCHANGE, "", 0);
+            case "queue" -> new FieldSource(From.QUEUE, "", 0);
+            default -> throw new InvalidSettingsException(key
                     + " should be =WORD, header:NAME, property:NAME, routing-key, routing-key:N,"
                     + " exchange or queue: " + text);
         };
--- a/src/main/java/topazladder/config/ServiceTerms.java
+++ b/src/main/java/topazladder/config/ServiceSettings.java
@@ -24,8 +24,8 @@
  * @param sockets descriptors it may hold
  * @param terms what the module is handed
  */
-public record ServiceTerms(String name, Address listen, Address runtime, Address control, Address index,
-        long seed, double stopAfter, int sockets, Terms terms) {
+public record ServiceSettings(String name, Address listen, Address runtime, Address control, Address index,
+        long seed, double stopAfter, int sockets, SettingsReader terms) {
 
     /** A day: past any supervisor's patience. */
     private static final double LONGEST_STOP_MS = 86_400_000;
@@ -44,39 +44,39 @@
             } catch (NumberFormatException e) {
                 // Told below, as any other fault of an address is.
             }
-            throw new BadTerms(key + " should be like 127.0.0.1:4100: " + text);
+            throw new InvalidSettingsException(key + " should be like 127.0.0.1:4100: " + text);
         }
     }
 
-    public static ServiceTerms read(Map<String, String> environment) {
+    public static ServiceSettings read(Map<String, String> environment) {
         String path = environment.get("GW_CONFIG");
         if (path == null || path.isBlank()) {
-            throw new BadTerms("GW_CONFIG is missing; expected the path of the configuration file");
+            throw new InvalidSettingsException("GW_CONFIG is missing; expected the path of the configuration file");
         }
         try {
             return of(Files.readString(Path.of(path)), environment);
         } catch (IOException e) {
-            throw new BadTerms("GW_CONFIG: the file can't be read: " + path);
+            throw new InvalidSettingsException("GW_CONFIG: the file can't be read: " + path);
         }
     }
 
     /** GW_NAME and GW_LISTEN go before the file's own name and listen. */
-    public static ServiceTerms of(String text, Map<String, String> environment) {
+    public static ServiceSettings of(String text, Map<String, String> environment) {
         JsonObject json;
         try {
             json = new JsonObject(text);
         } catch (DecodeException e) {
-            throw new BadTerms("GW_CONFIG: the file should hold one JSON object");
+            throw new InvalidSettingsException("GW_CONFIG: the file should hold one JSON object");
         }
         String name = environment.containsKey("GW_NAME") ? environment.get("GW_NAME") : word(json, "name", null);
         if (name.isEmpty() || name.chars().anyMatch(c -> c <= ' ')) {
-            throw new BadTerms("name (GW_NAME) should be one word: '" + name + "'");
+            throw new InvalidSettingsException("name (GW_NAME) should be one word: '" + name + "'");
         }
         String listen = environment.get("GW_LISTEN");
         JsonObject limits = object(json, "limits", new JsonObject());
         Map<String, String> settings = new LinkedHashMap<>();
         flatten("", object(json, "settings", null), settings);
-        return new ServiceTerms(name,
+        return new ServiceSettings(name,
                 listen == null ? Address.of("listen", word(json, "listen", null)) : Address.of("GW_LISTEN", listen),
                 Address.of("runtime", word(json, "runtime", null)),
                 Address.of("control", word(json, "control", null)),
@@ -88,16 +88,16 @@
     }
 
     /** Whether nothing but addresses differs, which is all that a running instance can take from a new file. */
-    public boolean alikeButForAddresses(ServiceTerms other) {
+    public boolean alikeButForAddresses(ServiceSettings other) {
         return name.equals(other.name) && listen.equals(other.listen) && stopAfter == other.stopAfter
                 && sockets == other.sockets && terms.map().equals(other.terms.map());
     }
 
-    private static Terms settings(Map<String, String> settings) {
+    private static SettingsReader settings(Map<String, String> settings) {
         try {
-            return new Terms(settings);
-        } catch (BadTerms e) {
-            throw new BadTerms("settings." + e.getMessage());
+            return new SettingsReader(settings);
+        } catch (InvalidSettingsException e) {
+            throw new InvalidSettingsException("settings." + e.getMessage());
         }
     }
 
@@ -128,7 +128,7 @@
         if (value instanceof JsonObject object) {
             return object;
         }
-        throw new BadTerms(key + (value == null ? " is missing" : " should be an object: " + value));
+        throw new InvalidSettingsException(key + (value == null ? " is missing" : " should be an object: " + value));
     }
 
     private static String word(JsonObject json, String key, String other) {
@@ -139,18 +139,19 @@
         if (value instanceof String word) {
             return word;
         }
-        throw new BadTerms(key + (value == null ? " is missing" : " should be text: " + value));
+        throw new InvalidSettingsException(key + (value == null ? " is missing" : " should be text: " + value));
     }
 
     private static double number(JsonObject json, String key, Number other, double least, double most) {
         Object value = json.getValue(key) == null ? other : json.getValue(key);
         if (value instanceof Number n && n.doubleValue() >= least) {
             if (n.doubleValue() > most) {
-                throw new BadTerms(key + " should be a number of at most " + (long) most + ": " + value);
+                throw new InvalidSettingsException(
+                        key + " should be a number of at most " + (long) most + ": " + value);
             }
             return n.doubleValue();
         }
-        throw new BadTerms(key + (value == null ? " is missing"
+        throw new InvalidSettingsException(key + (value == null ? " is missing"
                 : " should be a number of at least " + (long) least + ": " + value));
     }
 
@@ -158,7 +159,7 @@
         try {
             return Long.parseUnsignedLong(text, 16);
         } catch (NumberFormatException e) {
-            throw new BadTerms("seed should be at most 16 hex digits: " + text);
+            throw new InvalidSettingsException("seed should be at most 16 hex digits: " + text);
         }
     }
 }
--- a/src/main/java/topazladder/config/Terms.java
+++ b/src/main/java/topazladder/config/SettingsReader.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import topazladder.ticket.Customer;
-import topazladder.ticket.Offering;
+import topazladder.request.RequestClass;
+import topazladder.request.Tenant;
 
 /**
  * Turns the settings that an instance is handed, on the simulator's wire or in its configuration, into the
  * module's map of terms: its names, in seconds. The one place that knows both.
  */
-public final class Terms {
+public final class SettingsReader {
     /** Path in the settings to the module's name; what the module has no name for is ignored. */
     private static final Map<String, String> NAMES = names(
             "Extra.Cores", "cores",
@@ -65,42 +65,42 @@
             "links", "connections");
 
     private final Map<String, String> lines;
-    private final List<Offering> offerings = new ArrayList<>();
-    private final List<Customer> customers = new ArrayList<>();
+    private final List<RequestClass> requestClasses = new ArrayList<>();
+    private final List<Tenant> tenants = new ArrayList<>();
     private final List<String> gauges;
     private final Map<String, Object> map = new LinkedHashMap<>();
 
     /** From lines of path=value, as the simulator sends them. */
-    public static Terms ofLines(String text) {
+    public static SettingsReader ofLines(String text) {
         Map<String, String> lines = new LinkedHashMap<>();
         for (String line : text.split("\n")) {
             int eq = line.indexOf('=');
             if (eq > 0) {
                 lines.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
             } else if (!line.isBlank()) {
-                throw new BadTerms("start-up line without '=': " + line);
+                throw new InvalidSettingsException("start-up line without '=': " + line);
             }
         }
-        return new Terms(lines);
+        return new SettingsReader(lines);
     }
 
     /** From values by path: the items of a list under .0, .1 and so on, their number under .count. */
-    public Terms(Map<String, String> settings) {
+    public SettingsReader(Map<String, String> settings) {
         lines = settings;
         String names = lines.getOrDefault("Extra.OwnStats", "");
         gauges = Arrays.stream(names.split(",")).map(g -> GAUGES.getOrDefault(g, g)).toList();
         above0("Extra.Cores", required("Extra.Cores"));
         above0("Extra.MemoryKb", required("Extra.MemoryKb"));
-        readOfferings();
-        readCustomers();
+        readRequestClasses();
+        readTenants();
         NAMES.forEach((path, name) -> {
             String value = lines.get(path);
             if (value != null && !value.isEmpty()) {
                 map.put(name, plain(path, value));
             }
         });
-        map.put("offerings", List.copyOf(offerings));
-        map.put("customers", List.copyOf(customers));
+        map.put("offerings", List.copyOf(requestClasses));
+        map.put("customers", List.copyOf(tenants));
     }
 
     /** What the module is handed. */
@@ -108,12 +108,12 @@
         return map;
     }
 
-    public List<Offering> offerings() {
-        return offerings;
+    public List<RequestClass> requestClasses() {
+        return requestClasses;
     }
 
-    public List<Customer> customers() {
-        return customers;
+    public List<Tenant> tenants() {
+        return tenants;
     }
 
     /** The names of a server's gauges, in the order in which their values come. */
@@ -121,10 +121,10 @@
         return gauges;
     }
 
-    private void readOfferings() {
+    private void readRequestClasses() {
         int count = items("Classes.count", (int) required("Classes.count"));
         if (count == 0) {
-            throw new BadTerms("Classes should hold at least one class");
+            throw new InvalidSettingsException("Classes should hold at least one class");
         }
         Set<String> names = new HashSet<>();
         String[] calls = lines.getOrDefault("Extra.CallsByClass", "").split(",");
@@ -134,14 +134,14 @@
             double outer = above0(at + "DeadlineNs", required(at + "DeadlineNs"));
             String name = lines.getOrDefault(at + "Name", "offering-" + i);
             if (!names.add(name)) {
-                throw new BadTerms(at + "Name is given twice: " + name);
+                throw new InvalidSettingsException(at + "Name is given twice: " + name);
             }
-            Offering.Repeats repeats = repeats(at + "Idempotency");
-            if (repeats == Offering.Repeats.FINGERPRINTED) {
+            RequestClass.Repeats repeats = repeats(at + "Idempotency");
+            if (repeats == RequestClass.Repeats.IDEMPOTENT_BY_KEY) {
                 // Without a window nothing would be remembered, and each repeat would run.
                 above0(at + "WindowNs", required(at + "WindowNs"));
             }
-            offerings.add(new Offering(name, repeats, optional(at + "TargetNs", outer), outer,
+            requestClasses.add(new RequestClass(name, repeats, optional(at + "TargetNs", outer), outer,
                     optional(at + "Importance", 1), optional(at + "LateWorth", 0),
                     optional(at + "WindowNs", 0), i < calls.length && calls[i].equals("true"),
                     i < poorer.length && !poorer[i].isEmpty()
@@ -149,36 +149,36 @@
         }
     }
 
-    private void readCustomers() {
+    private void readTenants() {
         int count = items("Orgs.count", (int) optional("Orgs.count", 0));
         Set<String> names = new HashSet<>();
         for (int i = 0; i < count; i++) {
             String at = "Orgs." + i + ".";
             String name = lines.getOrDefault(at + "Name", "customer-" + i);
             if (!names.add(name)) {
-                throw new BadTerms(at + "Name is given twice: " + name);
+                throw new InvalidSettingsException(at + "Name is given twice: " + name);
             }
-            customers.add(new Customer(name, optional(at + "Share", 0), optional(at + "QuotaPerS", 0)));
+            tenants.add(new Tenant(name, optional(at + "Share", 0), optional(at + "QuotaPerS", 0)));
         }
     }
 
-    private Offering.Repeats repeats(String path) {
+    private RequestClass.Repeats repeats(String path) {
         String value = lines.get(path);
         if (value == null) {
-            throw new BadTerms(path + " is missing");
+            throw new InvalidSettingsException(path + " is missing");
         }
         return switch (value) {
-            case "safe" -> Offering.Repeats.RETRIABLE;
-            case "keyed" -> Offering.Repeats.FINGERPRINTED;
-            case "unsafe" -> Offering.Repeats.BINDING;
-            default -> throw new BadTerms(path + " should be safe, keyed or unsafe: " + value);
+            case "safe" -> RequestClass.Repeats.RETRY_SAFE;
+            case "keyed" -> RequestClass.Repeats.IDEMPOTENT_BY_KEY;
+            case "unsafe" -> RequestClass.Repeats.AT_MOST_ONCE;
+            default -> throw new InvalidSettingsException(path + " should be safe, keyed or unsafe: " + value);
         };
     }
 
     private double required(String path) {
         String value = lines.get(path);
         if (value == null) {
-            throw new BadTerms(path + " is missing");
+            throw new InvalidSettingsException(path + " is missing");
         }
         return number(path, value);
     }
@@ -193,25 +193,26 @@
         try {
             n = Double.parseDouble(value);
         } catch (NumberFormatException e) {
-            throw new BadTerms(path + " should be a number: " + value);
+            throw new InvalidSettingsException(path + " should be a number: " + value);
         }
         boolean time = path.endsWith("Ns");
         if (!(n >= 0 && n <= (time ? LONGEST * 1e9 : MOST))) {
-            throw new BadTerms(path + " should be from 0 to " + (time ? "30 days" : "10^12") + ": " + value);
+            throw new InvalidSettingsException(
+                    path + " should be from 0 to " + (time ? "30 days" : "10^12") + ": " + value);
         }
         return time ? n / 1e9 : n;
     }
 
     private static double above0(String path, double n) {
         if (n <= 0) {
-            throw new BadTerms(path + " should be above 0");
+            throw new InvalidSettingsException(path + " should be above 0");
         }
         return n;
     }
 
     private static int items(String path, int count) {
         if (count > MOST_ITEMS) {
-            throw new BadTerms(path + " should be at most " + MOST_ITEMS + ": " + count);
+            throw new InvalidSettingsException(path + " should be at most " + MOST_ITEMS + ": " + count);
         }
         return count;
     }
@@ -219,7 +220,7 @@
     private static Object plain(String path, String value) {
         if (YES_OR_NO.contains(path)) {
             if (!value.equals("true") && !value.equals("false")) {
-                throw new BadTerms(path + " should be true or false: " + value);
+                throw new InvalidSettingsException(path + " should be true or false: " + value);
             }
             return Boolean.valueOf(value);
         }
@@ -227,8 +228,9 @@
             return number(path, value);
         }
         if (!WORDS.get(path).contains(value)) {
-            throw new BadTerms(path + " should be one of " + String.join(", ", new TreeSet<>(WORDS.get(path)))
-                    + ": " + value);
+            throw new InvalidSettingsException(
+                    path + " should be one of " + String.join(", ", new TreeSet<>(WORDS.get(path)))
+                            + ": " + value);
         }
         return value;
     }
--- a/src/main/java/topazladder/group/Seat.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.QueryPolicy;
@@ -47,22 +47,22 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.below.Verdicts;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits;
-import topazladder.drain.Serving;
-import topazladder.drain.Subject;
-import topazladder.duty.Allotter;
-import topazladder.duty.Allotter.Step;
-import topazladder.duty.Answer;
-import topazladder.duty.Ask;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyLedger.Outcome;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.disruption.LoadReport;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseManager;
+import topazladder.lease.LeaseManager.Step;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.LeaseStateMachine.Outcome;
+import topazladder.lease.MemberIdentity;
 import topazladder.release.Release;
 import topazladder.release.ReleaseLedger;
 import topazladder.release.ReleaseOp;
@@ -70,22 +70,22 @@
 import topazladder.service.Timers;
 
 /**
- * One voter's seat in the group: the library's consensus below, the duties' ledger and its allotter above. Executor,
- * transport, clock, chance and store are handed in, so that the same objects run in virtual time. All calls come on
- * the one thread that the timers run on; it is not the tickets' thread, as the store may block.
+ * One voter's replica in the group: the library's consensus below, the duties' ledger and its lease manager above.
+ * Executor, transport, clock, chance and store are handed in, so that the same objects run in virtual time. All calls
+ * come on the one thread that the timers run on; it is not the requests' thread, as the store may block.
  */
-public final class Seat {
-    private static final Logger LOG = LoggerFactory.getLogger(Seat.class);
+public final class ConsensusReplica {
+    private static final Logger LOG = LoggerFactory.getLogger(ConsensusReplica.class);
 
-    /** What the seat needs of the world. */
+    /** What the replica needs of the world. */
     public interface World {
 
         /** To another voter, which may not get it. */
-        void send(Endpoint to, RaftMessage message);
+        void send(VoterEndpoint to, RaftMessage message);
 
-        void reply(Member to, Answer answer);
+        void reply(MemberIdentity to, LeaseResponse answer);
 
-        void nudge(Member to);
+        void nudge(MemberIdentity to);
 
         /** It may go under that token, and says so before it does. */
         void mayGo(String member, long token);
@@ -93,7 +93,7 @@
         /** It goes now, and comes back as that version; empty for as it is. */
         void go(String member, long token, String version);
 
-        /** The seat can't go on: its store failed. Who restarts the process has it read what was kept. */
+        /** The replica can't go on: its store failed. Who restarts the process has it read what was kept. */
         void failed(Throwable why);
     }
 
@@ -104,14 +104,15 @@
      * @param heartbeat seconds between the leader's heartbeats
      * @param budgets of what may be out at once
      */
-    public record Terms(Collection<String> voters, double heartbeat, List<DutyTerms> duties, List<Budget> budgets) {
+    public record Terms(Collection<String> voters, double heartbeat, List<LeaseSettings> duties,
+            List<DisruptionBudget> budgets) {
     }
 
     private static final String GROUP = "hall";
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     /** Tokens of one forming of the group; more than are ever granted. */
     private static final int FORMED_BITS = 40;
-    /** Parts of a heartbeat between two looks at the allotter's time. */
+    /** Parts of a heartbeat between two looks at the lease manager's time. */
     private static final double TICK = 0.5;
     /** Heartbeats without a word after which a leader is given up that the library should have given up at five. */
     private static final double SILENCE = 8;
@@ -122,18 +123,18 @@
     /** The schema from which on a voter can read that a release takes in one more instance. */
     private static final int KNOWS_ADDITIONS = 4;
 
-    private final Endpoint here;
+    private final VoterEndpoint here;
     private Terms terms;
-    private final Pace pace;
+    private final RaftTiming pace;
     private final Timers timers;
     private final DoubleSupplier clock;
     private final World world;
-    private final Agreed agreed;
-    private final Allotter allotter;
-    private final Permits permits;
+    private final ReplicatedState agreed;
+    private final LeaseManager leaseManager;
+    private final DisruptionController permits;
     private final Verdicts verdicts;
-    private Map<Subject, Permits.Seen> seen = Map.of();
-    private final Voters voters = new Voters();
+    private Map<DisruptionTarget, DisruptionController.Seen> seen = Map.of();
+    private final VoterSet voters = new VoterSet();
     private final RandomGenerator chance;
     private final VoterStore store;
     private RaftNode node;
@@ -145,8 +146,9 @@
     private boolean over;
     private boolean closing;
 
-    public Seat(VoterStore store, Terms terms, Timers timers, DoubleSupplier clock, RandomGenerator chance,
-            World world, Agreed agreed, Allotter allotter, Permits permits, Verdicts verdicts) {
+    public ConsensusReplica(VoterStore store, Terms terms, Timers timers, DoubleSupplier clock, RandomGenerator chance,
+            World world, ReplicatedState agreed, LeaseManager leaseManager, DisruptionController permits,
+            Verdicts verdicts) {
         VoterStore.Founding founding = store.founding();
         here = founding.here();
         this.terms = terms;
@@ -155,11 +157,11 @@
         this.chance = chance;
         this.world = world;
         this.agreed = agreed;
-        this.allotter = allotter;
+        this.leaseManager = leaseManager;
         this.permits = permits;
         this.verdicts = verdicts;
         this.store = store;
-        pace = new Pace(terms.heartbeat());
+        pace = new RaftTiming(terms.heartbeat());
         node = seated(founding);
     }
 
@@ -177,7 +179,7 @@
         return builder.build();
     }
 
-    public Endpoint here() {
+    public VoterEndpoint here() {
         return here;
     }
 
@@ -198,14 +200,14 @@
     /**
      * A voter of the library that was started again, and found its leader in the term that it left, never takes that
      * leader for dead: with all followers started again under one leader, its end is the group's. So where a leader is
-     * believed in and says nothing for longer than the library should bear, the voter takes its seat anew from what it
-     * kept, which is a restart without the process's.
+     * believed in and says nothing for longer than the library should bear, the voter takes its replica anew from what
+     * it kept, which is a restart without the process's.
      */
     private void noticeSilence() {
         if (standing) {
             return;
         }
-        Endpoint leader = leader();
+        VoterEndpoint leader = leader();
         silent = leader == null || leader.equals(here) ? 0 : silent + 1;
         if (silent * TICK > SILENCE) {
             LOG.info("{} has heard nothing of {} and takes its seat anew", here, leader);
@@ -229,7 +231,7 @@
     public void close(Runnable done) {
         over = true;
         closing = true;
-        allotter.resign();
+        leaseManager.stepDown();
         node.terminate().whenComplete((o, e) -> done.run());
     }
 
@@ -269,20 +271,20 @@
     }
 
     /** Who leads as far as is known here; null while nobody does. */
-    public Endpoint leader() {
+    public VoterEndpoint leader() {
         RaftTerm term = node.getTerm();
-        return term.getLeaderEndpoint() == null ? null : (Endpoint) term.getLeaderEndpoint();
+        return term.getLeaderEndpoint() == null ? null : (VoterEndpoint) term.getLeaderEndpoint();
     }
 
     public boolean leading() {
-        return allotter.leading();
+        return leaseManager.isLeader();
     }
 
-    public DutyLedger ledger() {
+    public LeaseStateMachine ledger() {
         return agreed.duties();
     }
 
-    public OutLedger outs() {
+    public DisruptionStateMachine outs() {
         return agreed.outs();
     }
 
@@ -291,23 +293,23 @@
     }
 
     /** What a member did of late, and what it can read. */
-    public void says(Member from, int schema, Serving serving, boolean steady) {
-        permits.says(clock.getAsDouble(), instance(from.name()), from.life(), schema, serving, steady);
+    public void says(MemberIdentity from, int schema, LoadReport serving, boolean steady) {
+        permits.loadReported(clock.getAsDouble(), instance(from.name()), from.life(), schema, serving, steady);
     }
 
     /** All that a conductor goes by. */
     public View view() {
         Release r = agreed.releases().release();
         List<View.Sight> sights = new ArrayList<>();
-        Map<Subject, String> blocked = permits.blocked();
+        Map<DisruptionTarget, String> blocked = permits.blocked();
         seen.forEach((s, look) -> sights.add(new View.Sight(s.name(), s.zone(), look.look(), look.life(),
-                agreed.outs().get(s), blocked.get(s), permits.serving(s, look.life()))));
+                agreed.outs().get(s), blocked.get(s), permits.loadReport(s, look.life()))));
         return new View(r, List.copyOf(sights), here.name(), mostVotersKnow(KNOWS_ADDITIONS));
     }
 
     /** Whether this voter has led for long enough to have heard of every member. */
     public boolean settled() {
-        return leading() && permits.settled(clock.getAsDouble());
+        return leading() && permits.isSettled(clock.getAsDouble());
     }
 
     /**
@@ -315,8 +317,8 @@
      * them.
      */
     private boolean mostVotersKnow(int schema) {
-        Collection<Endpoint> voting = voting();
-        return 2 * voting.stream().filter(v -> permits.schema(v.name()) >= schema).count() > voting.size();
+        Collection<VoterEndpoint> voting = voting();
+        return 2 * voting.stream().filter(v -> permits.schemaOf(v.name()) >= schema).count() > voting.size();
     }
 
     /** What the conductor would have agreed on, in its order; then it is shown what came of it. */
@@ -348,22 +350,22 @@
                         : new ReleaseLedger.Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
     }
 
-    public Permits permits() {
+    public DisruptionController permits() {
         return permits;
     }
 
     /** How the instances look from here; of use only while this voter leads. */
-    public void seen(Map<Subject, Permits.Seen> looks) {
+    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
         seen = Map.copyOf(looks);
-        permits.seen(clock.getAsDouble(), seen);
+        permits.membersObserved(clock.getAsDouble(), seen);
     }
 
     /** A member that may go would go now: once it is written down it may. */
-    public void going(Member from, long token) {
-        if (allotter.leading()) {
-            propose(new OutOp.Leaves(instance(from.name()), token, from.life(), ""), outcome -> {
+    public void going(MemberIdentity from, long token) {
+        if (leaseManager.isLeader()) {
+            propose(new DisruptionCommand.Leaves(instance(from.name()), token, from.life(), ""), outcome -> {
                 if (outcome.done()) {
-                    Out out = agreed.outs().get(instance(from.name()));
+                    Disruption out = agreed.outs().get(instance(from.name()));
                     world.go(from.name(), token, out == null ? ""
                             : agreed.releases().versionFor(from.name(), out.request()));
                 }
@@ -372,40 +374,40 @@
     }
 
     /** A member was told to leave by somebody else, and does so whatever is said here. */
-    public void leaving(Member from, String by) {
-        Out out = agreed.outs().get(instance(from.name()));
-        boolean known = out != null && out.phase() == Out.Phase.GONE && out.life() == from.life();
-        if (allotter.leading() && !known) {
-            propose(new OutOp.Leaves(instance(from.name()), 0, from.life(), by), outcome -> {});
+    public void leaving(MemberIdentity from, String by) {
+        Disruption out = agreed.outs().get(instance(from.name()));
+        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.life() == from.life();
+        if (leaseManager.isLeader() && !known) {
+            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.life(), by), outcome -> {});
         }
     }
 
     /** The subject of that name, with its zone where it was seen. */
-    public Subject instance(String name) {
-        Subject s = new Subject(Subject.Kind.INSTANCE, name, "");
+    public DisruptionTarget instance(String name) {
+        DisruptionTarget s = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
         return seen.keySet().stream().filter(s::equals).findFirst().orElse(s);
     }
 
     /** The same as {@link #propose} about outs. */
-    public void propose(OutOp op, Consumer<OutLedger.Outcome> then) {
-        if (!allotter.leading()) {
-            then.accept(new OutLedger.Outcome(0, "this voter does not lead"));
+    public void propose(DisruptionCommand op, Consumer<DisruptionStateMachine.Outcome> then) {
+        if (!leaseManager.isLeader()) {
+            then.accept(new DisruptionStateMachine.Outcome(0, "this voter does not lead"));
             return;
         }
         replicateOut(op).whenComplete((outcome, e) -> then.accept(e == null ? outcome
-                : new OutLedger.Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
+                : new DisruptionStateMachine.Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
     }
 
-    private CompletableFuture<OutLedger.Outcome> replicateOut(OutOp op) {
-        return node.<OutLedger.Outcome>replicate(op).thenApply(o -> o.getResult());
+    private CompletableFuture<DisruptionStateMachine.Outcome> replicateOut(DisruptionCommand op) {
+        return node.<DisruptionStateMachine.Outcome>replicate(op).thenApply(o -> o.getResult());
     }
 
-    public Allotter allotter() {
-        return allotter;
+    public LeaseManager leaseManager() {
+        return leaseManager;
     }
 
     /** For operators: the voters, the term and who leads. */
-    public Collection<Endpoint> voting() {
+    public Collection<VoterEndpoint> voting() {
         return endpoints(node.getCommittedMembers().getVotingMembers());
     }
 
@@ -425,26 +427,26 @@
     /** Other voters or duties by the settings, which were read anew. */
     public void replace(Terms next) {
         terms = new Terms(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
-        if (allotter.leading()) {
+        if (leaseManager.isLeader()) {
             define();
         }
     }
 
     /** A member asks; it is answered by {@link World#reply} if this voter leads and a majority says so. */
-    public void ask(Ask ask) {
-        carryOut(allotter.ask(clock.getAsDouble(), ask));
+    public void ask(LeaseRequest ask) {
+        carryOut(leaseManager.handleRequest(clock.getAsDouble(), ask));
     }
 
     /** Somebody with an empty folder would vote again. */
-    public void asksToVote(Endpoint who) {
-        if (allotter.leading()) {
+    public void asksToVote(VoterEndpoint who) {
+        if (leaseManager.isLeader()) {
             voters.asked(clock.getAsDouble(), who, terms.voters());
         }
     }
 
     /** An operator's wish; told what became of it, or why nobody knows. */
-    public void propose(Op op, Consumer<Outcome> then) {
-        if (!allotter.leading()) {
+    public void propose(LeaseCommand op, Consumer<Outcome> then) {
+        if (!leaseManager.isLeader()) {
             then.accept(new Outcome(0, "this voter does not lead"));
             return;
         }
@@ -452,7 +454,7 @@
                 : new Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
     }
 
-    private CompletableFuture<Outcome> replicate(Op op) {
+    private CompletableFuture<Outcome> replicate(LeaseCommand op) {
         return node.<Outcome>replicate(op).thenApply(o -> o.getResult());
     }
 
@@ -464,12 +466,12 @@
             fail(new IllegalStateException("the group's library has ended"));
             return;
         }
-        if (allotter.leading()) {
+        if (leaseManager.isLeader()) {
             RaftTerm term = node.getTerm();
             if (!here.equals(term.getLeaderEndpoint())) {
                 resign("another voter may lead");
             } else {
-                carryOut(allotter.tick(clock.getAsDouble()));
+                carryOut(leaseManager.tick(clock.getAsDouble()));
                 permit();
                 changeVoters();
             }
@@ -483,24 +485,26 @@
             verdicts.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, verdicts::over));
         }
         // Behind them: what is withdrawn is not granted in the same moment.
-        permits.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, permits::over));
-        allotter.hurry(agreed.outs().all().stream().filter(o -> o.phase() == Out.Phase.RETURNING)
+        permits.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, permits::commandCompleted));
+        leaseManager.wakeUp(agreed.outs().all().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
                 .map(o -> o.subject().name()).collect(Collectors.toSet()));
         // Said again and again, until it has gone: the word may be lost, and so may the one back. Also to one that has
         // said that it goes and is still there: the leader that wrote it down may have ended before it told it so.
         Release release = agreed.releases().release();
         boolean halted = release != null && release.phase() == Release.Phase.HALTED;
-        for (Out o : agreed.outs().all()) {
-            Permits.Seen look = seen.get(o.subject());
-            boolean waits = o.phase() == Out.Phase.GONE && o.why().waits() && look != null && look.life() == o.life()
-                    && look.look() != Permits.Look.GONE && !(halted && o.why() == Out.Why.RELEASE);
-            if ((o.phase() == Out.Phase.GRANTED || waits) && o.subject().kind() == Subject.Kind.INSTANCE) {
+        for (Disruption o : agreed.outs().all()) {
+            DisruptionController.Seen look = seen.get(o.subject());
+            boolean waits = o.phase() == Disruption.Phase.GONE && o.why().waits() && look != null
+                    && look.life() == o.life()
+                    && look.look() != DisruptionController.Look.GONE && !(halted && o.why() == Disruption.Why.RELEASE);
+            if ((o.phase() == Disruption.Phase.GRANTED || waits)
+                    && o.subject().kind() == DisruptionTarget.Kind.INSTANCE) {
                 world.mayGo(o.subject().name(), o.token());
             }
         }
     }
 
-    private void replicateOut(OutOp op, Consumer<OutOp> over) {
+    private void replicateOut(DisruptionCommand op, Consumer<DisruptionCommand> over) {
         replicateOut(op).whenComplete((outcome, e) -> {
             if (e != null) {
                 notDone(e);
@@ -510,10 +514,10 @@
     }
 
     private void resign(String why) {
-        if (allotter.leading()) {
+        if (leaseManager.isLeader()) {
             LOG.info("{} does not lead the group any more: {}", here, why);
-            allotter.resign();
-            permits.resign();
+            leaseManager.stepDown();
+            permits.stepDown();
             verdicts.resign();
         }
     }
@@ -521,8 +525,8 @@
     private void fail(Throwable why) {
         if (!over) {
             over = true;
-            allotter.resign();
-            permits.resign();
+            leaseManager.stepDown();
+            permits.stepDown();
             verdicts.resign();
             LOG.warn("{} has no seat any more: {}", here, why.toString());
             world.failed(why);
@@ -535,7 +539,7 @@
                 replicate(p.op()).whenComplete((outcome, e) -> {
                     if (e != null) {
                         notDone(e);
-                        allotter.failed(p.op());
+                        leaseManager.commandFailed(p.op());
                     }
                 });
             } else if (step instanceof Step.Confirm c) {
@@ -544,8 +548,8 @@
                             if (e != null) {
                                 notDone(e);
                             }
-                            carryOut(e == null ? allotter.confirmed(clock.getAsDouble(), c.round())
-                                    : allotter.unconfirmed(c.round()));
+                            carryOut(e == null ? leaseManager.leadershipConfirmed(clock.getAsDouble(), c.round())
+                                    : leaseManager.leadershipUnconfirmed(c.round()));
                         });
             } else if (step instanceof Step.Reply r) {
                 world.reply(r.to(), r.answer());
@@ -567,20 +571,20 @@
     }
 
     private void define() {
-        List<Op> first = new ArrayList<>(List.of(new Op.Define(terms.duties())));
+        List<LeaseCommand> first = new ArrayList<>(List.of(new LeaseCommand.Define(terms.duties())));
         long formed = store.founding().formed();
         if (formed > 0) {
             // Of the group before nobody knows how far it went; so far above it, it never came.
-            first.add(new Op.RaiseTokens(formed << FORMED_BITS));
+            first.add(new LeaseCommand.RaiseTokens(formed << FORMED_BITS));
         }
-        for (Op op : first) {
+        for (LeaseCommand op : first) {
             replicate(op).whenComplete((o, e) -> {
                 if (e != null) {
                     notDone(e);
                 }
             });
         }
-        replicateOut(new OutOp.Budgets(terms.budgets())).whenComplete((o, e) -> {
+        replicateOut(new DisruptionCommand.Budgets(terms.budgets())).whenComplete((o, e) -> {
             if (e != null) {
                 notDone(e);
             }
@@ -593,13 +597,13 @@
             return;
         }
         double now = clock.getAsDouble();
-        Collection<Endpoint> voting = endpoints(members.getVotingMembers());
-        Optional<Voters.Change> next = voters.next(now, voting, terms.voters(), heard(voting));
+        Collection<VoterEndpoint> voting = endpoints(members.getVotingMembers());
+        Optional<VoterSet.Change> next = voters.next(now, voting, terms.voters(), heard(voting));
         if (next.isEmpty()) {
             return;
         }
         changing = true;
-        Voters.Change change = next.get();
+        VoterSet.Change change = next.get();
         LOG.info("{} {} the voters", change.endpoint(), change.in() ? "is taken in among" : "is taken out of");
         node.changeMembership(change.endpoint(), change.in() ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
                 : MembershipChangeMode.REMOVE_MEMBER, members.getLogIndex()).whenComplete((o, e) -> {
@@ -610,21 +614,21 @@
                 });
     }
 
-    private Collection<Endpoint> heard(Collection<Endpoint> voting) {
-        Set<Endpoint> heard = new HashSet<>(Set.of(here));
+    private Collection<VoterEndpoint> heard(Collection<VoterEndpoint> voting) {
+        Set<VoterEndpoint> heard = new HashSet<>(Set.of(here));
         long oldest = pace.clock(clock).millis() - pace.config().getLeaderHeartbeatTimeoutSecs() * 1000;
         report.getHeartbeatTimestamps().forEach((e, at) -> {
             if (at >= oldest) {
-                heard.add((Endpoint) e);
+                heard.add((VoterEndpoint) e);
             }
         });
         heard.retainAll(voting);
         return heard;
     }
 
-    private static Collection<Endpoint> endpoints(Collection<RaftEndpoint> all) {
-        Set<Endpoint> set = new TreeSet<>((a, b) -> a.toString().compareTo(b.toString()));
-        all.forEach(e -> set.add((Endpoint) e));
+    private static Collection<VoterEndpoint> endpoints(Collection<RaftEndpoint> all) {
+        Set<VoterEndpoint> set = new TreeSet<>((a, b) -> a.toString().compareTo(b.toString()));
+        all.forEach(e -> set.add((VoterEndpoint) e));
         return set;
     }
 
@@ -635,7 +639,7 @@
     private final class Voice implements Transport {
         @Override public void send(RaftEndpoint to, RaftMessage message) {
             if (!over) {
-                world.send((Endpoint) to, message);
+                world.send((VoterEndpoint) to, message);
             }
         }
 
@@ -714,24 +718,24 @@
                 return Boolean.TRUE;
             }
             Object done = agreed.apply(operation);
-            if (!(operation instanceof Op op)) {
+            if (!(operation instanceof LeaseCommand op)) {
                 return done;
             }
             Outcome outcome = (Outcome) done;
             double now = clock.getAsDouble();
-            if (op instanceof Op.Lead lead) {
+            if (op instanceof LeaseCommand.Lead lead) {
                 if (lead.nonce() == ownNonce && lead.leader().equals(here.toString())) {
                     LOG.info("{} leads the group in term {}", here, node.getTerm().getTerm());
-                    allotter.lead(now);
-                    permits.lead(now, SIGHT * terms.heartbeat());
+                    leaseManager.becomeLeader(now);
+                    permits.becomeLeader(now, SIGHT * terms.heartbeat());
                     verdicts.lead(now);
-                    timers.in(0, Seat.this::define);
+                    timers.in(0, ConsensusReplica.this::define);
                 } else {
                     resign(lead.leader() + " leads");
                 }
             } else {
                 // Not from within: the library is in the middle of its own step.
-                List<Step> steps = allotter.applied(now, op, outcome);
+                List<Step> steps = leaseManager.commandApplied(now, op, outcome);
                 if (!steps.isEmpty()) {
                     timers.in(0, () -> carryOut(steps));
                 }
@@ -744,12 +748,12 @@
         }
 
         @Override public void installSnapshot(long index, List<Object> chunks) {
-            agreed.replace((Agreed.Copy) chunks.get(0));
+            agreed.replace((ReplicatedState.Copy) chunks.get(0));
         }
 
         @Override public Object getNewTermOperation() {
             ownNonce = chance.nextLong();
-            return new Op.Lead(here.toString(), ownNonce);
+            return new LeaseCommand.Lead(here.toString(), ownNonce);
         }
     }
 }
--- a/src/main/java/topazladder/group/MemoryStore.java
+++ b/src/main/java/topazladder/consensus/InMemoryVoterStore.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
@@ -13,10 +13,10 @@
  * A store for virtual time. What was not flushed is lost by a crash, as on a disk; a count of writes makes it fail.
  * Not final, so that trials can plant stores that forget.
  */
-public class MemoryStore implements VoterStore {
+public class InMemoryVoterStore implements VoterStore {
     private Founding founding;
-    private Kept kept = new Kept();
-    private Kept now = new Kept();
+    private PersistedRaftState kept = new PersistedRaftState();
+    private PersistedRaftState now = new PersistedRaftState();
     private long writes;
     private long failsAt = Long.MAX_VALUE;
     private Runnable voted = () -> {};
@@ -38,8 +38,8 @@
     /** The folder is lost. */
     public void wipe() {
         founding = null;
-        kept = new Kept();
-        now = new Kept();
+        kept = new PersistedRaftState();
+        now = new PersistedRaftState();
     }
 
     protected final void forgetTerm() {
@@ -67,7 +67,7 @@
     @Override public void found(Founding f) throws IOException {
         write();
         founding = f;
-        now = new Kept();
+        now = new PersistedRaftState();
         kept = now.copy();
     }
 
--- a/src/main/java/topazladder/group/Kept.java
+++ b/src/main/java/topazladder/consensus/PersistedRaftState.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import io.microraft.RaftEndpoint;
 import io.microraft.model.RaftModelFactory;
@@ -15,7 +15,7 @@
 import java.util.TreeMap;
 
 /** What a voter has to know again after a restart, as the library hands it over piece by piece. */
-public final class Kept {
+public final class PersistedRaftState {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
     private RaftEndpointPersistentState endpoint;
@@ -24,8 +24,8 @@
     private final TreeMap<Long, LogEntry> entries = new TreeMap<>(); // cut at each snapshot
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>(); // of two snapshots at most
 
-    Kept copy() {
-        Kept r = new Kept();
+    PersistedRaftState copy() {
+        PersistedRaftState r = new PersistedRaftState();
         r.endpoint = endpoint;
         r.members = members;
         r.term = term;
--- a/src/main/java/topazladder/group/Pace.java
+++ b/src/main/java/topazladder/consensus/RaftTiming.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import io.microraft.RaftConfig;
 import io.microraft.executor.RaftNodeExecutor;
@@ -14,7 +14,7 @@
  * How fast the group's time runs. The library counts its heartbeats in whole seconds, which is too slow for a hall
  * whose leases are of seconds: its clock and its timers are handed in so many times as fast.
  */
-public final class Pace {
+public final class RaftTiming {
     /** By the library's time: 1 s between heartbeats, 5 s without one until an election, 1 s for one election. */
     private static final int HEARTBEAT_S = 1;
     private static final int PATIENCE_S = 5;
@@ -27,7 +27,7 @@
     private final double factor;
 
     /** @param heartbeat seconds between a leader's heartbeats */
-    public Pace(double heartbeat) {
+    public RaftTiming(double heartbeat) {
         factor = HEARTBEAT_S / heartbeat;
     }
 
--- a/src/main/java/topazladder/group/Agreed.java
+++ b/src/main/java/topazladder/consensus/ReplicatedState.java
@@ -1,32 +1,32 @@
-package topazladder.group;
+package topazladder.consensus;
 
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.Op;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseStateMachine;
 import topazladder.release.Release;
 import topazladder.release.ReleaseLedger;
 import topazladder.release.ReleaseOp;
 
 /** All that the group agrees on: who holds which duty, who is out, and how far a release is. */
-public record Agreed(DutyLedger duties, OutLedger outs, ReleaseLedger releases) {
+public record ReplicatedState(LeaseStateMachine duties, DisruptionStateMachine outs, ReleaseLedger releases) {
 
-    public Agreed() {
-        this(new DutyLedger(), new OutLedger());
+    public ReplicatedState() {
+        this(new LeaseStateMachine(), new DisruptionStateMachine());
     }
 
-    public Agreed(DutyLedger duties, OutLedger outs) {
+    public ReplicatedState(LeaseStateMachine duties, DisruptionStateMachine outs) {
         this(duties, outs, new ReleaseLedger(duties, outs));
     }
 
     /** All of it, to begin another with; there may have been no release. */
-    public record Copy(DutyLedger.Copy duties, OutLedger.Copy outs, Release release) {
+    public record Copy(LeaseStateMachine.Copy duties, DisruptionStateMachine.Copy outs, Release release) {
     }
 
     /** @return the outcome of the ledger that the operation is about */
     Object apply(Object operation) {
         return operation instanceof ReleaseOp r ? releases.apply(r)
-                : operation instanceof OutOp o ? outs.apply(o) : duties.apply((Op) operation);
+                : operation instanceof DisruptionCommand o ? outs.apply(o) : duties.apply((LeaseCommand) operation);
     }
 
     public Copy copy() {
@@ -41,6 +41,6 @@
 
     /** As before anything was agreed. */
     public void clear() {
-        replace(new Agreed().copy());
+        replace(new ReplicatedState().copy());
     }
 }
--- a/src/main/java/topazladder/group/Endpoint.java
+++ b/src/main/java/topazladder/consensus/VoterEndpoint.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import io.microraft.RaftEndpoint;
 
@@ -8,19 +8,19 @@
  *
  * @param birth 0 for those that the group was founded with
  */
-public record Endpoint(String name, long birth) implements RaftEndpoint {
+public record VoterEndpoint(String name, long birth) implements RaftEndpoint {
     private static final char BETWEEN = ':';
 
     @Override public Object getId() {
         return toString();
     }
 
-    public static Endpoint of(String id) {
+    public static VoterEndpoint of(String id) {
         int at = id.lastIndexOf(BETWEEN);
         if (at < 1) {
             throw new IllegalArgumentException("no voter: " + id);
         }
-        return new Endpoint(id.substring(0, at), Long.parseLong(id.substring(at + 1), Character.MAX_RADIX));
+        return new VoterEndpoint(id.substring(0, at), Long.parseLong(id.substring(at + 1), Character.MAX_RADIX));
     }
 
     @Override public String toString() {
--- a/src/main/java/topazladder/group/Voters.java
+++ b/src/main/java/topazladder/consensus/VoterSet.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import java.util.Collection;
 import java.util.Map;
@@ -9,19 +9,19 @@
  * Which change of the voters comes next, decided by the leader: one at a time, and never one that leaves fewer voters
  * heard than a majority needs. Who is named by the settings and has lost its folder comes back under another birth.
  */
-public final class Voters {
+public final class VoterSet {
     /** Seconds within which a voter or one that would be one was heard. */
     private static final double HEARD = 5;
 
     /** @param in whether the endpoint is taken in, or taken out */
-    public record Change(Endpoint endpoint, boolean in) {
+    public record Change(VoterEndpoint endpoint, boolean in) {
     }
 
-    private final Map<String, Endpoint> asking = new TreeMap<>(); // by name: no more than are wanted
+    private final Map<String, VoterEndpoint> asking = new TreeMap<>(); // by name: no more than are wanted
     private final Map<String, Double> askedAt = new TreeMap<>();
 
     /** Somebody who does not vote asks to; only those that the settings name are heard. */
-    public void asked(double now, Endpoint who, Collection<String> wanted) {
+    public void asked(double now, VoterEndpoint who, Collection<String> wanted) {
         if (wanted.contains(who.name())) {
             asking.put(who.name(), who);
             askedAt.put(who.name(), now);
@@ -35,13 +35,13 @@
      * @param wanted names of those who should
      * @param heard voters whose answer to the leader came lately, itself among them
      */
-    public Optional<Change> next(double now, Collection<Endpoint> voting, Collection<String> wanted,
-            Collection<Endpoint> heard) {
+    public Optional<Change> next(double now, Collection<VoterEndpoint> voting, Collection<String> wanted,
+            Collection<VoterEndpoint> heard) {
         asking.keySet().removeIf(name -> now - askedAt.get(name) > HEARD);
         askedAt.keySet().retainAll(asking.keySet());
         int sound = (int) voting.stream().filter(heard::contains).count();
-        for (Endpoint v : voting) {
-            Endpoint other = asking.get(v.name());
+        for (VoterEndpoint v : voting) {
+            VoterEndpoint other = asking.get(v.name());
             boolean replaced = other != null && !other.equals(v);
             boolean stays = wanted.contains(v.name()) && !replaced;
             int left = sound - (heard.contains(v) ? 1 : 0);
@@ -50,7 +50,7 @@
                 return Optional.of(new Change(v, false));
             }
         }
-        for (Endpoint e : asking.values()) {
+        for (VoterEndpoint e : asking.values()) {
             boolean there = voting.stream().anyMatch(v -> v.name().equals(e.name()));
             // It has heard nothing yet, so for a while it is one that votes and does not count as sound.
             if (!there && sound > (voting.size() + 1) / 2) {
--- a/src/main/java/topazladder/group/VoterStore.java
+++ b/src/main/java/topazladder/consensus/VoterStore.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
@@ -13,7 +13,7 @@
      *
      * @param formed how often the group was formed anew by hand; only voters of one forming talk to each other
      */
-    record Founding(Endpoint here, List<Endpoint> first, long formed) {
+    record Founding(VoterEndpoint here, List<VoterEndpoint> first, long formed) {
     }
 
     /** Null where the folder is empty: then it must not vote before the group has taken it in. */
--- a/src/main/java/topazladder/delivery/Consumer.java
+++ b/src/main/java/topazladder/delivery/Consumer.java
@@ -8,27 +8,27 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import java.util.random.RandomGenerator;
-import topazladder.config.QueueTerms;
-import topazladder.config.QueueTerms.Route;
-import topazladder.config.Terms;
+import topazladder.config.QueueSettings;
+import topazladder.config.QueueSettings.Route;
+import topazladder.config.SettingsReader;
 import topazladder.delivery.BrokerPort.Publication;
 import topazladder.delivery.Delivery.Properties;
 import topazladder.delivery.Mapping.Mapped;
 import topazladder.delivery.Outcomes.Outcome;
 import topazladder.delivery.Outcomes.What;
 import topazladder.delivery.Outcomes.Why;
-import topazladder.service.Answer;
-import topazladder.service.Answer.How;
+import topazladder.request.RequestClass.Repeats;
 import topazladder.service.Caller;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
-import topazladder.service.InHand;
+import topazladder.service.InFlightRequest;
+import topazladder.service.RequestDispatcher;
+import topazladder.service.Response;
+import topazladder.service.Response.How;
 import topazladder.service.Timers;
-import topazladder.ticket.Offering.Repeats;
 
 /**
- * Deliveries of one broker as tickets of the exchange: each that came gets exactly one outcome while its link lives,
+ * Deliveries of one broker as requests of the dispatcher: each that came gets exactly one outcome while its link lives,
  * and
  * none afterwards, as the broker then brings it again. It does no I/O.
  */
@@ -43,7 +43,7 @@
     private static final double LEAST_DELAY = 0.1;
 
     private enum Phase {
-        /** The module has its ticket. */
+        /** The module has its request. */
         IN_MODULE,
         /** Its turn to go back has not come. */
         AWAITING_TURN,
@@ -60,7 +60,7 @@
         final Delivery delivery;
         final Mapped mapped;
         Phase phase = Phase.IN_MODULE;
-        InHand inHand;
+        InFlightRequest inFlight;
         long publication;
         int published;
         Publication what;
@@ -72,11 +72,11 @@
             this.mapped = mapped;
         }
 
-        @Override public void answer(Answer a) {
+        @Override public void answer(Response a) {
             answered(this, a.how(), a);
         }
 
-        @Override public void unusable(Answer a) {
+        @Override public void unusable(Response a) {
             answered(this, null, a);
         }
 
@@ -86,14 +86,14 @@
     }
 
     private final class Queue {
-        final QueueTerms terms;
+        final QueueSettings terms;
         final Prefetch prefetch;
         final Pace returns;
         /** By tag; emptied by outcomes and as the link goes. */
         final Map<Long, Open> open = new LinkedHashMap<>();
         double highestRank = 1;
 
-        Queue(QueueTerms terms) {
+        Queue(QueueSettings terms) {
             this.terms = terms;
             prefetch = new Prefetch(terms.mostPrefetch());
             returns = new Pace(terms.requeuesPerSecond());
@@ -102,7 +102,7 @@
 
     private final DoubleSupplier clock;
     private final Timers timers;
-    private final Exchange exchange;
+    private final RequestDispatcher dispatcher;
     private final Counters counters;
     private final RandomGenerator chance;
     private final BrokerPort port;
@@ -115,11 +115,12 @@
     private int replyBytes;
     private boolean leaving;
 
-    public Consumer(DoubleSupplier clock, Timers timers, Exchange exchange, Counters counters, RandomGenerator chance,
-            BrokerPort port, Terms terms, List<QueueTerms> queues) {
+    public Consumer(DoubleSupplier clock, Timers timers, RequestDispatcher dispatcher, Counters counters,
+            RandomGenerator chance,
+            BrokerPort port, SettingsReader terms, List<QueueSettings> queues) {
         this.clock = clock;
         this.timers = timers;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
         this.counters = counters;
         this.chance = chance;
         this.port = port;
@@ -163,22 +164,22 @@
             // Its acknowledgement was lost on the way.
             acknowledge(o);
         } else if (leaving) {
-            settle(o, Outcomes.of(How.DEFERRED, m.offering().repeats(), m.tries(), q.terms, true), "leaving");
+            settle(o, Outcomes.of(How.REJECTED, m.requestClass().idempotency(), m.tries(), q.terms, true), "leaving");
         } else if (d.redelivered() && unsafe(m, q.terms)) {
             settle(o, Outcomes.dead(Why.MAY_HAVE_RUN), "it came before, and nothing is known of it");
         } else {
             q.highestRank = Math.max(m.arrival().rank(), q.highestRank * 0.95);
-            o.inHand = exchange.arrive(m.arrival(), o);
+            o.inFlight = dispatcher.dispatch(m.arrival(), o);
         }
     }
 
     /** Whether it may have run elsewhere, or here before all that is remembered. */
-    private boolean unsafe(Mapped m, QueueTerms terms) {
-        return switch (m.offering().repeats()) {
-            case RETRIABLE -> false;
-            case BINDING -> true;
-            case FINGERPRINTED -> !terms.runUnknownRedelivered()
-                    && !exchange.remembers(m.arrival().fingerprint(), m.arrival().since());
+    private boolean unsafe(Mapped m, QueueSettings terms) {
+        return switch (m.requestClass().idempotency()) {
+            case RETRY_SAFE -> false;
+            case AT_MOST_ONCE -> true;
+            case IDEMPOTENT_BY_KEY -> !terms.runUnknownRedelivered()
+                    && !dispatcher.knowsIdempotencyKey(m.arrival().fingerprint(), m.arrival().since());
         };
     }
 
@@ -203,8 +204,9 @@
             letGo(o);
             // One without an effect is run again when it comes again; one with an effect goes on, and its result is
             // kept.
-            if (was == Phase.IN_MODULE && o.inHand != null && o.mapped.offering().repeats() == Repeats.RETRIABLE) {
-                exchange.callerGone(o.inHand);
+            if (was == Phase.IN_MODULE && o.inFlight != null
+                    && o.mapped.requestClass().idempotency() == Repeats.RETRY_SAFE) {
+                dispatcher.callerDisconnected(o.inFlight);
             }
         }
     }
@@ -235,12 +237,12 @@
         }
     }
 
-    // ---- From the exchange
+    // ---- From the dispatcher
 
-    private void answered(Open o, How how, Answer a) {
-        o.queue.prefetch.ended(how == How.DEFERRED);
+    private void answered(Open o, How how, Response a) {
+        o.queue.prefetch.ended(how == How.REJECTED);
         if (o.phase == Phase.LOST) {
-            if (how == How.HONOURED) {
+            if (how == How.SERVED) {
                 remembered.done(o.delivery, o.mapped.tries(), clock.getAsDouble());
             }
             return;
@@ -248,7 +250,7 @@
         if (o.phase != Phase.IN_MODULE) {
             return; // handed back before it began
         }
-        Outcome outcome = Outcomes.of(how, o.mapped.offering().repeats(), tries(o), o.queue.terms, leaving);
+        Outcome outcome = Outcomes.of(how, o.mapped.requestClass().idempotency(), tries(o), o.queue.terms, leaving);
         String replyTo = o.delivery.properties().replyTo();
         if (outcome.what() == What.ACKNOWLEDGE && replyTo != null && !replyTo.isEmpty()) {
             reply(o, replyTo, a.body());
@@ -382,9 +384,10 @@
             port.stop(q.terms.queue());
             for (Open o : List.copyOf(q.open.values())) {
                 boolean unbegun = o.phase == Phase.AWAITING_TURN
-                        || o.phase == Phase.IN_MODULE && o.inHand != null && exchange.withdraw(o.inHand);
+                        || o.phase == Phase.IN_MODULE && o.inFlight != null
+                                && dispatcher.cancelIfNotStarted(o.inFlight);
                 if (unbegun) {
-                    settle(o, Outcomes.of(How.DEFERRED, o.mapped.offering().repeats(), tries(o), q.terms, true),
+                    settle(o, Outcomes.of(How.REJECTED, o.mapped.requestClass().idempotency(), tries(o), q.terms, true),
                             "leaving");
                 }
             }
@@ -395,7 +398,8 @@
     public void look() {
         double now = clock.getAsDouble();
         for (Queue q : queues.values()) {
-            if (q.prefetch.look(now, q.highestRank, exchange.level(), replyBytes > MOST_REPLY_BYTES / 2) && !leaving) {
+            if (q.prefetch.look(now, q.highestRank, dispatcher.admissionLevel(), replyBytes > MOST_REPLY_BYTES / 2)
+                    && !leaving) {
                 port.prefetch(q.terms.queue(), q.prefetch.window());
             }
         }
--- a/src/main/java/topazladder/delivery/Mapping.java
+++ b/src/main/java/topazladder/delivery/Mapping.java
@@ -2,15 +2,15 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import topazladder.config.Pick;
-import topazladder.config.QueueTerms;
-import topazladder.config.QueueTerms.Fields;
-import topazladder.config.Terms;
-import topazladder.service.Arrival;
-import topazladder.ticket.Offering;
-import topazladder.ticket.Offering.Repeats;
+import topazladder.config.FieldSource;
+import topazladder.config.QueueSettings;
+import topazladder.config.QueueSettings.Fields;
+import topazladder.config.SettingsReader;
+import topazladder.request.RequestClass;
+import topazladder.request.RequestClass.Repeats;
+import topazladder.service.IncomingRequest;
 
-/** Makes a ticket of a message, or says why it is none. It never guesses: what is missing or wild has no default. */
+/** Makes a request of a message, or says why it is none. It never guesses: what is missing or wild has no default. */
 final class Mapping {
     /** Set on the copies that wait: how often the message was tried. */
     static final String TRIES = "x-topazladder-tries";
@@ -21,45 +21,45 @@
     private static final double LEAST_FOOTPRINT = 2;
     private static final int LONGEST_WORD = 200;
 
-    /** A ticket, or why there is none. */
-    record Mapped(Arrival arrival, Offering offering, int tries, String why) {
+    /** A request, or why there is none. */
+    record Mapped(IncomingRequest arrival, RequestClass requestClass, int tries, String why) {
 
         static Mapped none(String why) {
             return new Mapped(null, null, 0, why);
         }
     }
 
-    private final Map<String, Offering> offerings = new HashMap<>();
-    private final boolean customers;
+    private final Map<String, RequestClass> requestClasses = new HashMap<>();
+    private final boolean tenants;
     private final double highestPayoff;
     private final double longestLimit;
 
-    Mapping(Terms terms) {
-        terms.offerings().forEach(o -> offerings.put(o.name(), o));
-        customers = !terms.customers().isEmpty();
-        highestPayoff = terms.offerings().stream().mapToDouble(Offering::payoff).max().orElse(1);
-        longestLimit = terms.offerings().stream().mapToDouble(Offering::outerLimit).max().orElse(0);
+    Mapping(SettingsReader terms) {
+        terms.requestClasses().forEach(o -> requestClasses.put(o.name(), o));
+        tenants = !terms.tenants().isEmpty();
+        highestPayoff = terms.requestClasses().stream().mapToDouble(RequestClass::priorityWeight).max().orElse(1);
+        longestLimit = terms.requestClasses().stream().mapToDouble(RequestClass::deadlineSeconds).max().orElse(0);
     }
 
-    Mapped map(Delivery d, QueueTerms terms, String ref, double now) {
+    Mapped map(Delivery d, QueueSettings terms, String ref, double now) {
         Fields f = terms.fields();
         if (d.body().length > terms.mostBytes()) {
             return Mapped.none("too large: " + d.body().length + " bytes");
         }
-        Offering offering = offerings.get(String.valueOf(word(f.offering(), d)));
-        if (offering == null) {
+        RequestClass requestClass = requestClasses.get(String.valueOf(word(f.requestClass(), d)));
+        if (requestClass == null) {
             return Mapped.none("no known offering");
         }
-        String customer = word(f.customer(), d);
-        if (customers && customer == null) {
+        String tenant = word(f.tenant(), d);
+        if (tenants && tenant == null) {
             return Mapped.none("no customer");
         }
-        boolean fingerprinted = offering.repeats() == Repeats.FINGERPRINTED;
+        boolean fingerprinted = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
         String fingerprint = fingerprinted ? word(f.fingerprint(), d) : null;
         if (fingerprinted && fingerprint == null) {
             return Mapped.none("no fingerprint");
         }
-        double rank = number(word(f.rank(), d), f.rank() == null ? rankOf(offering) : Double.NaN);
+        double rank = number(word(f.rank(), d), f.rank() == null ? rankOf(requestClass) : Double.NaN);
         if (f.rank() != null && f.rank().name().equals("priority")) {
             rank = Math.min(9, rank) / 10;
         }
@@ -83,19 +83,20 @@
         boolean believed = f.believeTimestamp() && d.properties().timestamp() > 0 && stamped >= 0
                 && stamped < longestLimit;
         double since = believed ? d.properties().timestamp() : now;
-        Arrival arrival = new Arrival(ref, offering.name(), customer, since, tried > 0 || d.redelivered(), footprint,
-                rank,
-                fingerprint, d.body(), Math.max(0, d.properties().expiration()));
-        return new Mapped(arrival, offering, tried, null);
+        IncomingRequest arrival =
+                new IncomingRequest(ref, requestClass.name(), tenant, since, tried > 0 || d.redelivered(), footprint,
+                        rank,
+                        fingerprint, d.body(), Math.max(0, d.properties().expiration()));
+        return new Mapped(arrival, requestClass, tried, null);
     }
 
     /** By its payoff beside the highest, so that the cut turns the cheapest away first. */
-    double rankOf(Offering o) {
-        return Math.max(0, Math.min(0.999, highestPayoff <= 0 ? 0 : o.payoff() / highestPayoff * 0.999));
+    double rankOf(RequestClass o) {
+        return Math.max(0, Math.min(0.999, highestPayoff <= 0 ? 0 : o.priorityWeight() / highestPayoff * 0.999));
     }
 
     /** Null where the message has none. */
-    private static String text(Pick pick, Delivery d) {
+    private static String text(FieldSource pick, Delivery d) {
         return switch (pick.from()) {
             case ALWAYS -> pick.name();
             case HEADER -> d.headers().get(pick.name());
@@ -119,7 +120,7 @@
         return d.headers().getOrDefault(FIRST_KEY, d.routingKey());
     }
 
-    private static String word(Pick pick, Delivery d) {
+    private static String word(FieldSource pick, Delivery d) {
         String word = pick == null ? null : text(pick, d);
         return word == null || word.isEmpty() || word.length() > LONGEST_WORD || word.chars().anyMatch(c -> c <= ' ')
                 ? null : word;
--- a/src/main/java/topazladder/delivery/Outcomes.java
+++ b/src/main/java/topazladder/delivery/Outcomes.java
@@ -1,11 +1,11 @@
 package topazladder.delivery;
 
-import topazladder.config.QueueTerms;
-import topazladder.service.Answer.How;
-import topazladder.ticket.Offering.Repeats;
+import topazladder.config.QueueSettings;
+import topazladder.request.RequestClass.Repeats;
+import topazladder.service.Response.How;
 
 /**
- * What becomes of a delivery, from what became of its ticket. docs/amqp.md has it as a table; each delivery gets
+ * What becomes of a delivery, from what became of its request. docs/amqp.md has it as a table; each delivery gets
  * exactly
  * one of these where its link lives.
  */
@@ -37,24 +37,24 @@
     private Outcomes() {}
 
     /**
-     * @param how null where the ticket could not be decided on
+     * @param how null where the request could not be decided on
      * @param tries before this one
      */
-    static Outcome of(How how, Repeats repeats, int tries, QueueTerms terms, boolean leaving) {
+    static Outcome of(How how, Repeats repeats, int tries, QueueSettings terms, boolean leaving) {
         if (how == null) {
             return dead(Why.UNUSABLE);
         }
         return switch (how) {
-            case HONOURED -> ACKNOWLEDGE;
+            case SERVED -> ACKNOWLEDGE;
             // One that has an effect and was broken off may have run: another run could be the second.
-            case BROKEN_OFF -> repeats == Repeats.RETRIABLE ? again(repeats, tries, terms, leaving)
+            case FAILED -> repeats == Repeats.RETRY_SAFE ? again(repeats, tries, terms, leaving)
                     : dead(Why.MAY_HAVE_RUN);
-            case DEFERRED -> again(repeats, tries, terms, leaving);
+            case REJECTED -> again(repeats, tries, terms, leaving);
         };
     }
 
-    private static Outcome again(Repeats repeats, int tries, QueueTerms terms, boolean leaving) {
-        if (leaving && repeats != Repeats.BINDING) {
+    private static Outcome again(Repeats repeats, int tries, QueueSettings terms, boolean leaving) {
+        if (leaving && repeats != Repeats.AT_MOST_ONCE) {
             return new Outcome(What.HAND_BACK, Why.NONE);
         }
         if (tries + 1 >= terms.mostTries()) {
@@ -64,7 +64,7 @@
             return new Outcome(What.DELAY, Why.NONE);
         }
         // Sent back, a binding one would come again as redelivered, and nobody could tell that it never ran.
-        return repeats == Repeats.BINDING ? dead(Why.NO_SAFE_WAY_BACK) : new Outcome(What.RETURN, Why.NONE);
+        return repeats == Repeats.AT_MOST_ONCE ? dead(Why.NO_SAFE_WAY_BACK) : new Outcome(What.RETURN, Why.NONE);
     }
 
     static Outcome dead(Why why) {
--- a/src/main/java/topazladder/delivery/Prefetch.java
+++ b/src/main/java/topazladder/delivery/Prefetch.java
@@ -1,9 +1,9 @@
 package topazladder.delivery;
 
 /**
- * How many deliveries of one queue are in hand at most. It follows what the module did with the last ones: deferred,
+ * How many deliveries of one queue are in hand at most. It follows what the module did with the last ones: rejected,
  * the
- * queue is asked for half as many; all honoured with the window full, for one more. A level above the queue's rank
+ * queue is asked for half as many; all served with the window full, for one more. A level above the queue's rank
  * stops it, as a caller that heeds would send nothing; one message a while finds out that it is over.
  */
 final class Prefetch {
@@ -11,8 +11,8 @@
 
     private final int most;
     private int window = 1;
-    private int honoured;
-    private int deferred;
+    private int served;
+    private int rejected;
     private boolean full;
     private double nextLook;
 
@@ -24,11 +24,11 @@
         return window;
     }
 
-    void ended(boolean wasDeferred) {
-        if (wasDeferred) {
-            deferred++;
+    void ended(boolean wasRejected) {
+        if (wasRejected) {
+            rejected++;
         } else {
-            honoured++;
+            served++;
         }
     }
 
@@ -51,13 +51,13 @@
         int before = window;
         if (crowded || highestRank < level) {
             window = 1;
-        } else if (deferred > 0) {
+        } else if (rejected > 0) {
             window = Math.max(1, window / 2);
-        } else if (full && honoured > 0) {
+        } else if (full && served > 0) {
             window = Math.min(most, window + Math.max(1, window / 4));
         }
-        honoured = 0;
-        deferred = 0;
+        served = 0;
+        rejected = 0;
         full = false;
         return window != before;
     }
--- a/src/main/java/topazladder/drain/Out.java
+++ b/src/main/java/topazladder/disruption/Disruption.java
@@ -1,4 +1,4 @@
-package topazladder.drain;
+package topazladder.disruption;
 
 /**
  * One subject that is out, or wants to be, as the hall has agreed.
@@ -11,7 +11,7 @@
  * @param asked place in the order of asking
  * @param by who asked, for operators
  */
-public record Out(Subject subject, Why why, Phase phase, String request, long token, long life,
+public record Disruption(DisruptionTarget subject, Why why, Phase phase, String request, long token, long life,
         long asked, String by) {
 
     /** Why a subject is out. The first three wait for their turn; the others are a fact when they are told. */
@@ -42,11 +42,11 @@
         return phase != Phase.ASKED;
     }
 
-    Out in(Phase next, long of) {
-        return new Out(subject, why, next, request, token, of, asked, by);
+    Disruption in(Phase next, long of) {
+        return new Disruption(subject, why, next, request, token, of, asked, by);
     }
 
-    Out granted(long under, long of) {
-        return new Out(subject, why, Phase.GRANTED, request, under, of, asked, by);
+    Disruption granted(long under, long of) {
+        return new Disruption(subject, why, Phase.GRANTED, request, under, of, asked, by);
     }
 }
--- a/src/main/java/topazladder/drain/Budget.java
+++ b/src/main/java/topazladder/disruption/DisruptionBudget.java
@@ -1,4 +1,4 @@
-package topazladder.drain;
+package topazladder.disruption;
 
 import java.util.Collection;
 import java.util.Map;
@@ -12,9 +12,9 @@
  * @param most subjects at once
  * @param share of the measured capacity of that part, over 0 and at most 1
  */
-public record Budget(String name, Subject.Kind kind, String zone, int most, double share) {
+public record DisruptionBudget(String name, DisruptionTarget.Kind kind, String zone, int most, double share) {
 
-    public boolean covers(Subject s) {
+    public boolean covers(DisruptionTarget s) {
         return s.kind() == kind && (zone.isEmpty() || zone.equals(s.zone()));
     }
 
@@ -24,7 +24,8 @@
      * @param out subjects that take a place now, of whatever kind
      * @param capacities of all subjects there are; one that is not measured counts as the mean of the others
      */
-    public String refuses(Subject one, Collection<Subject> out, Map<Subject, Double> capacities) {
+    public String refuses(DisruptionTarget one, Collection<DisruptionTarget> out,
+            Map<DisruptionTarget, Double> capacities) {
         if (!covers(one)) {
             return null;
         }
@@ -45,7 +46,7 @@
         return null;
     }
 
-    private static double of(Map<Subject, Double> capacities, Subject s, double mean) {
+    private static double of(Map<DisruptionTarget, Double> capacities, DisruptionTarget s, double mean) {
         double c = capacities.getOrDefault(s, 0.0);
         return c > 0 ? c : mean;
     }
--- a/src/main/java/topazladder/drain/Permits.java
+++ b/src/main/java/topazladder/disruption/DisruptionController.java
@@ -1,12 +1,12 @@
-package topazladder.drain;
+package topazladder.disruption;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import topazladder.drain.Out.Phase;
-import topazladder.drain.Out.Why;
+import topazladder.disruption.Disruption.Phase;
+import topazladder.disruption.Disruption.Why;
 
 /**
  * What the group's leader decides about outs: who is lost, who is back and steady, whose turn it is. What it sees of
@@ -16,7 +16,7 @@
  * now. When most of the hall looks lost at once nobody is taken for lost, and nobody may go: it is likelier the one
  * who looks.
  */
-public class Permits {
+public class DisruptionController {
     /** Part of the instances that may look lost before that says more about this leader than about them. */
     private static final double MOST_LOST = 0.5;
 
@@ -38,21 +38,21 @@
     /** Seconds for which an instance's own word that it is steady counts before the others have told it along. */
     private static final double WORD = 3;
 
-    private record Said(double at, long life, int schema, Serving serving, boolean steady) {
+    private record Said(double at, long life, int schema, LoadReport serving, boolean steady) {
     }
 
-    private final OutLedger ledger;
+    private final DisruptionStateMachine ledger;
     private final double lostAfter;
-    private final Map<Subject, Seen> seen = new HashMap<>(); // as many as there are members
-    private final Map<Subject, Double> goneSince = new HashMap<>();
-    private final Map<Subject, OutOp> pending = new HashMap<>();
-    private final Map<Subject, String> blocked = new TreeMap<>();
-    private final Map<Subject, Said> said = new HashMap<>(); // of those that are seen
+    private final Map<DisruptionTarget, Seen> seen = new HashMap<>(); // as many as there are members
+    private final Map<DisruptionTarget, Double> goneSince = new HashMap<>();
+    private final Map<DisruptionTarget, DisruptionCommand> pending = new HashMap<>();
+    private final Map<DisruptionTarget, String> blocked = new TreeMap<>();
+    private final Map<DisruptionTarget, Said> said = new HashMap<>(); // of those that are seen
     private boolean leading;
     private double quietUntil;
 
     /** @param lostAfter seconds for which one must be unheard before its place is written down as lost */
-    public Permits(OutLedger ledger, double lostAfter) {
+    public DisruptionController(DisruptionStateMachine ledger, double lostAfter) {
         this.ledger = ledger;
         this.lostAfter = lostAfter;
     }
@@ -61,7 +61,7 @@
      * Its time begins: what it sees of the members is not to be trusted yet, so nothing is granted for so many
      * seconds.
      */
-    public void lead(double now, double quiet) {
+    public void becomeLeader(double now, double quiet) {
         leading = true;
         goneSince.clear();
         pending.clear();
@@ -69,16 +69,16 @@
     }
 
     /** Whether the time is over for which a new leader grants nothing, as it may not have heard of every member yet. */
-    public boolean settled(double now) {
+    public boolean isSettled(double now) {
         return leading && now >= quietUntil;
     }
 
-    public void resign() {
+    public void stepDown() {
         leading = false;
     }
 
     /** How the instances look to this member, from membership and from what they say of themselves. */
-    public void seen(double now, Map<Subject, Seen> looks) {
+    public void membersObserved(double now, Map<DisruptionTarget, Seen> looks) {
         seen.clear();
         seen.putAll(looks);
         said.keySet().retainAll(looks.keySet());
@@ -91,13 +91,13 @@
     }
 
     /** An operation was applied, or nobody knows whether it was; where it was not it is proposed again. */
-    public void over(OutOp op) {
+    public void commandCompleted(DisruptionCommand op) {
         pending.values().removeIf(op::equals);
     }
 
     /** What time and sight bring, to be proposed. */
-    public List<OutOp> tick(double now) {
-        List<OutOp> ops = new ArrayList<>();
+    public List<DisruptionCommand> tick(double now) {
+        List<DisruptionCommand> ops = new ArrayList<>();
         if (!leading || now < quietUntil) {
             return ops;
         }
@@ -111,11 +111,11 @@
         return ops;
     }
 
-    private void know(Subject s, List<OutOp> ops) {
+    private void know(DisruptionTarget s, List<DisruptionCommand> ops) {
         Double before = ledger.capacities().get(s);
         double capacity = said.containsKey(s) ? said.get(s).serving().capacity() : 0;
         if (before == null || capacity > 0 && Math.abs(capacity - before) > CAPACITY_MOVES * Math.max(before, 1e-9)) {
-            propose(new OutOp.Known(s, capacity), s, ops);
+            propose(new DisruptionCommand.Known(s, capacity), s, ops);
         }
     }
 
@@ -126,8 +126,8 @@
         return lost > MOST_LOST * seen.size();
     }
 
-    private void follow(double now, Subject s, Seen l, boolean blind, List<OutOp> ops) {
-        Out out = ledger.get(s);
+    private void follow(double now, DisruptionTarget s, Seen l, boolean blind, List<DisruptionCommand> ops) {
+        Disruption out = ledger.get(s);
         Phase phase = out == null ? null : out.phase();
         boolean another = out != null && out.life() != l.life();
         if (l.look() == Look.GONE) {
@@ -135,33 +135,33 @@
             // One on its way back keeps that place: as GONE under the life that it has it would pass for one that has
             // said that it goes and was not told so yet, and be sent out once more.
             if (sure && (out == null || phase == Phase.ASKED)) {
-                propose(new OutOp.Lost(s, l.life()), s, ops);
+                propose(new DisruptionCommand.Lost(s, l.life()), s, ops);
             }
         } else if (l.look() != Look.SUSPECTED) {
             if ((phase == Phase.GONE || phase == Phase.GRANTED) && (another || out.why() == Why.LOST)) {
-                propose(new OutOp.Returns(s, l.life()), s, ops);
+                propose(new DisruptionCommand.Returns(s, l.life()), s, ops);
             } else if (phase == Phase.RETURNING && another) {
-                propose(new OutOp.Lost(s, out.life()), s, ops); // and then it returns under its new life
+                propose(new DisruptionCommand.Lost(s, out.life()), s, ops); // and then it returns under its new life
             } else if (phase == Phase.RETURNING && steady(now, s, l)) {
-                propose(new OutOp.Steady(s), s, ops);
+                propose(new DisruptionCommand.Steady(s), s, ops);
             }
         }
     }
 
     /** Its own word that it is steady comes with its ask, and so sooner than by whoever else has heard of it. */
-    private Seen asSaid(double now, Subject s, Seen l) {
+    private Seen asSaid(double now, DisruptionTarget s, Seen l) {
         Said own = said.get(s);
         return l.look() == Look.UNSTEADY && own != null && own.life() == l.life() && own.steady()
                 && now - own.at() < WORD ? new Seen(Look.STEADY, l.life()) : l;
     }
 
     /** By its own word, and by what it serves beside its peers: one that is back and is passed by is not back yet. */
-    protected boolean steady(double now, Subject s, Seen l) {
+    protected boolean steady(double now, DisruptionTarget s, Seen l) {
         return l.look() == Look.STEADY && servesAsItsPeers(now, s, l);
     }
 
-    private boolean servesAsItsPeers(double now, Subject s, Seen l) {
-        List<Serving> peers = new ArrayList<>();
+    private boolean servesAsItsPeers(double now, DisruptionTarget s, Seen l) {
+        List<LoadReport> peers = new ArrayList<>();
         seen.forEach((other, look) -> {
             Said what = said.get(other);
             if (!other.equals(s) && look.look() == Look.STEADY && ledger.get(other) == null && what != null
@@ -169,14 +169,14 @@
                 peers.add(what.serving());
             }
         });
-        double asked = middle(peers.stream().mapToDouble(Serving::asked).sorted().toArray());
+        double asked = middle(peers.stream().mapToDouble(LoadReport::asked).sorted().toArray());
         if (asked <= 0) {
             return true; // nobody is asked for anything: there is nothing to compare
         }
         Said own = said.get(s);
         return own != null && own.life() == l.life() && now - own.at() < STALE
                 && own.serving().asked() >= ASKED_PART * asked && own.serving().share() >= SHARE_PART * middle(
-                        peers.stream().mapToDouble(Serving::share).sorted().toArray());
+                        peers.stream().mapToDouble(LoadReport::share).sorted().toArray());
     }
 
     private static double middle(double[] sorted) {
@@ -184,19 +184,20 @@
     }
 
     /** What an instance says of itself. */
-    public void says(double now, Subject s, long life, int schema, Serving serving, boolean steady) {
+    public void loadReported(double now, DisruptionTarget s, long life, int schema, LoadReport serving,
+            boolean steady) {
         said.put(s, new Said(now, life, schema, serving, steady));
     }
 
     /** What it said last in that life, or null. */
-    public Serving serving(Subject s, long life) {
+    public LoadReport loadReport(DisruptionTarget s, long life) {
         Said what = said.get(s);
         return what != null && what.life() == life ? what.serving() : null;
     }
 
     /** The schema that it can read; 0 for one that has said nothing. */
-    public int schema(String name) {
-        Said what = said.get(new Subject(Subject.Kind.INSTANCE, name, ""));
+    public int schemaOf(String name) {
+        Said what = said.get(new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, ""));
         return what == null ? 0 : what.schema();
     }
 
@@ -205,19 +206,20 @@
         return l.look() != Look.STEADY;
     }
 
-    private void grant(double now, boolean blind, List<OutOp> ops) {
-        List<Subject> besides = new ArrayList<>();
+    private void grant(double now, boolean blind, List<DisruptionCommand> ops) {
+        List<DisruptionTarget> besides = new ArrayList<>();
         seen.forEach((s, l) -> {
             if (countsAsOut(asSaid(now, s, l))) {
                 besides.add(s);
             }
         });
         boolean first = true;
-        for (Out o : ledger.waiting()) {
-            Subject s = o.subject();
+        for (Disruption o : ledger.waiting()) {
+            DisruptionTarget s = o.subject();
             Seen l = seen.get(s);
             String why = blind ? "most of the hall looks lost from the leader"
-                    : s.kind() == Subject.Kind.INSTANCE && (l == null || l.look() == Look.GONE) ? "it is not heard"
+                    : s.kind() == DisruptionTarget.Kind.INSTANCE && (l == null || l.look() == Look.GONE)
+                            ? "it is not heard"
                             : ledger.refuses(s, besides);
             if (why != null) {
                 blocked.put(s, why);
@@ -227,13 +229,13 @@
                     besides.add(s);
                     first = false;
                 }
-            } else if (propose(new OutOp.Grant(s, o.request(), l == null ? 0 : l.life()), s, ops)) {
+            } else if (propose(new DisruptionCommand.Grant(s, o.request(), l == null ? 0 : l.life()), s, ops)) {
                 besides.add(s); // until the ledger says so itself
             }
         }
     }
 
-    private boolean propose(OutOp op, Subject s, List<OutOp> ops) {
+    private boolean propose(DisruptionCommand op, DisruptionTarget s, List<DisruptionCommand> ops) {
         if (pending.putIfAbsent(s, op) == null) {
             ops.add(op);
             return true;
@@ -242,7 +244,7 @@
     }
 
     /** Why each that waits does so; for operators. */
-    public Map<Subject, String> blocked() {
+    public Map<DisruptionTarget, String> blocked() {
         return Map.copyOf(blocked);
     }
 }
