--- a/src/main/java/topazladder/drain/OutLedger.java
+++ b/src/main/java/topazladder/disruption/DisruptionStateMachine.java
@@ -1,4 +1,4 @@
-package topazladder.drain;
+package topazladder.disruption;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
-import topazladder.drain.Out.Phase;
-import topazladder.drain.Out.Why;
+import topazladder.disruption.Disruption.Phase;
+import topazladder.disruption.Disruption.Why;
 
 /**
  * Who is out or about to be, as the hall has agreed: the same operations in the same order give the same ledger at
@@ -19,10 +19,10 @@
  * that is taken is given back by steadiness, by an operator, or by a withdrawal before it was used, and by nothing
  * else; a token only grows.
  */
-public class OutLedger {
-    private final Map<Subject, Out> outs = new TreeMap<>(); // no more than there are subjects
-    private final Map<Subject, Double> capacities = new TreeMap<>();
-    private final Map<String, Budget> budgets = new LinkedHashMap<>();
+public class DisruptionStateMachine {
+    private final Map<DisruptionTarget, Disruption> outs = new TreeMap<>(); // no more than there are subjects
+    private final Map<DisruptionTarget, Double> capacities = new TreeMap<>();
+    private final Map<String, DisruptionBudget> budgets = new LinkedHashMap<>();
     private long tokens;
     private long asked;
     private String halted;
@@ -35,53 +35,54 @@
         }
     }
 
-    public Outcome apply(OutOp op) {
-        if (op instanceof OutOp.Budgets b) {
+    public Outcome apply(DisruptionCommand op) {
+        if (op instanceof DisruptionCommand.Budgets b) {
             budgets.clear();
             b.budgets().forEach(each -> budgets.put(each.name(), each));
-        } else if (op instanceof OutOp.Known k) {
+        } else if (op instanceof DisruptionCommand.Known k) {
             capacities.put(k.subject(), k.capacity());
-        } else if (op instanceof OutOp.Forgotten f) {
+        } else if (op instanceof DisruptionCommand.Forgotten f) {
             if (outs.containsKey(f.subject())) {
                 return new Outcome(0, "it takes a place; an operator may give that up");
             }
             capacities.remove(f.subject());
-        } else if (op instanceof OutOp.Ask a) {
+        } else if (op instanceof DisruptionCommand.Ask a) {
             return ask(a);
-        } else if (op instanceof OutOp.Grant g) {
+        } else if (op instanceof DisruptionCommand.Grant g) {
             return grant(g);
-        } else if (op instanceof OutOp.Withdraw w) {
+        } else if (op instanceof DisruptionCommand.Withdraw w) {
             return withdraw(w);
-        } else if (op instanceof OutOp.Leaves l) {
+        } else if (op instanceof DisruptionCommand.Leaves l) {
             return leaves(l);
-        } else if (op instanceof OutOp.Lost l) {
+        } else if (op instanceof DisruptionCommand.Lost l) {
             return lost(l);
-        } else if (op instanceof OutOp.Returns r) {
+        } else if (op instanceof DisruptionCommand.Returns r) {
             return returns(r);
-        } else if (op instanceof OutOp.Steady s) {
+        } else if (op instanceof DisruptionCommand.Steady s) {
             return steady(s.subject());
-        } else if (op instanceof OutOp.Rejoins r) {
+        } else if (op instanceof DisruptionCommand.Rejoins r) {
             return rejoins(r.subject());
-        } else if (op instanceof OutOp.Keeps k) {
+        } else if (op instanceof DisruptionCommand.Keeps k) {
             return keeps(k);
-        } else if (op instanceof OutOp.GivenUp g) {
+        } else if (op instanceof DisruptionCommand.GivenUp g) {
             return outs.remove(g.subject()) == null ? new Outcome(0, "it takes no place") : new Outcome(tokens, null);
-        } else if (op instanceof OutOp.Halt h) {
+        } else if (op instanceof DisruptionCommand.Halt h) {
             halted = h.why();
         }
         return new Outcome(tokens, null);
     }
 
-    private Outcome ask(OutOp.Ask a) {
-        Out before = outs.get(a.subject());
+    private Outcome ask(DisruptionCommand.Ask a) {
+        Disruption before = outs.get(a.subject());
         if (before != null && before.request().equals(a.request())) {
             return new Outcome(before.token(), null); // asked again, as the answer was lost
         }
         if (before != null && before.phase() == Phase.RETURNING && a.why() == Why.RELEASE && halted == null) {
             // It holds its place and goes once more under it: a version that never serves as its peers do would keep
             // its own way back closed.
-            outs.put(a.subject(), new Out(a.subject(), a.why(), Phase.GRANTED, a.request(), ++tokens, before.life(),
-                    before.asked(), a.by()));
+            outs.put(a.subject(),
+                    new Disruption(a.subject(), a.why(), Phase.GRANTED, a.request(), ++tokens, before.life(),
+                            before.asked(), a.by()));
             return new Outcome(tokens, null);
         }
         if (before != null && before.takesPlace()) {
@@ -90,14 +91,14 @@
         if (!a.why().waits()) {
             return new Outcome(0, "nobody asks for that: " + a.why());
         }
-        outs.put(a.subject(), new Out(a.subject(), a.why(), Phase.ASKED, a.request(), 0, 0,
+        outs.put(a.subject(), new Disruption(a.subject(), a.why(), Phase.ASKED, a.request(), 0, 0,
                 before == null ? ++asked : before.asked(), a.by()));
         capacities.putIfAbsent(a.subject(), 0.0);
         return new Outcome(0, null);
     }
 
-    private Outcome grant(OutOp.Grant g) {
-        Out out = outs.get(g.subject());
+    private Outcome grant(DisruptionCommand.Grant g) {
+        Disruption out = outs.get(g.subject());
         if (out == null || out.phase() != Phase.ASKED || !out.request().equals(g.request())) {
             return new Outcome(out == null ? 0 : out.token(), "it does not wait for that");
         }
@@ -110,13 +111,13 @@
     }
 
     /** Whether one more may go out, beside what the ledger has and some that it does not know of. */
-    protected String refuses(Subject one, Collection<Subject> besides) {
+    protected String refuses(DisruptionTarget one, Collection<DisruptionTarget> besides) {
         if (halted != null) {
             return "halted: " + halted;
         }
-        List<Subject> out = new ArrayList<>(taken());
+        List<DisruptionTarget> out = new ArrayList<>(taken());
         besides.stream().filter(s -> !out.contains(s)).forEach(out::add);
-        for (Budget b : budgets.values()) {
+        for (DisruptionBudget b : budgets.values()) {
             String why = b.refuses(one, out, capacities);
             if (why != null) {
                 return why;
@@ -127,8 +128,8 @@
         return budgets.values().stream().anyMatch(b -> b.covers(one)) ? null : "no budget covers it";
     }
 
-    private Outcome withdraw(OutOp.Withdraw w) {
-        Out out = outs.get(w.subject());
+    private Outcome withdraw(DisruptionCommand.Withdraw w) {
+        Disruption out = outs.get(w.subject());
         if (out == null || !out.request().equals(w.request())) {
             return new Outcome(0, "it did not ask for that");
         }
@@ -140,9 +141,10 @@
     }
 
     /** It comes back little by little, and has its place until then; its life counts how often it has tried. */
-    private Outcome rejoins(Subject s) {
-        Out out = outs.get(s);
-        if (out == null || s.kind() != Subject.Kind.BELOW || !out.takesPlace() || out.phase() == Phase.RETURNING) {
+    private Outcome rejoins(DisruptionTarget s) {
+        Disruption out = outs.get(s);
+        if (out == null || s.kind() != DisruptionTarget.Kind.BELOW || !out.takesPlace()
+                || out.phase() == Phase.RETURNING) {
             return new Outcome(0, "no service below that is out");
         }
         outs.put(s, out.in(Phase.RETURNING, out.life() + 1));
@@ -150,13 +152,14 @@
     }
 
     /** It stays out under the place that it has, and comes back by an operator's word alone. */
-    private Outcome keeps(OutOp.Keeps k) {
-        Out out = outs.get(k.subject());
-        if (out == null || k.subject().kind() != Subject.Kind.BELOW || !out.takesPlace()) {
+    private Outcome keeps(DisruptionCommand.Keeps k) {
+        Disruption out = outs.get(k.subject());
+        if (out == null || k.subject().kind() != DisruptionTarget.Kind.BELOW || !out.takesPlace()) {
             return new Outcome(0, "no service below that is out");
         }
-        outs.put(k.subject(), new Out(k.subject(), Why.OPERATOR, Phase.GRANTED, k.request(), ++tokens, out.life(),
-                out.asked(), k.by()));
+        outs.put(k.subject(),
+                new Disruption(k.subject(), Why.OPERATOR, Phase.GRANTED, k.request(), ++tokens, out.life(),
+                        out.asked(), k.by()));
         return new Outcome(tokens, null);
     }
 
@@ -164,8 +167,8 @@
      * By permission only under the token that holds; told by somebody else it is written down whatever the budgets
      * say.
      */
-    protected Outcome leaves(OutOp.Leaves l) {
-        Out out = outs.get(l.subject());
+    protected Outcome leaves(DisruptionCommand.Leaves l) {
+        Disruption out = outs.get(l.subject());
         if (l.token() > 0) {
             boolean may = out != null && out.token() == l.token() && out.life() == l.life()
                     && (out.phase() == Phase.GRANTED || out.phase() == Phase.GONE);
@@ -179,14 +182,15 @@
             outs.put(l.subject(), out.in(Phase.GONE, l.life()));
             return new Outcome(out.token(), null);
         }
-        outs.put(l.subject(), new Out(l.subject(), Why.LEAVING, Phase.GONE, out == null ? "" : out.request(), ++tokens,
-                l.life(), out == null ? ++asked : out.asked(), l.by()));
+        outs.put(l.subject(),
+                new Disruption(l.subject(), Why.LEAVING, Phase.GONE, out == null ? "" : out.request(), ++tokens,
+                        l.life(), out == null ? ++asked : out.asked(), l.by()));
         return new Outcome(tokens, null);
     }
 
     /** One that may go keeps its permission: it may only be cut off, and still know of it. */
-    private Outcome lost(OutOp.Lost l) {
-        Out out = outs.get(l.subject());
+    private Outcome lost(DisruptionCommand.Lost l) {
+        Disruption out = outs.get(l.subject());
         if (out != null && out.takesPlace() && out.phase() != Phase.RETURNING) {
             return new Outcome(out.token(), "it takes its place already: " + words(out));
         }
@@ -194,14 +198,15 @@
             outs.put(l.subject(), out.in(Phase.GONE, l.life()));
             return new Outcome(out.token(), null);
         }
-        outs.put(l.subject(), new Out(l.subject(), Why.LOST, Phase.GONE, out == null ? "" : out.request(), ++tokens,
-                l.life(), out == null ? ++asked : out.asked(), ""));
+        outs.put(l.subject(),
+                new Disruption(l.subject(), Why.LOST, Phase.GONE, out == null ? "" : out.request(), ++tokens,
+                        l.life(), out == null ? ++asked : out.asked(), ""));
         return new Outcome(tokens, null);
     }
 
     /** Another life of it was heard; or the same, where it was only lost from sight. */
-    private Outcome returns(OutOp.Returns r) {
-        Out out = outs.get(r.subject());
+    private Outcome returns(DisruptionCommand.Returns r) {
+        Disruption out = outs.get(r.subject());
         if (out == null || out.phase() != Phase.GONE && out.phase() != Phase.GRANTED) {
             return new Outcome(out == null ? 0 : out.token(), "it is not out");
         }
@@ -212,8 +217,8 @@
         return new Outcome(out.token(), null);
     }
 
-    protected Outcome steady(Subject s) {
-        Out out = outs.get(s);
+    protected Outcome steady(DisruptionTarget s) {
+        Disruption out = outs.get(s);
         if (out == null || out.phase() != Phase.RETURNING) {
             return new Outcome(0, "it is not on its way back");
         }
@@ -221,30 +226,31 @@
         return new Outcome(out.token(), null);
     }
 
-    public Out get(Subject s) {
+    public Disruption get(DisruptionTarget s) {
         return outs.get(s);
     }
 
-    public Collection<Out> all() {
+    public Collection<Disruption> all() {
         return Collections.unmodifiableCollection(outs.values());
     }
 
     /** Those that take a place. */
-    public Set<Subject> taken() {
-        return outs.values().stream().filter(Out::takesPlace).map(Out::subject).collect(Collectors.toSet());
+    public Set<DisruptionTarget> taken() {
+        return outs.values().stream().filter(Disruption::takesPlace).map(Disruption::subject)
+                .collect(Collectors.toSet());
     }
 
     /** Those that wait, in the order in which they asked. */
-    public List<Out> waiting() {
-        return outs.values().stream().filter(o -> !o.takesPlace()).sorted(Comparator.comparingLong(Out::asked))
+    public List<Disruption> waiting() {
+        return outs.values().stream().filter(o -> !o.takesPlace()).sorted(Comparator.comparingLong(Disruption::asked))
                 .toList();
     }
 
-    public Map<Subject, Double> capacities() {
+    public Map<DisruptionTarget, Double> capacities() {
         return Collections.unmodifiableMap(capacities);
     }
 
-    public Collection<Budget> budgets() {
+    public Collection<DisruptionBudget> budgets() {
         return Collections.unmodifiableCollection(budgets.values());
     }
 
@@ -252,13 +258,14 @@
         return halted;
     }
 
-    static String words(Out o) {
+    static String words(Disruption o) {
         return o.phase().name().toLowerCase(java.util.Locale.ROOT) + " for " + o.why().name().toLowerCase(
                 java.util.Locale.ROOT);
     }
 
     /** All of it, to begin another ledger with. */
-    public record Copy(List<Out> outs, Map<Subject, Double> capacities, List<Budget> budgets, long tokens, long asked,
+    public record Copy(List<Disruption> outs, Map<DisruptionTarget, Double> capacities, List<DisruptionBudget> budgets,
+            long tokens, long asked,
             String halted) {
     }
 
--- a/src/main/java/topazladder/drain/Subject.java
+++ b/src/main/java/topazladder/disruption/DisruptionTarget.java
@@ -1,4 +1,4 @@
-package topazladder.drain;
+package topazladder.disruption;
 
 import java.util.Objects;
 
@@ -8,19 +8,19 @@
  *
  * @param zone where it stands, or empty
  */
-public record Subject(Kind kind, String name, String zone) implements Comparable<Subject> {
+public record DisruptionTarget(Kind kind, String name, String zone) implements Comparable<DisruptionTarget> {
 
     public enum Kind { INSTANCE, BELOW }
 
     @Override public boolean equals(Object other) {
-        return other instanceof Subject s && kind == s.kind && name.equals(s.name);
+        return other instanceof DisruptionTarget s && kind == s.kind && name.equals(s.name);
     }
 
     @Override public int hashCode() {
         return Objects.hash(kind, name);
     }
 
-    @Override public int compareTo(Subject other) {
+    @Override public int compareTo(DisruptionTarget other) {
         int byKind = kind.compareTo(other.kind);
         return byKind != 0 ? byKind : name.compareTo(other.name);
     }
--- a/src/main/java/topazladder/emulator/Below.java
+++ b/src/main/java/topazladder/emulator/Below.java
@@ -25,7 +25,7 @@
         slots.remove(name);
     }
 
-    int inHand() {
+    int inFlight() {
         return slots.size();
     }
 }
--- a/src/main/java/topazladder/emulator/Branch.java
+++ b/src/main/java/topazladder/emulator/Branch.java
@@ -5,22 +5,22 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import topazladder.config.Terms;
+import topazladder.config.SettingsReader;
 import topazladder.emulator.Traffic.Wanted;
-import topazladder.service.Answer;
-import topazladder.service.Answer.How;
-import topazladder.service.Arrival;
+import topazladder.request.Outcome;
 import topazladder.service.Caller;
 import topazladder.service.Callers;
 import topazladder.service.Counters;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
+import topazladder.service.IncomingRequest;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
+import topazladder.service.Response;
+import topazladder.service.Response.How;
 import topazladder.service.RuntimePort;
-import topazladder.ticket.Ending;
 
 /**
- * One instance of the program in virtual time, the program's own objects from the exchange inwards, with a runtime and
- * callers of its own. It counts what its callers got, by windows.
+ * One instance of the program in virtual time, the program's own objects from the dispatcher inwards, with a runtime
+ * and callers of its own. It counts what its callers got, by windows.
  */
 final class Branch implements RuntimePort, Callers, Runtime.Listener {
     private static final double LINK = Calls.LINK;
@@ -32,8 +32,8 @@
     private final Timeline time;
     private final Calls calls;
     private final Runtime runtime;
-    private final Exchange exchange;
-    private final Instance instance;
+    private final RequestDispatcher dispatcher;
+    private final InstanceLifecycle instance;
     private final Traffic traffic;
     private final RandomGenerator habits;
     private final double rate;
@@ -54,12 +54,13 @@
     private double worstCrowd;
 
     /**
-     * @param rate tickets a second that callers want answered
+     * @param rate requests a second that callers want answered
      * @param heed part of the callers that heed the level
      * @param retries part of the callers that try another server after a deferral, once
-     * @param reading core-seconds that reading a ticket takes
+     * @param reading core-seconds that reading a request takes
      */
-    record Plan(Terms terms, Runtime.Shape shape, boolean cold, List<Traffic.Kind> kinds, double rate, double heed,
+    record Plan(SettingsReader terms, Runtime.Shape shape, boolean cold, List<Traffic.Kind> kinds, double rate,
+            double heed,
             double retries, double reading, double from, double end, double window, long seed) {
     }
 
@@ -81,17 +82,17 @@
         traffic = new Traffic(chance.split(), plan.kinds());
         habits = chance.split();
         runtime = new Runtime(time, time, plan.shape(), plan.cold(), this);
-        exchange = new Exchange(time, plan.terms(), this, calls, this, time, new Counters());
-        calls.answerTo(exchange);
-        instance = new Instance(name, plan.seed(), 10, time, exchange, this, time, () -> {});
-        instance.listening();
-        instance.runtimeUp(plan.cold());
+        dispatcher = new RequestDispatcher(time, plan.terms(), this, calls, this, time, new Counters());
+        calls.answerTo(dispatcher);
+        instance = new InstanceLifecycle(name, plan.seed(), 10, time, dispatcher, this, time, () -> {});
+        instance.listenersOpened();
+        instance.runtimeConnected(plan.cold());
         time.in(0, this::next);
         look();
     }
 
-    Exchange exchange() {
-        return exchange;
+    RequestDispatcher exchange() {
+        return dispatcher;
     }
 
     /** Payoff asked for and earned, by windows from the start of the count. */
@@ -122,10 +123,10 @@
         boolean heeds = habits.nextDouble() < heed;
         int at = window(time.getAsDouble());
         if (at >= 0) {
-            asked[at] += w.kind().offering().payoff();
+            asked[at] += w.kind().requestClass().priorityWeight();
         }
         if (!heeds || time.getAsDouble() - heardAt > HEEDED || w.rank() >= level) {
-            String fingerprint = w.kind().offering().window() > 0 ? name + "f" + refs : null;
+            String fingerprint = w.kind().requestClass().idempotencyWindowSeconds() > 0 ? name + "f" + refs : null;
             send(this, w, fingerprint, time.getAsDouble(), at, false);
         }
         time.in(traffic.gap(rate), this::next);
@@ -136,21 +137,22 @@
         return now < from || at >= asked.length ? -1 : at;
     }
 
-    private void send(Branch to, Wanted w, String fingerprint, double first, int at, boolean laterTry) {
+    private void send(Branch to, Wanted w, String fingerprint, double first, int at, boolean retry) {
         String ref = name + refs++;
         double sent = time.getAsDouble();
-        to.take(new Arrival(ref, w.kind().offering().name(), null, sent, laterTry, FOOTPRINT_KB, w.rank(), fingerprint,
-                w.work().body()), a -> answered(to, a, w, fingerprint, first, at, laterTry));
+        to.take(new IncomingRequest(ref, w.kind().requestClass().name(), null, sent, retry, FOOTPRINT_KB, w.rank(),
+                fingerprint,
+                w.work().body()), a -> answered(to, a, w, fingerprint, first, at, retry));
     }
 
     /** A request that somebody sends now; reading it takes the cores. Its answer comes a link's time later. */
-    void take(Arrival arrival, Consumer<Answer> then) {
-        time.in(LINK, () -> runtime.read(reading, () -> exchange.arrive(arrival, new Caller() {
-            @Override public void answer(Answer a) {
+    void take(IncomingRequest arrival, Consumer<Response> then) {
+        time.in(LINK, () -> runtime.read(reading, () -> dispatcher.dispatch(arrival, new Caller() {
+            @Override public void answer(Response a) {
                 time.in(LINK, () -> then.accept(a));
             }
 
-            @Override public void unusable(Answer a) {
+            @Override public void unusable(Response a) {
                 throw new IllegalStateException("the emulator sent what can't be decided on");
             }
 
@@ -158,16 +160,17 @@
         })));
     }
 
-    private void answered(Branch by, Answer a, Wanted w, String fingerprint, double first, int at, boolean laterTry) {
+    private void answered(Branch by, Response a, Wanted w, String fingerprint, double first, int at, boolean retry) {
         by.level = a.level() == null ? 0 : a.level();
         by.heardAt = time.getAsDouble();
         double took = time.getAsDouble() - first;
-        if (a.how() == How.HONOURED && took <= w.kind().offering().softLimit()) {
+        if (a.how() == How.SERVED && took <= w.kind().requestClass().latencyObjectiveSeconds()) {
             boolean poorer = new String(a.body(), StandardCharsets.US_ASCII).startsWith("poorer");
             if (at >= 0) {
-                earned[at] += w.kind().offering().payoff() * (poorer ? w.kind().offering().poorerShare() : 1);
+                earned[at] += w.kind().requestClass().priorityWeight()
+                        * (poorer ? w.kind().requestClass().degradedValueShare() : 1);
             }
-        } else if (a.how() == How.DEFERRED && !laterTry && !a.notElsewhere() && habits.nextDouble() < retries) {
+        } else if (a.how() == How.REJECTED && !retry && !a.notElsewhere() && habits.nextDouble() < retries) {
             List<Branch> others = all.stream().filter(b -> b != by).toList();
             Branch next = others.isEmpty() ? by : others.get(habits.nextInt(others.size()));
             time.in(0.02, () -> send(next, w, fingerprint, first, at, true));
@@ -176,7 +179,7 @@
 
     // ---- The runtime
 
-    @Override public void start(String ref, String offering, byte[] body) {
+    @Override public void start(String ref, String requestClass, byte[] body) {
         time.in(LINK, () -> runtime.start(ref, body));
     }
 
@@ -189,15 +192,15 @@
     }
 
     @Override public void askGauges() {
-        time.in(2 * LINK, () -> exchange.gaugesRead(runtime.gauges()));
+        time.in(2 * LINK, () -> dispatcher.gaugesReceived(runtime.gauges()));
     }
 
     @Override public void askWhetherWorkGetsDone(long tag) {
-        time.in(2 * LINK, () -> exchange.verdict(tag, true));
+        time.in(2 * LINK, () -> dispatcher.healthCheckCompleted(tag, true));
     }
 
-    @Override public void ended(String ref, Ending how, double elapsed, byte[] result) {
-        time.in(LINK, () -> exchange.runEnded(ref, how, elapsed, result));
+    @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
+        time.in(LINK, () -> dispatcher.runEnded(ref, how, elapsed, result));
     }
 
     @Override public void wants(String ref, long notice, byte[] body) {
--- a/src/main/java/topazladder/emulator/Brief.java
+++ b/src/main/java/topazladder/emulator/Brief.java
@@ -2,8 +2,8 @@
 
 /**
  * The terms of an instance that every trial of the emulator shares, in the lines of {@code Terms.ofLines}: its machine,
- * what it says to callers and its slack, with times as the operators' brief has them. Each trial adds its offerings and
- * what it changes, so that a difference between trials is one that the trial names.
+ * what it says to callers and its slack, with times as the operators' brief has them. Each trial adds its request
+ * classes and what it changes, so that a difference between trials is one that the trial names.
  */
 final class Brief {
     static final String MACHINE = """
--- a/src/main/java/topazladder/emulator/Calls.java
+++ b/src/main/java/topazladder/emulator/Calls.java
@@ -3,16 +3,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import topazladder.service.Exchange;
-import topazladder.service.IndexPort;
-import topazladder.ticket.Ending;
+import topazladder.request.Outcome;
+import topazladder.service.DependencyPort;
+import topazladder.service.RequestDispatcher;
 
 /**
  * One instance's calls to what lies below, in virtual time: each takes the work its body names from the shared slots
- * and is abandoned when its patience ends, whichever comes first; the end is told to the exchange once. The same for
+ * and is abandoned when its patience ends, whichever comes first; the end is told to the dispatcher once. The same for
  * every trial of the emulator, so that calls cost alike in all of them.
  */
-final class Calls implements IndexPort {
+final class Calls implements DependencyPort {
     /** Seconds that a message takes from one part to the next. */
     static final double LINK = 0.0005;
 
@@ -21,7 +21,7 @@
     /** Put before each ref where several instances share the slots below, so that their refs do not meet. */
     private final String prefix;
     private final Map<String, Double> begun = new HashMap<>(); // one a call; emptied as it ends
-    private Exchange exchange;
+    private RequestDispatcher dispatcher;
 
     Calls(Timeline time, Below below, String prefix) {
         this.time = time;
@@ -29,30 +29,30 @@
         this.prefix = prefix;
     }
 
-    /** The exchange is made with this as its index port, so it is known only after. */
-    void answerTo(Exchange to) {
-        exchange = to;
+    /** The dispatcher is made with this as its index port, so it is known only after. */
+    void answerTo(RequestDispatcher to) {
+        dispatcher = to;
     }
 
-    /** A run wants a call: the exchange hears of it a link later. */
+    /** A run wants a call: the dispatcher hears of it a link later. */
     void wanted(String ref, long notice, byte[] body) {
-        time.in(LINK, () -> exchange.callWanted(ref, notice, body));
+        time.in(LINK, () -> dispatcher.dependencyCallRequested(ref, notice, body));
     }
 
     @Override public void call(String ref, double patience, boolean repeatable, byte[] body) {
         double mine = time.getAsDouble();
         begun.put(ref, mine);
         below.call(prefix + ref, Double.parseDouble(new String(body, StandardCharsets.US_ASCII)),
-                () -> ended(ref, mine, Ending.OK));
-        time.in(patience, () -> ended(ref, mine, Ending.ABANDONED));
+                () -> ended(ref, mine, Outcome.SUCCEEDED));
+        time.in(patience, () -> ended(ref, mine, Outcome.TIMED_OUT));
     }
 
-    private void ended(String ref, double at, Ending how) {
+    private void ended(String ref, double at, Outcome how) {
         if (begun.remove(ref, at)) {
-            if (how != Ending.OK) {
+            if (how != Outcome.SUCCEEDED) {
                 below.giveUp(prefix + ref);
             }
-            time.in(LINK, () -> exchange.callEnded(ref, how, new byte[] {'y'}));
+            time.in(LINK, () -> dispatcher.dependencyCallEnded(ref, how, new byte[] {'y'}));
         }
     }
 
--- a/src/main/java/topazladder/emulator/DeliveryTrial.java
+++ b/src/main/java/topazladder/emulator/DeliveryTrial.java
@@ -14,22 +14,22 @@
 import topazladder.broker.Ledger;
 import topazladder.broker.Message;
 import topazladder.broker.Message.Props;
-import topazladder.config.Pick;
-import topazladder.config.QueueTerms;
-import topazladder.config.QueueTerms.Fields;
-import topazladder.config.QueueTerms.Route;
-import topazladder.config.Terms;
+import topazladder.config.FieldSource;
+import topazladder.config.QueueSettings;
+import topazladder.config.QueueSettings.Fields;
+import topazladder.config.QueueSettings.Route;
+import topazladder.config.SettingsReader;
 import topazladder.delivery.Consumer;
-import topazladder.service.Answer;
-import topazladder.service.Answer.How;
-import topazladder.service.Arrival;
+import topazladder.request.Outcome;
 import topazladder.service.Caller;
 import topazladder.service.Callers;
 import topazladder.service.Counters;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
+import topazladder.service.IncomingRequest;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
+import topazladder.service.Response;
+import topazladder.service.Response.How;
 import topazladder.service.RuntimePort;
-import topazladder.ticket.Ending;
 
 /**
  * Two instances that consume from one broker in virtual time while links break, brokers vanish and instances leave,
@@ -65,7 +65,7 @@
         """ + Brief.MACHINE;
 
     /** Where one run began. */
-    public record Run(String instance, long message, String offering, double at, double arrived) {
+    public record Run(String instance, long message, String requestClass, double at, double arrived) {
     }
 
     /** What a schedule gave. */
@@ -77,8 +77,8 @@
     private final Broker broker = new Broker(time, time, ledger);
     private final List<Run> runs = new ArrayList<>();
     private final List<String> schedule = new ArrayList<>();
-    private final Map<Long, String> published = new LinkedHashMap<>(); // number to offering
-    private final Set<Long> honouredToCallers = new HashSet<>();
+    private final Map<Long, String> published = new LinkedHashMap<>(); // number to request class
+    private final Set<Long> servedToCallers = new HashSet<>();
     private final Set<Long> done = new HashSet<>(); // a run of it passed
     private final List<Worker> workers = new ArrayList<>();
     private final SplittableRandom chance;
@@ -93,8 +93,8 @@
         final String name;
         final Runtime runtime;
         final Calls calls;
-        final Exchange exchange;
-        final Instance instance;
+        final RequestDispatcher dispatcher;
+        final InstanceLifecycle instance;
         final Counters counters = new Counters();
         final VirtualLink link;
         final Consumer consumer;
@@ -107,14 +107,16 @@
             this.name = name;
             runtime = new Runtime(time, time, new Runtime.Shape(4, 1, 1, 1, 3), false, this);
             calls = new Calls(time, new Below(time, time, 4), "");
-            exchange = new Exchange(time, Terms.ofLines(SETTINGS), this, calls, this, time, counters);
-            calls.answerTo(exchange);
-            instance = new Instance(name, own.nextLong(), 6, time, exchange, this, time, () -> over = true);
-            instance.listening();
-            instance.runtimeUp(false);
+            dispatcher =
+                    new RequestDispatcher(time, SettingsReader.ofLines(SETTINGS), this, calls, this, time, counters);
+            calls.answerTo(dispatcher);
+            instance = new InstanceLifecycle(name, own.nextLong(), 6, time, dispatcher, this, time, () -> over = true);
+            instance.listenersOpened();
+            instance.runtimeConnected(false);
             link = new VirtualLink(name, time, broker, own.split(), List.of("orders", "stock"));
-            consumer = new Consumer(time, time, exchange, counters, own.split(), link, Terms.ofLines(SETTINGS),
-                    List.of(terms("orders"), terms("stock")));
+            consumer =
+                    new Consumer(time, time, dispatcher, counters, own.split(), link, SettingsReader.ofLines(SETTINGS),
+                            List.of(terms("orders"), terms("stock")));
             link.open(consumer);
             look();
         }
@@ -128,13 +130,13 @@
 
         void leave() {
             leftAt = time.getAsDouble();
-            instance.leave();
+            instance.shutdown();
             consumer.leave();
         }
 
-        @Override public void start(String ref, String offering, byte[] body) {
+        @Override public void start(String ref, String requestClass, byte[] body) {
             long number = number(body);
-            runs.add(new Run(name, number, offering, time.getAsDouble(), arrived.getOrDefault(ref,
+            runs.add(new Run(name, number, requestClass, time.getAsDouble(), arrived.getOrDefault(ref,
                     time.getAsDouble())));
             bodies.put(ref, body);
             time.in(0.0005, () -> runtime.start(ref, body));
@@ -149,18 +151,18 @@
         }
 
         @Override public void askGauges() {
-            time.in(0.001, () -> exchange.gaugesRead(runtime.gauges()));
+            time.in(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
         }
 
         @Override public void askWhetherWorkGetsDone(long tag) {
-            time.in(0.001, () -> exchange.verdict(tag, true));
+            time.in(0.001, () -> dispatcher.healthCheckCompleted(tag, true));
         }
 
-        @Override public void ended(String ref, Ending how, double elapsed, byte[] result) {
-            if (how == Ending.OK) {
+        @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
+            if (how == Outcome.SUCCEEDED) {
                 done.add(number(bodies.get(ref)));
             }
-            time.in(0.0005, () -> exchange.runEnded(ref, how, elapsed, result));
+            time.in(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
         }
 
         @Override public void wants(String ref, long notice, byte[] body) {
@@ -176,10 +178,12 @@
         }
     }
 
-    private static QueueTerms terms(String queue) {
-        return new QueueTerms(queue, new Fields(Pick.of("", "header:offering"), null, Pick.of("", "header:mark"),
-                null, null,
-                false), 16, 6, 4000, new Route("later", queue), new Route("dead", queue), 20, true);
+    private static QueueSettings terms(String queue) {
+        return new QueueSettings(queue,
+                new Fields(FieldSource.of("", "header:offering"), null, FieldSource.of("", "header:mark"),
+                        null, null,
+                        false),
+                16, 6, 4000, new Route("later", queue), new Route("dead", queue), 20, true);
     }
 
     private static long number(byte[] body) {
@@ -260,21 +264,21 @@
     private void publish() {
         long number = ++lastNumber;
         int kind = chance.nextInt(10);
-        String offering = kind < 5 ? "stock-check" : kind < 8 ? "order-place" : "invoice";
-        String queue = offering.equals("stock-check") ? "stock" : "orders";
+        String requestClass = kind < 5 ? "stock-check" : kind < 8 ? "order-place" : "invoice";
+        String queue = requestClass.equals("stock-check") ? "stock" : "orders";
         byte[] body = String.format(Locale.ROOT, "%.4f %.4f %d", 0.05 + 0.3 * chance.nextDouble(),
                 chance.nextInt(3) == 0 ? 0.05 : 0, number).getBytes(StandardCharsets.US_ASCII);
-        Map<String, Object> headers = new LinkedHashMap<>(Map.of("offering", offering, "mark", "m" + number));
+        Map<String, Object> headers = new LinkedHashMap<>(Map.of("offering", requestClass, "mark", "m" + number));
         Props props = new Props(null, 2, null, "c" + number, chance.nextInt(3) == 0 ? "answers" : null, null, "id"
                 + number,
                 // Some publishers' clocks are wrong by a day.
                 (long) time.getAsDouble() + (chance.nextInt(5) == 0 ? 86_400 : 0), null, null, null);
-        published.put(number, offering);
+        published.put(number, requestClass);
         if (chance.nextInt(40) == 0) {
             headers.put("offering", "unheard-of"); // a message that nobody can map
         }
         broker.publish("in", queue + ".new", headers, props, body);
-        if (offering.equals("order-place") && chance.nextInt(6) == 0) {
+        if (requestClass.equals("order-place") && chance.nextInt(6) == 0) {
             if (chance.nextBoolean()) {
                 // The publisher heard no confirmation and sends it again.
                 time.in(chance.nextDouble() * 5, () -> broker.publish("in", queue + ".new", headers, props, body));
@@ -292,16 +296,17 @@
         }
         String ref = "caller" + number;
         to.arrived.put(ref, time.getAsDouble());
-        to.exchange.arrive(new Arrival(ref, "order-place", null, time.getAsDouble(), false, 10, 0.5, "m" + number,
-                body),
+        to.dispatcher.dispatch(
+                new IncomingRequest(ref, "order-place", null, time.getAsDouble(), false, 10, 0.5, "m" + number,
+                        body),
                 new Caller() {
-                    @Override public void answer(Answer a) {
-                        if (a.how() == How.HONOURED) {
-                            honouredToCallers.add(number);
+                    @Override public void answer(Response a) {
+                        if (a.how() == How.SERVED) {
+                            servedToCallers.add(number);
                         }
                     }
 
-                    @Override public void unusable(Answer a) {}
+                    @Override public void unusable(Response a) {}
 
                     @Override public void health(boolean good, Double level) {}
                 });
@@ -360,7 +365,7 @@
         ledger.deliveriesWithoutExactlyOneEnd().forEach(d -> breaks.add("a delivery without exactly one end: " + d));
         Map<String, List<Run>> byWhat = new LinkedHashMap<>();
         for (Run r : runs) {
-            String one = r.offering().equals("invoice") ? "message " + r.message() : r.instance() + " message "
+            String one = r.requestClass().equals("invoice") ? "message " + r.message() : r.instance() + " message "
                     + r.message();
             byWhat.computeIfAbsent(one, k -> new ArrayList<>()).add(r);
         }
@@ -368,8 +373,8 @@
             for (int i = 1; i < all.size(); i++) {
                 Run first = all.get(i - 1);
                 Run second = all.get(i);
-                if (second.offering().equals("invoice")
-                        || second.offering().equals("order-place") && second.at() - first.at() < WINDOW) {
+                if (second.requestClass().equals("invoice")
+                        || second.requestClass().equals("order-place") && second.at() - first.at() < WINDOW) {
                     breaks.add("a second run of " + what + ": " + first + ", " + second);
                 }
             }
@@ -387,9 +392,9 @@
                 there.add(number(m.body()));
             }
         }
-        published.forEach((number, offering) -> {
+        published.forEach((number, requestClass) -> {
             if (!done.contains(number) && !there.contains(number)) {
-                breaks.add("message " + number + ", " + offering + ", is gone and never ran to its end");
+                breaks.add("message " + number + ", " + requestClass + ", is gone and never ran to its end");
             }
         });
         return breaks;
--- a/src/main/java/topazladder/emulator/MixedTrial.java
+++ b/src/main/java/topazladder/emulator/MixedTrial.java
@@ -8,28 +8,28 @@
 import topazladder.broker.Broker;
 import topazladder.broker.Ledger;
 import topazladder.broker.Message.Props;
-import topazladder.config.Pick;
-import topazladder.config.QueueTerms;
-import topazladder.config.QueueTerms.Fields;
-import topazladder.config.Terms;
+import topazladder.config.FieldSource;
+import topazladder.config.QueueSettings;
+import topazladder.config.QueueSettings.Fields;
+import topazladder.config.SettingsReader;
 import topazladder.delivery.Consumer;
 import topazladder.emulator.Traffic.Wanted;
-import topazladder.service.Answer;
-import topazladder.service.Answer.How;
-import topazladder.service.Arrival;
+import topazladder.request.Outcome;
 import topazladder.service.Caller;
 import topazladder.service.Callers;
 import topazladder.service.Counters;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
+import topazladder.service.IncomingRequest;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
+import topazladder.service.Response;
+import topazladder.service.Response.How;
 import topazladder.service.RuntimePort;
-import topazladder.ticket.Ending;
 
 /**
- * One instance at half as much again as its cores can do, with the same tickets twice: once all by callers, and once
- * half of them by a broker. Of callers' tickets what is honoured in its soft limit counts; of deliveries, for which
+ * One instance at half as much again as its cores can do, with the same requests twice: once all by callers, and once
+ * half of them by a broker. Of callers' requests what is served in its soft limit counts; of deliveries, for which
  * nobody
- * waits at a connection, what is honoured while the load lasts.
+ * waits at a connection, what is served while the load lasts.
  */
 public final class MixedTrial {
     private static final double LOAD = 1.5;
@@ -49,7 +49,7 @@
     }
 
     /**
-     * Payoff honoured of what was asked for: all mixed, all alone, callers' half mixed and alone, the rest mixed and
+     * Payoff served of what was asked for: all mixed, all alone, callers' half mixed and alone, the rest mixed and
      * alone.
      */
     public static double[] play(long seed) {
@@ -74,19 +74,19 @@
     private final class Machine implements RuntimePort, Callers, Runtime.Listener {
         final Runtime runtime = new Runtime(time, time, new Runtime.Shape(CORES, 1, 1, 1, 2), false, this);
         final Calls calls = new Calls(time, new Below(time, time, 12), "");
-        final Terms terms = Terms.ofLines(PeerTrial.SETTINGS);
+        final SettingsReader terms = SettingsReader.ofLines(PeerTrial.SETTINGS);
         final Counters counters = new Counters();
-        final Exchange exchange = new Exchange(time, terms, this, calls, this, time, counters);
-        final Map<String, String> names = new HashMap<>(); // ref to the ticket's name
+        final RequestDispatcher dispatcher = new RequestDispatcher(time, terms, this, calls, this, time, counters);
+        final Map<String, String> names = new HashMap<>(); // ref to the request's name
 
         Machine(long seed) {
-            calls.answerTo(exchange);
-            Instance instance = new Instance("n", seed, 10, time, exchange, this, time, () -> {});
-            instance.listening();
-            instance.runtimeUp(false);
+            calls.answerTo(dispatcher);
+            InstanceLifecycle instance = new InstanceLifecycle("n", seed, 10, time, dispatcher, this, time, () -> {});
+            instance.listenersOpened();
+            instance.runtimeConnected(false);
         }
 
-        @Override public void start(String ref, String offering, byte[] body) {
+        @Override public void start(String ref, String requestClass, byte[] body) {
             names.put(ref, MixedTrial.name(body));
             runtime.start(ref, body);
         }
@@ -100,23 +100,24 @@
         }
 
         @Override public void askGauges() {
-            time.in(0.001, () -> exchange.gaugesRead(runtime.gauges()));
+            time.in(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
         }
 
         @Override public void askWhetherWorkGetsDone(long tag) {
-            exchange.verdict(tag, true);
+            dispatcher.healthCheckCompleted(tag, true);
         }
 
-        @Override public void ended(String ref, Ending how, double elapsed, byte[] result) {
+        @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
             String name = names.remove(ref);
             Wanted w = wanted.get(name);
-            boolean inTime = time.getAsDouble() - sentAt.get(name) <= w.kind().offering().softLimit();
+            boolean inTime = time.getAsDouble() - sentAt.get(name) <= w.kind().requestClass().latencyObjectiveSeconds();
             if (w != null && (inTime || byBroker && half(name) == 1 && time.getAsDouble() <= 1_000_000 + LASTS)) {
                 wanted.remove(name); // earned once
                 boolean poorer = result[0] == 'p';
-                earned[half(name)] += w.kind().offering().payoff() * (poorer ? w.kind().offering().poorerShare() : 1);
+                earned[half(name)] += w.kind().requestClass().priorityWeight()
+                        * (poorer ? w.kind().requestClass().degradedValueShare() : 1);
             }
-            time.in(0.0005, () -> exchange.runEnded(ref, how, elapsed, result));
+            time.in(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
         }
 
         @Override public void wants(String ref, long notice, byte[] body) {
@@ -148,17 +149,19 @@
         Traffic traffic = new Traffic(chance.split(), kinds);
         SplittableRandom habits = chance.split();
         Broker broker = new Broker(time, time, new Ledger(false));
-        List<QueueTerms> queues = new ArrayList<>();
+        List<QueueSettings> queues = new ArrayList<>();
         for (Traffic.Kind k : kinds) {
-            String queue = k.offering().name();
+            String queue = k.requestClass().name();
             broker.declareQueue(queue, Map.of(), true, false);
-            queues.add(new QueueTerms(queue, new Fields(Pick.of("", "queue"), null, Pick.of("", "property:message-id"),
-                    Pick.of("", "header:rank"), Pick.of("", "=10"), false), 64, 8, 10_000, null, null, 20, true));
+            queues.add(new QueueSettings(queue,
+                    new Fields(FieldSource.of("", "queue"), null, FieldSource.of("", "property:message-id"),
+                            FieldSource.of("", "header:rank"), FieldSource.of("", "=10"), false),
+                    64, 8, 10_000, null, null, 20, true));
         }
         if (byBroker) {
             VirtualLink link = new VirtualLink("n", time, broker, chance.split(), queues.stream()
-                    .map(QueueTerms::queue).toList());
-            Consumer consumer = new Consumer(time, time, machine.exchange, machine.counters, chance.split(), link,
+                    .map(QueueSettings::queue).toList());
+            Consumer consumer = new Consumer(time, time, machine.dispatcher, machine.counters, chance.split(), link,
                     machine.terms, queues);
             link.open(consumer);
             look(consumer);
@@ -185,27 +188,28 @@
         byte[] body = (new String(work) + " " + name).getBytes();
         wanted.put(name, w);
         sentAt.put(name, time.getAsDouble());
-        asked[half(name)] += w.kind().offering().payoff();
+        asked[half(name)] += w.kind().requestClass().priorityWeight();
         if (byBroker && half(name) == 1) {
-            broker.publish("", w.kind().offering().name(), Map.of("rank", w.rank()), new Props(null, 2, null, null,
+            broker.publish("", w.kind().requestClass().name(), Map.of("rank", w.rank()), new Props(null, 2, null, null,
                     null,
                     null, name, (long) time.getAsDouble(), null, null, null), body);
-        } else if (!heeds || w.rank() >= machine.exchange.level()) {
-            String fingerprint = w.kind().offering().window() > 0 ? name : null;
+        } else if (!heeds || w.rank() >= machine.dispatcher.admissionLevel()) {
+            String fingerprint = w.kind().requestClass().idempotencyWindowSeconds() > 0 ? name : null;
             double sent = time.getAsDouble();
-            machine.runtime.read(0.015, () -> machine.exchange.arrive(new Arrival("c" + name, w.kind().offering()
-                    .name(), null,
-                    sent, false, 10, w.rank(), fingerprint, body), new Caller() {
-                        @Override public void answer(Answer a) {
-                            if (a.how() != How.HONOURED) {
-                                wanted.remove(name);
-                            }
-                        }
-
-                        @Override public void unusable(Answer a) {}
-
-                        @Override public void health(boolean good, Double level) {}
-                    }));
+            machine.runtime.read(0.015,
+                    () -> machine.dispatcher.dispatch(new IncomingRequest("c" + name, w.kind().requestClass()
+                            .name(), null,
+                            sent, false, 10, w.rank(), fingerprint, body), new Caller() {
+                                @Override public void answer(Response a) {
+                                    if (a.how() != How.SERVED) {
+                                        wanted.remove(name);
+                                    }
+                                }
+
+                                @Override public void unusable(Response a) {}
+
+                                @Override public void health(boolean good, Double level) {}
+                            }));
         }
         time.in(traffic.gap(rate), () -> next(traffic, habits, rate, machine, broker, number + 1));
     }
--- a/src/main/java/topazladder/emulator/PeerTrial.java
+++ b/src/main/java/topazladder/emulator/PeerTrial.java
@@ -6,13 +6,13 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.SplittableRandom;
-import topazladder.config.Terms;
+import topazladder.config.SettingsReader;
 import topazladder.knowledge.Fact;
 import topazladder.knowledge.Learning;
 import topazladder.knowledge.Origin;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
-import topazladder.ticket.Offering;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
+import topazladder.request.RequestClass;
 
 /**
  * What an instance that returns cold gains by what a warm one tells it. A few serve beside each other on one
@@ -141,9 +141,9 @@
 
     private PeerTrial() {}
 
-    /** The offerings, their work in core-seconds and calls in slot-seconds. */
-    public static List<Traffic.Kind> kinds(Terms terms, double scale) {
-        List<Offering> o = terms.offerings();
+    /** The request classes, their work in core-seconds and calls in slot-seconds. */
+    public static List<Traffic.Kind> kinds(SettingsReader terms, double scale) {
+        List<RequestClass> o = terms.requestClasses();
         return List.of(new Traffic.Kind(o.get(0), 0.41, 0.3 * scale, 0.8, 0.12 * scale),
                 new Traffic.Kind(o.get(1), 0.3, 0.3 * scale, 0, 0),
                 new Traffic.Kind(o.get(2), 0.29, 0.3 * scale, 1, 0.12 * scale));
@@ -151,7 +151,7 @@
 
     /** @param leftOut kinds that the cold one is not told */
     public static Outcome play(Condition condition, Told told, long seed, Set<Kind> leftOut) {
-        Terms terms = Terms.ofLines(SETTINGS);
+        SettingsReader terms = SettingsReader.ofLines(SETTINGS);
         Timeline time = new Timeline(1000);
         Below below = new Below(time, time, SLOTS * (WARM + 1));
         List<Traffic.Kind> kinds = kinds(terms, 1);
@@ -168,28 +168,30 @@
                     READING * meanRun, returns, end, WINDOW, chance.nextLong()), all));
         }
         Branch warm = all.get(0);
-        List<Learned> before = new ArrayList<>();
+        List<LearnedEstimate> before = new ArrayList<>();
         time.in(RETURNS - 15, () -> {
-            before.addAll(warm.exchange().learned());
+            before.addAll(warm.exchange().learnedEstimates());
             below.slowDown(condition.slower);
         });
         long coldSeed = chance.nextLong();
         time.in(RETURNS, () -> {
             all.add(new Branch("cold", time, below, new Branch.Plan(terms, shape, true, kinds, rate, HEED, RETRY,
                     READING * meanRun, returns, end, WINDOW, coldSeed), all));
-            all.get(WARM).exchange().learn(share(told, warm.exchange().learned(), before, time.getAsDouble(), leftOut));
+            all.get(WARM).exchange().applyEstimates(
+                    share(told, warm.exchange().learnedEstimates(), before, time.getAsDouble(), leftOut));
         });
         time.runUntil(end + 5);
         Branch c = all.get(WARM);
         return new Outcome(WINDOW, c.asked(), c.earned(), warm.asked(), warm.earned());
     }
 
-    private static List<Learned> share(Told told, List<Learned> now, List<Learned> before, double at,
+    private static List<LearnedEstimate> share(Told told, List<LearnedEstimate> now, List<LearnedEstimate> before,
+            double at,
             Set<Kind> leftOut) {
         Origin here = new Origin("cold", 2, CORES, 1, 1);
         Origin there = told == Told.FOREIGN ? new Origin("warm", 1, 3 * CORES, 0, 1) : new Origin("warm", 1, CORES,
                 1, 1);
-        List<Learned> from = switch (told) {
+        List<LearnedEstimate> from = switch (told) {
             case NOTHING -> List.of();
             case STALE -> before;
             case CUT -> now.subList(0, now.size() / 2);
@@ -203,11 +205,11 @@
         return learning.forTheModule();
     }
 
-    private static Learned troubled(Learned l) {
+    private static LearnedEstimate troubled(LearnedEstimate l) {
         double times = switch (l.kind()) {
-            case RUN_TIME, CALLS_IN_HAND -> 5;
-            case OUTGOING -> 0.1;
+            case RUN_TIME, CALLS_IN_FLIGHT -> 5;
+            case COMPLETION_RATE -> 0.1;
         };
-        return new Learned(l.kind(), l.subject(), l.value() * times, l.weight(), l.age());
+        return new LearnedEstimate(l.kind(), l.subject(), l.value() * times, l.weight(), l.age());
     }
 }
--- a/src/main/java/topazladder/emulator/Runtime.java
+++ b/src/main/java/topazladder/emulator/Runtime.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.DoubleSupplier;
+import topazladder.request.Outcome;
 import topazladder.service.Timers;
-import topazladder.ticket.Ending;
 
 /**
  * The machine that does an instance's work: cores shared by all that runs, slower while it is cold and in a crowd.
@@ -16,7 +16,7 @@
     /** Who hears what becomes of the runs. */
     public interface Listener {
 
-        void ended(String ref, Ending how, double elapsed, byte[] result);
+        void ended(String ref, Outcome how, double elapsed, byte[] result);
 
         void wants(String ref, long notice, byte[] body);
     }
@@ -79,12 +79,12 @@
         if (run.work.call() > 0 && !run.called) {
             listener.wants(ref, ++notices, String.valueOf(run.work.call()).getBytes(StandardCharsets.US_ASCII));
         } else if (runs.remove(ref, run)) {
-            listener.ended(ref, Ending.OK, clock.getAsDouble() - run.started,
+            listener.ended(ref, Outcome.SUCCEEDED, clock.getAsDouble() - run.started,
                     (run.poorer ? "poorer " + ref : "whole " + ref).getBytes(StandardCharsets.US_ASCII));
         }
     }
 
-    /** Takes the cores for the reading of a ticket, which costs the same whatever is then decided. */
+    /** Takes the cores for the reading of a request, which costs the same whatever is then decided. */
     public void read(double work, Runnable then) {
         cores.add(then, work, then);
     }
--- a/src/main/java/topazladder/emulator/SubsetTrial.java
+++ b/src/main/java/topazladder/emulator/SubsetTrial.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Random;
 import java.util.SplittableRandom;
-import topazladder.config.Terms;
-import topazladder.service.Answer;
-import topazladder.service.Arrival;
-import topazladder.ticket.Offering;
+import topazladder.config.SettingsReader;
+import topazladder.request.RequestClass;
+import topazladder.service.IncomingRequest;
+import topazladder.service.Response;
 
 /**
  * How much the posted level is worth where each caller has many instances to choose from. Callers send to an instance
@@ -118,7 +118,7 @@
             boolean held = age <= HEEDED && w.rank() < level[which];
             if (counts) {
                 tally.wanted++;
-                tally.worth += w.kind().offering().payoff();
+                tally.worth += w.kind().requestClass().priorityWeight();
                 tally.heard += age <= HEEDED ? 1 : 0;
                 tally.heldBack += held ? 1 : 0;
                 if (age < Double.POSITIVE_INFINITY && chance.nextDouble() < TENTH) {
@@ -132,22 +132,22 @@
 
         private void send(int which, Traffic.Wanted w, double now, boolean counts) {
             tally.sent += counts ? 1 : 0;
-            Offering offering = w.kind().offering();
-            instances.get(subset[which]).take(new Arrival(name + refs++, offering.name(), null, now, false,
+            RequestClass requestClass = w.kind().requestClass();
+            instances.get(subset[which]).take(new IncomingRequest(name + refs++, requestClass.name(), null, now, false,
                     FOOTPRINT_KB, w.rank(), null, w.work().body()), answer -> {
                         level[which] = answer.level() == null ? 0 : answer.level();
                         heardAt[which] = time.getAsDouble();
                         if (counts) {
-                            note(answer, offering, time.getAsDouble() - now);
+                            note(answer, requestClass, time.getAsDouble() - now);
                         }
                     });
         }
 
-        private void note(Answer answer, Offering offering, double took) {
-            if (answer.how() == Answer.How.DEFERRED) {
+        private void note(Response answer, RequestClass requestClass, double took) {
+            if (answer.how() == Response.How.REJECTED) {
                 tally.turnedAway++;
-            } else if (answer.how() == Answer.How.HONOURED && took <= offering.softLimit()) {
-                tally.earned += offering.payoff();
+            } else if (answer.how() == Response.How.SERVED && took <= requestClass.latencyObjectiveSeconds()) {
+                tally.earned += requestClass.priorityWeight();
             }
         }
     }
@@ -160,10 +160,10 @@
     private SubsetTrial(int fleet, int subset, double load, long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         run = load * CORES / (CALLERS_AN_INSTANCE * REQUESTS_A_CALLER);
-        Terms terms = Terms.ofLines(SETTINGS + Brief.MACHINE);
+        SettingsReader terms = SettingsReader.ofLines(SETTINGS + Brief.MACHINE);
         kinds = new ArrayList<>();
         for (int i = 0; i < SHARES.length; i++) {
-            kinds.add(new Traffic.Kind(terms.offerings().get(i), SHARES[i], run, 0, 0));
+            kinds.add(new Traffic.Kind(terms.requestClasses().get(i), SHARES[i], run, 0, 0));
         }
         Below none = new Below(time, time, 1);
         for (int i = 0; i < fleet; i++) {
--- a/src/main/java/topazladder/emulator/Traffic.java
+++ b/src/main/java/topazladder/emulator/Traffic.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 import java.util.random.RandomGenerator;
-import topazladder.ticket.Offering;
+import topazladder.request.RequestClass;
 
 /**
- * Tickets as they come to one instance: at random times of a rate, of offerings by shares, each with its work. What a
- * seed gives is the same whoever serves it.
+ * Requests as they come to one instance: at random times of a rate, of request classes by shares, each with its work.
+ * What a seed gives is the same whoever serves it.
  */
 public final class Traffic {
 
     /**
-     * @param share of the tickets
+     * @param share of the requests
      * @param run mean core-seconds
-     * @param callShare of its tickets that make a call
+     * @param callShare of its requests that make a call
      * @param call mean server-seconds of a call
      */
-    public record Kind(Offering offering, double share, double run, double callShare, double call) {
+    public record Kind(RequestClass requestClass, double share, double run, double callShare, double call) {
     }
 
-    /** One ticket that somebody wants answered. */
+    /** One request that somebody wants answered. */
     public record Wanted(Kind kind, double rank, Work work) {
     }
 
@@ -31,7 +31,7 @@
         this.kinds = kinds;
     }
 
-    /** Seconds to the next ticket. */
+    /** Seconds to the next request. */
     public double gap(double rate) {
         return -Math.log(1 - chance.nextDouble()) / rate;
     }
@@ -46,9 +46,9 @@
             }
             at -= k.share();
         }
-        // Ranks by payoff, each offering in its band, so that the cut turns the cheapest away first.
-        final double payoff = kind.offering().payoff();
-        long lower = kinds.stream().filter(k -> k.offering().payoff() < payoff).count();
+        // Ranks by payoff, each request class in its band, so that the cut turns the cheapest away first.
+        final double payoff = kind.requestClass().priorityWeight();
+        long lower = kinds.stream().filter(k -> k.requestClass().priorityWeight() < payoff).count();
         double rank = (lower + chance.nextDouble()) / kinds.size();
         boolean calls = chance.nextDouble() < kind.callShare();
         double run = kind.run() * (0.5 + chance.nextDouble());
--- a/src/main/java/topazladder/emulator/Work.java
+++ b/src/main/java/topazladder/emulator/Work.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 
 /**
- * What a ticket's body asks of the runtime, so that the body is all that has to cross a protocol.
+ * What a request's body asks of the runtime, so that the body is all that has to cross a protocol.
  *
  * @param run core-seconds in all
  * @param call server-seconds of the call that its run makes halfway; 0 for none
--- a/src/main/java/topazladder/emulator/hall/Fleet.java
+++ b/src/main/java/topazladder/emulator/hall/Fleet.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import topazladder.drain.Meter;
+import topazladder.disruption.ThroughputMeter;
 
 /**
  * What a hall serves in virtual time: callers spread their load over whoever serves, each instance honours what it is
- * able to, cold ones less, and what a version does worse. No ticket is played; payoff flows.
+ * able to, cold ones less, and what a version does worse. No request is played; payoff flows.
  */
 public final class Fleet {
     /** Seconds between two steps. */
@@ -38,8 +38,8 @@
         private final String zone;
         private final double since;
         private double asked;
-        private double honoured;
-        private double brokenOff;
+        private double served;
+        private double failed;
 
         Serving(String version, String zone, double since) {
             this.version = version;
@@ -51,8 +51,8 @@
             return since;
         }
 
-        Meter.Counted counted() {
-            return new Meter.Counted(asked, honoured, (long) brokenOff);
+        ThroughputMeter.Counted counted() {
+            return new ThroughputMeter.Counted(asked, served, (long) failed);
         }
     }
 
@@ -62,7 +62,7 @@
     private final SplittableRandom chance;
     private final double[] own;
     private double asked;
-    private double honoured;
+    private double served;
 
     /**
      * @param load of all instances' capacity
@@ -105,9 +105,9 @@
             done -= 0.3 * Math.max(0, done - 0.85 * able);
             double broken = done * q.spoilt();
             s.asked += offered;
-            s.honoured += done - broken;
-            s.brokenOff += broken;
-            honoured += done - broken;
+            s.served += done - broken;
+            s.failed += broken;
+            served += done - broken;
         }
     }
 
@@ -115,8 +115,8 @@
         return MEGABYTES + quality(s).leaks() * (now - s.since);
     }
 
-    /** Payoff asked, and honoured, so far. */
+    /** Payoff asked, and served, so far. */
     public double[] payoff() {
-        return new double[] {asked, honoured};
+        return new double[] {asked, served};
     }
 }
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -20,31 +20,31 @@
 import java.util.function.UnaryOperator;
 import topazladder.below.How;
 import topazladder.below.Use;
-import topazladder.drain.Budget;
-import topazladder.drain.Meter;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Member;
+import topazladder.consensus.ConsensusReplica;
+import topazladder.consensus.InMemoryVoterStore;
+import topazladder.consensus.ReplicatedState;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.consensus.VoterStore;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.ThroughputMeter;
 import topazladder.emulator.Timeline;
 import topazladder.faults.EffectLedger;
 import topazladder.faults.Fault;
 import topazladder.faults.Links;
 import topazladder.faults.OutCount;
 import topazladder.faults.Schedule;
-import topazladder.group.Agreed;
-import topazladder.group.Endpoint;
-import topazladder.group.MemoryStore;
-import topazladder.group.Seat;
-import topazladder.group.VoterStore;
 import topazladder.hall.ConductorNode;
 import topazladder.hall.HallTerms;
 import topazladder.hall.MemberNode;
 import topazladder.hall.ReleaseStart;
 import topazladder.hall.Saying;
 import topazladder.hall.VoterNode;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 import topazladder.membership.Membership;
 import topazladder.release.Plan;
 import topazladder.release.Release;
@@ -80,10 +80,10 @@
 
     /** How the hall is set up. */
     public record Setup(int members, int voters, int duties, double lease, double heartbeat,
-            Membership.Terms membership, List<Budget> budgets, Roll roll, Servers below) {
+            Membership.Terms membership, List<DisruptionBudget> budgets, Roll roll, Servers below) {
 
         public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Terms membership,
-                List<Budget> budgets, Roll roll) {
+                List<DisruptionBudget> budgets, Roll roll) {
             this(members, voters, duties, lease, heartbeat, membership, budgets, roll, null);
         }
 
@@ -92,7 +92,7 @@
         }
 
         public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Terms membership,
-                List<Budget> budgets) {
+                List<DisruptionBudget> budgets) {
             this(members, voters, duties, lease, heartbeat, membership, budgets, null);
         }
 
@@ -168,7 +168,7 @@
     private final Deque<String> happenings = new ArrayDeque<>();
     private List<String> atBreak = List.of();
     private final List<String> voters = new ArrayList<>();
-    private final List<DutyTerms> duties = new ArrayList<>();
+    private final List<LeaseSettings> duties = new ArrayList<>();
 
     public HallWorld(Schedule schedule, Setup setup, Plant plant) {
         this(schedule, setup, plant, s -> s);
@@ -189,10 +189,10 @@
             voters.add(name(i));
         }
         for (int i = 0; i < setup.duties(); i++) {
-            duties.add(new DutyTerms("duty-" + i, setup.lease(), 3));
+            duties.add(new LeaseSettings("duty-" + i, setup.lease(), 3));
         }
         if (setup.roll() != null) {
-            duties.add(new DutyTerms(CONDUCTS, setup.lease(), 16));
+            duties.add(new LeaseSettings(CONDUCTS, setup.lease(), 16));
         }
         for (int i = 0; i < nodes.length; i++) {
             nodes[i] = new Node(i);
@@ -215,21 +215,23 @@
     /** An operator asks, of whoever leads, that a member go out. */
     public void askOut(int who) {
         for (Node n : nodes) {
-            if (n.up && !n.stalled && n.voter != null && n.voter.seat() != null && n.voter.seat().leading()) {
-                n.voter.seat().propose(new OutOp.Ask(n.voter.seat().instance(name(who)), Out.Why.OPERATOR, "operator",
-                        "an operator"), o -> {});
+            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+                n.voter.replica()
+                        .propose(new DisruptionCommand.Ask(n.voter.replica().instance(name(who)),
+                                Disruption.Why.OPERATOR, "operator",
+                                "an operator"), o -> {});
             }
         }
     }
 
     /** An operator's word to whoever leads; false where nobody does. */
-    public boolean order(Function<Seat, ReleaseOp> what) {
+    public boolean order(Function<ConsensusReplica, ReleaseOp> what) {
         for (Node n : nodes) {
-            if (n.up && !n.stalled && n.voter != null && n.voter.seat() != null && n.voter.seat().leading()) {
-                ReleaseOp op = what.apply(n.voter.seat());
+            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+                ReleaseOp op = what.apply(n.voter.replica());
                 if (op != null) {
                     happened("an operator says " + op.getClass().getSimpleName());
-                    n.voter.seat().propose(op, o -> happened(op.getClass().getSimpleName() + ": "
+                    n.voter.replica().propose(op, o -> happened(op.getClass().getSimpleName() + ": "
                             + (o.done() ? "done" : o.why())));
                 }
                 return op != null;
@@ -240,9 +242,9 @@
 
     /** Starts a release of the whole hall once somebody leads; tries until then. */
     public void release(Plan plan) {
-        boolean begun = order(seat -> {
+        boolean begun = order(replica -> {
             // By what the leader has heard of, as on sockets: one that it has not heard of must not be left behind.
-            ReleaseStart.Decision decision = ReleaseStart.decide(seat, plan, ReleaseOp.By.operator(0));
+            ReleaseStart.Decision decision = ReleaseStart.decide(replica, plan, ReleaseOp.By.operator(0));
             if (decision.refused()) {
                 happened("the release is refused: " + decision.refusal());
             }
@@ -260,7 +262,7 @@
     public Release release() {
         Release best = null;
         for (Node n : nodes) {
-            Release r = n.voter == null || n.voter.seat() == null ? null : n.voter.seat().releases().release();
+            Release r = n.voter == null || n.voter.replica() == null ? null : n.voter.replica().releases().release();
             if (r != null && (best == null || r.id() > best.id() || r.id() == best.id()
                     && r.history().size() > best.history().size())) {
                 best = r;
@@ -310,10 +312,10 @@
 
     /** One that has leave to go, or has gone by it and is not back; -1 for none. */
     public int going() {
-        Seat seat = leading();
-        if (seat != null) {
-            for (Out o : seat.outs().all()) {
-                if (o.why() == Out.Why.RELEASE && o.phase() != Out.Phase.ASKED) {
+        ConsensusReplica replica = leading();
+        if (replica != null) {
+            for (Disruption o : replica.outs().all()) {
+                if (o.why() == Disruption.Why.RELEASE && o.phase() != Disruption.Phase.ASKED) {
                     return byName.get(o.subject().name()).index;
                 }
             }
@@ -322,10 +324,10 @@
     }
 
     /** Whoever leads, as it knows by itself; null where nobody does. */
-    public Seat leading() {
+    public ConsensusReplica leading() {
         for (Node n : nodes) {
-            if (n.up && !n.stalled && n.voter != null && n.voter.seat() != null && n.voter.seat().leading()) {
-                return n.voter.seat();
+            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+                return n.voter.replica();
             }
         }
         return null;
@@ -336,14 +338,14 @@
      * while nobody leads.
      */
     public String step() {
-        Seat seat = leading();
+        ConsensusReplica replica = leading();
         Release r = release();
-        if (seat == null || r == null) {
+        if (replica == null || r == null) {
             return null;
         }
         StringBuilder all = new StringBuilder(r.phase() + " " + r.back() + ' ' + r.wave());
         r.places().forEach(p -> all.append(' ').append(p.name()).append(p.stage()).append(p.attempt()));
-        seat.outs().all().forEach(o -> all.append(' ').append(o.subject()).append(o.phase()).append(o.token()));
+        replica.outs().all().forEach(o -> all.append(' ').append(o.subject()).append(o.phase()).append(o.token()));
         return all.toString();
     }
 
@@ -426,9 +428,9 @@
 
     /** Founds the group and starts all members within the first second. */
     public HallWorld open() {
-        List<Endpoint> first = new ArrayList<>();
+        List<VoterEndpoint> first = new ArrayList<>();
         for (int i = 0; i < setup.voters(); i++) {
-            first.add(new Endpoint(name(i), 0));
+            first.add(new VoterEndpoint(name(i), 0));
         }
         for (Node n : nodes) {
             if (n.disk != null) {
@@ -488,7 +490,7 @@
             }
         }
         List<String> stuck = new ArrayList<>();
-        for (DutyTerms d : duties) {
+        for (LeaseSettings d : duties) {
             double idle = time.getAsDouble() - ledger.lastEffect(d.name());
             if (idle > 1 && !halted(d.name()) && !d.name().equals(CONDUCTS)) {
                 stuck.add(String.format(Locale.ROOT, "%s: nothing for %.1f s", d.name(), idle));
@@ -506,8 +508,9 @@
 
     private boolean halted(String duty) {
         for (Node n : nodes) {
-            if (n.voter != null && n.voter.seat() != null && n.voter.seat().leading()) {
-                return n.voter.seat().ledger().get(duty) != null && n.voter.seat().ledger().get(duty).halted() != null;
+            if (n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+                return n.voter.replica().ledger().get(duty) != null
+                        && n.voter.replica().ledger().get(duty).halted() != null;
             }
         }
         return false;
@@ -559,7 +562,7 @@
         int leader = 0;
         int holder = 0;
         for (Node n : nodes) {
-            if (n.up && n.voter != null && n.voter.seat() != null && n.voter.seat().leading()) {
+            if (n.up && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
                 leader = n.index;
             }
             if (n.up && n.member != null && n.member.token(duties.get(0).name()).isPresent()) {
@@ -601,7 +604,7 @@
         private final String name;
         private final double rate;
         private final double offset;
-        private MemoryStore disk;
+        private InMemoryVoterStore disk;
         private final Map<String, Double> lastTo = new HashMap<>();
         private final List<Runnable> backlog = new ArrayList<>();
         private final Set<String> done = new HashSet<>(); // of this life
@@ -618,7 +621,7 @@
         private boolean leaving;
         private boolean forRelease;
         private Fleet.Serving serving;
-        private Meter meter;
+        private ThroughputMeter meter;
         private ConductorNode conductor;
         private Use use;
         private final Map<String, Use.State> stood = new HashMap<>();
@@ -724,7 +727,7 @@
             forRelease = false;
             if (setup.roll() != null) {
                 serving = new Fleet.Serving(version, zone(), time.getAsDouble());
-                meter = new Meter(version);
+                meter = new ThroughputMeter(version);
             }
             outs.up(time.getAsDouble(), index);
             happened(name + " starts, life " + life);
@@ -732,7 +735,8 @@
             DoubleSupplier clock = this::clock;
             Timers timers = this::in;
             HallTerms terms = terms();
-            member = new MemberNode(terms, Planted.holder(plant, new Member(name, life)), timers, clock, own.split(),
+            member = new MemberNode(terms, Planted.holder(plant, new MemberIdentity(name, life)), timers, clock,
+                    own.split(),
                     new MemberWorld());
             conductor = setup.roll() == null ? null : new ConductorNode(member.here(), CONDUCTS, timers, clock,
                     () -> Math.round(time.getAsDouble() * 1000), member, by -> Planted.conductor(plant, name, by));
@@ -743,10 +747,11 @@
             member.open();
             member.well(true);
             if (disk != null) {
-                DutyLedger ledgerOfDuties = Planted.ledger(plant);
-                OutLedger ledgerOfOuts = Planted.outs(plant);
-                Agreed agreed = new Agreed(ledgerOfDuties, ledgerOfOuts, Planted.releases(plant, ledgerOfDuties,
-                        ledgerOfOuts, released::add));
+                LeaseStateMachine ledgerOfDuties = Planted.ledger(plant);
+                DisruptionStateMachine ledgerOfOuts = Planted.outs(plant);
+                ReplicatedState agreed =
+                        new ReplicatedState(ledgerOfDuties, ledgerOfOuts, Planted.releases(plant, ledgerOfDuties,
+                                ledgerOfOuts, released::add));
                 voter = new VoterNode(terms, disk, timers, clock, own.split(), new VoterNode.World() {
                     @Override public void say(String to, Saying what) {
                         if (to.equals(name) || member.membership().other(to) != null || askers.contains(to)) {
@@ -757,7 +762,7 @@
                     @Override public void failed(Throwable why) {
                         happened(name + " has no seat: " + why);
                     }
-                }, agreed, Planted.allotter(plant, agreed.duties()),
+                }, agreed, Planted.leaseManager(plant, agreed.duties()),
                         Planted.permits(plant, agreed.outs(), 4 * setup.heartbeat()),
                         Planted.verdicts(plant, agreed.outs()));
                 voter.open();
--- a/src/main/java/topazladder/emulator/hall/LeaseModel.java
+++ b/src/main/java/topazladder/emulator/hall/LeaseModel.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.OptionalLong;
-import topazladder.duty.Allotter;
-import topazladder.duty.Answer;
-import topazladder.duty.Ask;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Holder;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseHolder;
+import topazladder.lease.LeaseManager;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 import topazladder.search.Mail;
 import topazladder.search.Model;
 
@@ -40,29 +40,29 @@
 
     private sealed interface Way {
 
-        record Asks(int to, Ask ask) implements Way {
+        record Asks(int to, LeaseRequest ask) implements Way {
         }
 
         record Confirmed(int leader, long round, boolean led) implements Way {
         }
 
-        record Answers(int to, Member life, Answer answer, int from) implements Way {
+        record Answers(int to, MemberIdentity life, LeaseResponse answer, int from) implements Way {
         }
 
         /** A member's own duty has come to its end. */
-        record Stopped(int member, Member life, long token) implements Way {
+        record Stopped(int member, MemberIdentity life, long token) implements Way {
         }
     }
 
     private final class Leader {
-        private final DutyLedger ledger = Planted.ledger(plant);
-        private final Allotter allotter = Planted.allotter(plant, ledger);
+        private final LeaseStateMachine ledger = Planted.ledger(plant);
+        private final LeaseManager leaseManager = Planted.leaseManager(plant, ledger);
         private int applied;
 
         void apply(double at) {
             while (applied < log.size()) {
-                Op op = log.get(applied++);
-                carryOut(this, allotter.applied(at, op, ledger.apply(op)));
+                LeaseCommand op = log.get(applied++);
+                carryOut(this, leaseManager.commandApplied(at, op, ledger.apply(op)));
             }
         }
     }
@@ -72,10 +72,10 @@
     private final double[] memberRates;
     private final double[] leaderRates;
     private final Leader[] leaders = new Leader[LEADERS];
-    private final Holder[] holders = new Holder[MEMBERS];
+    private final LeaseHolder[] holders = new LeaseHolder[MEMBERS];
     private final int[] guides = new int[MEMBERS];
     private final int[] lives = new int[MEMBERS];
-    private final List<Op> log = new ArrayList<>();
+    private final List<LeaseCommand> log = new ArrayList<>();
     private final Mail<Way> way;
     private int current;
     private double now;
@@ -96,18 +96,18 @@
             leaders[l] = new Leader();
         }
         for (int m = 0; m < MEMBERS; m++) {
-            holders[m] = Planted.holder(plant, new Member("n" + m, lives[m]));
+            holders[m] = Planted.holder(plant, new MemberIdentity("n" + m, lives[m]));
         }
-        log.add(new Op.Define(List.of(new DutyTerms(DUTY, LEASE, 99))));
+        log.add(new LeaseCommand.Define(List.of(new LeaseSettings(DUTY, LEASE, 99))));
         leaders[0].apply(0);
-        leaders[0].allotter.lead(0);
+        leaders[0].leaseManager.becomeLeader(0);
         for (int m = 0; m < MEMBERS; m++) {
-            step(m, holders[m].steady(0, true));
+            step(m, holders[m].setSteady(0, true));
         }
     }
 
     private static double rate(int fast, int which) {
-        return (fast >> which & 1) == 1 ? 1 + DutyTerms.CLOCKS : 1 - DutyTerms.CLOCKS;
+        return (fast >> which & 1) == 1 ? 1 + LeaseSettings.CLOCKS : 1 - LeaseSettings.CLOCKS;
     }
 
     private double at(int member) {
@@ -158,8 +158,8 @@
             if (c < MEMBERS) {
                 crashes++;
                 lives[c]++;
-                holders[c] = Planted.holder(plant, new Member("n" + c, lives[c]));
-                step(c, holders[c].steady(at(c), true));
+                holders[c] = Planted.holder(plant, new MemberIdentity("n" + c, lives[c]));
+                step(c, holders[c].setSteady(at(c), true));
                 return;
             }
         }
@@ -167,7 +167,7 @@
         // The one that led does not know; what it proposes from here on comes to nothing.
         current = 1 - current;
         leaders[current].apply(led(current));
-        leaders[current].allotter.lead(led(current));
+        leaders[current].leaseManager.becomeLeader(led(current));
     }
 
     private void pass() {
@@ -175,8 +175,8 @@
         now += STEP;
         look();
         for (int l = 0; l < LEADERS; l++) {
-            if (leaders[l].allotter.leading()) {
-                carryOut(leaders[l], leaders[l].allotter.tick(led(l)));
+            if (leaders[l].leaseManager.isLeader()) {
+                carryOut(leaders[l], leaders[l].leaseManager.tick(led(l)));
             }
         }
         for (int m = 0; m < MEMBERS; m++) {
@@ -187,33 +187,33 @@
 
     private void comes(Way w) {
         if (w instanceof Way.Asks a) {
-            carryOut(leaders[a.to()], leaders[a.to()].allotter.ask(led(a.to()), a.ask()));
+            carryOut(leaders[a.to()], leaders[a.to()].leaseManager.handleRequest(led(a.to()), a.ask()));
         } else if (w instanceof Way.Confirmed c) {
             Leader l = leaders[c.leader()];
-            carryOut(l, c.led() ? l.allotter.confirmed(led(c.leader()), c.round())
-                    : l.allotter.unconfirmed(c.round()));
+            carryOut(l, c.led() ? l.leaseManager.leadershipConfirmed(led(c.leader()), c.round())
+                    : l.leaseManager.leadershipUnconfirmed(c.round()));
         } else if (w instanceof Way.Answers a) {
             if (holders[a.to()].here().equals(a.life())) {
                 guides[a.to()] = a.from();
-                step(a.to(), holders[a.to()].answered(at(a.to()), a.answer()));
+                step(a.to(), holders[a.to()].handleResponse(at(a.to()), a.answer()));
             }
         } else if (w instanceof Way.Stopped s && holders[s.member()].here().equals(s.life())) {
-            step(s.member(), holders[s.member()].stopped(at(s.member()), DUTY, s.token(), null));
+            step(s.member(), holders[s.member()].taskStopped(at(s.member()), DUTY, s.token(), null));
         }
     }
 
-    private void carryOut(Leader l, List<Allotter.Step> all) {
-        for (Allotter.Step s : all) {
-            if (s instanceof Allotter.Step.Propose p) {
+    private void carryOut(Leader l, List<LeaseManager.Step> all) {
+        for (LeaseManager.Step s : all) {
+            if (s instanceof LeaseManager.Step.Propose p) {
                 if (of(l) == current) {
                     log.add(p.op());
                     l.apply(led(of(l)));
                 } else {
-                    l.allotter.failed(p.op());
+                    l.leaseManager.commandFailed(p.op());
                 }
-            } else if (s instanceof Allotter.Step.Confirm c) {
+            } else if (s instanceof LeaseManager.Step.Confirm c) {
                 way.add(new Way.Confirmed(of(l), c.round(), of(l) == current));
-            } else if (s instanceof Allotter.Step.Reply r) {
+            } else if (s instanceof LeaseManager.Step.Reply r) {
                 int to = r.to().name().equals("n0") ? 0 : 1;
                 way.add(new Way.Answers(to, r.to(), r.answer(), of(l)));
             }
@@ -221,12 +221,12 @@
         }
     }
 
-    private void step(int m, List<Holder.Step> all) {
-        for (Holder.Step s : all) {
-            if (s instanceof Holder.Step.Send send) {
+    private void step(int m, List<LeaseHolder.Step> all) {
+        for (LeaseHolder.Step s : all) {
+            if (s instanceof LeaseHolder.Step.Send send) {
                 guides[m] = send.another() ? 1 - guides[m] : guides[m];
                 way.add(new Way.Asks(guides[m], send.ask()));
-            } else if (s instanceof Holder.Step.Stop stop) {
+            } else if (s instanceof LeaseHolder.Step.Stop stop) {
                 way.add(new Way.Stopped(m, holders[m].here(), stop.token()));
             }
         }
@@ -256,7 +256,7 @@
     @Override public List<Object> parts() {
         List<Object> all = new ArrayList<>();
         for (int l = 0; l < LEADERS; l++) {
-            all.add(leaders[l].allotter);
+            all.add(leaders[l].leaseManager);
             all.add(leaders[l].ledger);
             all.add(leaders[l].applied);
         }
--- a/src/main/java/topazladder/emulator/hall/PermitModel.java
+++ b/src/main/java/topazladder/emulator/hall/PermitModel.java
@@ -4,14 +4,14 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Permits.Seen;
-import topazladder.drain.Subject;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionController.Seen;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.search.Mail;
 import topazladder.search.Model;
 
@@ -51,13 +51,13 @@
     private enum State { WARM, COLD, DOWN }
 
     private final class Leader {
-        private final OutLedger ledger = Planted.outs(plant);
-        private final Permits permits = Planted.permits(plant, ledger, LOST_AFTER);
+        private final DisruptionStateMachine ledger = Planted.outs(plant);
+        private final DisruptionController permits = Planted.permits(plant, ledger, LOST_AFTER);
         private int applied;
         private boolean leads;
 
-        OutLedger.Outcome apply() {
-            OutLedger.Outcome last = null;
+        DisruptionStateMachine.Outcome apply() {
+            DisruptionStateMachine.Outcome last = null;
             while (applied < log.size()) {
                 last = ledger.apply(log.get(applied++));
             }
@@ -71,7 +71,7 @@
     private final State[] states = new State[MEMBERS];
     private final long[] lives = new long[MEMBERS];
     private final boolean[] agreed = new boolean[MEMBERS]; // out by agreement, and not warm again
-    private final List<OutOp> log = new ArrayList<>();
+    private final List<DisruptionCommand> log = new ArrayList<>();
     private final Mail<Way> way;
     private int current;
     private double now;
@@ -86,35 +86,36 @@
         way = new Mail<>(bounds.losses(), true);
         leaders[0] = new Leader();
         leaders[1] = new Leader();
-        log.add(new OutOp.Budgets(List.of(new Budget("hall", Subject.Kind.INSTANCE, "", BUDGET, 1))));
+        log.add(new DisruptionCommand.Budgets(
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", BUDGET, 1))));
         for (int m = 0; m < MEMBERS; m++) {
             states[m] = State.WARM;
             lives[m] = 1;
-            log.add(new OutOp.Known(subject(m), 1));
-            log.add(new OutOp.Ask(subject(m), Out.Why.OPERATOR, "operator", "me"));
+            log.add(new DisruptionCommand.Known(subject(m), 1));
+            log.add(new DisruptionCommand.Ask(subject(m), Disruption.Why.OPERATOR, "operator", "me"));
         }
         lead(0);
     }
 
-    private static Subject subject(int m) {
-        return new Subject(Subject.Kind.INSTANCE, "n" + m, "");
+    private static DisruptionTarget subject(int m) {
+        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n" + m, "");
     }
 
     private void lead(int l) {
         current = l;
         leaders[l].leads = true;
         leaders[l].apply();
-        leaders[l].permits.lead(now, 0.5);
+        leaders[l].permits.becomeLeader(now, 0.5);
         see(l);
     }
 
     private void see(int l) {
-        Map<Subject, Seen> looks = new HashMap<>();
+        Map<DisruptionTarget, Seen> looks = new HashMap<>();
         for (int m = 0; m < MEMBERS; m++) {
             looks.put(subject(m), new Seen(states[m] == State.DOWN ? Look.GONE : states[m] == State.COLD
                     ? Look.UNSTEADY : Look.STEADY, lives[m]));
         }
-        leaders[l].permits.seen(now, looks);
+        leaders[l].permits.membersObserved(now, looks);
     }
 
     @Override public List<String> choices() {
@@ -181,16 +182,16 @@
         for (int l = 0; l < 2; l++) {
             Leader leader = leaders[l];
             if (leader.leads) {
-                for (OutOp op : leader.permits.tick(now)) {
+                for (DisruptionCommand op : leader.permits.tick(now)) {
                     if (l == current) {
                         log.add(op);
                         leader.apply();
                     }
-                    leader.permits.over(op);
+                    leader.permits.commandCompleted(op);
                 }
-                for (Out o : leader.ledger.all()) {
+                for (Disruption o : leader.ledger.all()) {
                     Way word = new Way.MayGo(Integer.parseInt(o.subject().name().substring(1)), o.token());
-                    if (o.phase() == Out.Phase.GRANTED && !way.has(word::equals)) {
+                    if (o.phase() == Disruption.Phase.GRANTED && !way.has(word::equals)) {
                         way.add(word);
                     }
                 }
@@ -206,7 +207,7 @@
                 way.add(new Way.Going(m.to(), lives[m.to()], m.token(), current));
             }
         } else if (w instanceof Way.Going g && g.to() == current) {
-            log.add(new OutOp.Leaves(subject(g.from()), g.token(), g.life(), ""));
+            log.add(new DisruptionCommand.Leaves(subject(g.from()), g.token(), g.life(), ""));
             if (leaders[current].apply().done()) {
                 way.add(new Way.Go(g.from(), g.life(), g.token()));
             }
--- a/src/main/java/topazladder/emulator/hall/PlanModel.java
+++ b/src/main/java/topazladder/emulator/hall/PlanModel.java
@@ -2,17 +2,17 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Serving;
-import topazladder.drain.Subject;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.disruption.LoadReport;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 import topazladder.release.Conductor;
 import topazladder.release.Judge;
 import topazladder.release.Place;
@@ -56,8 +56,8 @@
 
     private final Plant plant;
     private final Bounds bounds;
-    private final DutyLedger duties = new DutyLedger();
-    private final OutLedger outs;
+    private final LeaseStateMachine duties = new LeaseStateMachine();
+    private final DisruptionStateMachine outs;
     private final ReleaseLedger releases;
     private final List<Conductor> conductors = new ArrayList<>();
     private final Mail<Way> way;
@@ -75,15 +75,16 @@
         way = new Mail<>(bounds.losses(), true);
         outs = Planted.outs(plant);
         releases = Planted.releases(plant, duties, outs, b -> broken = b);
-        duties.apply(new Op.Define(List.of(new DutyTerms(DUTY, 2, 9))));
-        outs.apply(new OutOp.Budgets(List.of(new Budget("hall", Subject.Kind.INSTANCE, "", bounds.budget(), 1))));
+        duties.apply(new LeaseCommand.Define(List.of(new LeaseSettings(DUTY, 2, 9))));
+        outs.apply(new DisruptionCommand.Budgets(
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", bounds.budget(), 1))));
         List<Place> places = new ArrayList<>();
         for (int m = 0; m < MEMBERS; m++) {
             states[m] = State.SERVES;
             versions[m] = "A";
             next[m] = "A";
             lives[m] = 1;
-            outs.apply(new OutOp.Known(subject(m), 1));
+            outs.apply(new DisruptionCommand.Known(subject(m), 1));
             places.add(new Place("n" + m, "", m < 2, 0, Place.Stage.LEFT, 0));
         }
         releases.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), new Plan("b", "A", "B", List.of(new Plan.Wave("",
@@ -91,16 +92,16 @@
         conducts();
     }
 
-    private static Subject subject(int m) {
-        return new Subject(Subject.Kind.INSTANCE, "n" + m, "");
+    private static DisruptionTarget subject(int m) {
+        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n" + m, "");
     }
 
     /** Another one conducts from here on; those before do not know. */
     private void conducts() {
         if (!conductors.isEmpty()) {
-            duties.apply(new Op.Expire(DUTY, conductors.size()));
+            duties.apply(new LeaseCommand.Expire(DUTY, conductors.size()));
         }
-        long token = duties.apply(new Op.Grant(DUTY, new Member("n" + conductors.size() % MEMBERS, 1),
+        long token = duties.apply(new LeaseCommand.Grant(DUTY, new MemberIdentity("n" + conductors.size() % MEMBERS, 1),
                 conductors.size())).token();
         conductors.add(Planted.conductor(plant, "n9", new ReleaseOp.By(DUTY, token, 0)));
         show(conductors.size() - 1);
@@ -111,7 +112,7 @@
         for (int m = 0; m < MEMBERS; m++) {
             Look look = states[m] == State.DOWN ? Look.GONE : states[m] == State.COLD ? Look.UNSTEADY : Look.STEADY;
             sights.add(new View.Sight("n" + m, "", look, lives[m], outs.get(subject(m)), null,
-                    states[m] == State.DOWN ? null : new Serving(versions[m], 3, 0, 0, 0, 1, 1)));
+                    states[m] == State.DOWN ? null : new LoadReport(versions[m], 3, 0, 0, 0, 1, 1)));
         }
         way.add(new Way.Shown(conductor, new View(releases.release(), List.copyOf(sights))));
     }
@@ -192,14 +193,14 @@
 
     /** The next of what the ledger and a process do: leave, its going, its coming back, its being steady. */
     private void goesOn(int m) {
-        Out out = outs.get(subject(m));
+        Disruption out = outs.get(subject(m));
         if (out == null) {
             return;
         }
         switch (out.phase()) {
-            case ASKED -> outs.apply(new OutOp.Grant(subject(m), out.request(), lives[m]));
+            case ASKED -> outs.apply(new DisruptionCommand.Grant(subject(m), out.request(), lives[m]));
             case GRANTED -> {
-                if (outs.apply(new OutOp.Leaves(subject(m), out.token(), lives[m], "")).done()) {
+                if (outs.apply(new DisruptionCommand.Leaves(subject(m), out.token(), lives[m], "")).done()) {
                     goes(m, releases.versionFor("n" + m, out.request()));
                 }
             }
@@ -207,11 +208,11 @@
                 states[m] = State.COLD;
                 versions[m] = next[m];
                 lives[m]++;
-                outs.apply(new OutOp.Returns(subject(m), lives[m]));
+                outs.apply(new DisruptionCommand.Returns(subject(m), lives[m]));
             }
             default -> {
                 states[m] = State.SERVES;
-                outs.apply(new OutOp.Steady(subject(m)));
+                outs.apply(new DisruptionCommand.Steady(subject(m)));
             }
         }
     }
--- a/src/main/java/topazladder/emulator/hall/Planted.java
+++ b/src/main/java/topazladder/emulator/hall/Planted.java
@@ -9,22 +9,22 @@
 import java.util.random.RandomGenerator;
 import topazladder.below.Use;
 import topazladder.below.Verdicts;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits;
-import topazladder.drain.Subject;
-import topazladder.duty.Allotter;
-import topazladder.duty.Answer;
-import topazladder.duty.Ask;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyState;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Holder;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
-import topazladder.group.MemoryStore;
+import topazladder.consensus.InMemoryVoterStore;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.hall.Saying;
 import topazladder.hall.VoterNode;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseHolder;
+import topazladder.lease.LeaseManager;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseState;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 import topazladder.release.Conductor;
 import topazladder.release.Judge;
 import topazladder.release.Place;
@@ -39,8 +39,8 @@
 
     private Planted() {}
 
-    static Holder holder(Plant plant, Member here) {
-        return new Holder(here) {
+    static LeaseHolder holder(Plant plant, MemberIdentity here) {
+        return new LeaseHolder(here) {
             private double lastSent;
             private long lastNumber;
 
@@ -49,9 +49,9 @@
                         : plant == Plant.TAKES_ANY_ANSWER ? Math.max(asked, lastSent) : asked;
             }
 
-            @Override public List<Step> answered(double now, Answer a) {
-                return super.answered(now, plant == Plant.TAKES_ANY_ANSWER && a.number() < lastNumber
-                        ? new Answer(lastNumber, a.leases(), a.askAgainIn()) : a);
+            @Override public List<Step> handleResponse(double now, LeaseResponse a) {
+                return super.handleResponse(now, plant == Plant.TAKES_ANY_ANSWER && a.number() < lastNumber
+                        ? new LeaseResponse(lastNumber, a.leases(), a.askAgainIn()) : a);
             }
 
             @Override public List<Step> tick(double now) {
@@ -67,40 +67,42 @@
         };
     }
 
-    static Allotter allotter(Plant plant, DutyLedger ledger) {
-        return new Allotter(ledger) {
-            @Override protected double firstUntil(double now, DutyTerms terms) {
+    static LeaseManager leaseManager(Plant plant, LeaseStateMachine ledger) {
+        return new LeaseManager(ledger) {
+            @Override protected double firstUntil(double now, LeaseSettings terms) {
                 return plant == Plant.NEW_LEADER_DOES_NOT_WAIT ? now : super.firstUntil(now, terms);
             }
 
-            @Override protected double surelyOver(DutyTerms terms) {
+            @Override protected double surelyOver(LeaseSettings terms) {
                 return plant == Plant.CLOCKS_IGNORED ? terms.lease() : super.surelyOver(terms);
             }
 
-            @Override protected boolean over(double now, DutyState s) {
+            @Override protected boolean over(double now, LeaseState s) {
                 return super.over(now + (plant == Plant.EXPIRES_EARLY ? EARLY * s.terms().lease() : 0), s);
             }
 
-            @Override protected boolean renewable(Op underWay) {
+            @Override protected boolean renewable(LeaseCommand underWay) {
                 return plant == Plant.RENEWS_WHAT_ENDS || super.renewable(underWay);
             }
 
-            @Override public List<Step> ask(double now, Ask ask) {
-                List<Step> steps = new ArrayList<>(super.ask(now, ask));
-                if (plant == Plant.RELEASES_ANY_TOKEN && leading()) {
-                    ask.stopped().forEach(s -> steps.add(new Step.Propose(new Op.Release(s.duty(), s.token()))));
+            @Override public List<Step> handleRequest(double now, LeaseRequest ask) {
+                List<Step> steps = new ArrayList<>(super.handleRequest(now, ask));
+                if (plant == Plant.RELEASES_ANY_TOKEN && isLeader()) {
+                    ask.stopped()
+                            .forEach(s -> steps.add(new Step.Propose(new LeaseCommand.Release(s.duty(), s.token()))));
                 }
                 return plant == Plant.ANSWERS_ALONE ? alone(now, steps) : steps;
             }
 
             @Override public List<Step> tick(double now) {
                 List<Step> steps = new ArrayList<>(super.tick(now));
-                if (plant == Plant.GRANTS_WHILE_HELD && leading()) {
-                    for (DutyState s : ledger.all()) {
+                if (plant == Plant.GRANTS_WHILE_HELD && isLeader()) {
+                    for (LeaseState s : ledger.all()) {
                         // As one that takes a single missed ask for the end of the holder.
-                        members().keySet().stream().filter(m -> s.held() && !members().containsKey(s.holder()))
+                        knownMembers().keySet().stream()
+                                .filter(m -> s.held() && !knownMembers().containsKey(s.holder()))
                                 .findFirst().ifPresent(m -> steps.add(new Step.Propose(
-                                        new Op.Grant(s.terms().name(), m, s.token()))));
+                                        new LeaseCommand.Grant(s.terms().name(), m, s.token()))));
                     }
                 }
                 return steps;
@@ -110,7 +112,7 @@
                 List<Step> all = new ArrayList<>();
                 for (Step s : steps) {
                     if (s instanceof Step.Confirm c) {
-                        all.addAll(alone(now, confirmed(now, c.round())));
+                        all.addAll(alone(now, leadershipConfirmed(now, c.round())));
                     } else {
                         all.add(s);
                     }
@@ -120,17 +122,17 @@
         };
     }
 
-    static DutyLedger ledger(Plant plant) {
-        return new DutyLedger() {
-            @Override protected String refused(DutyState s, Op op) {
-                if (plant == Plant.GRANTS_WHILE_HELD && op instanceof Op.Grant
-                        || plant == Plant.RELEASES_ANY_TOKEN && op instanceof Op.Release) {
+    static LeaseStateMachine ledger(Plant plant) {
+        return new LeaseStateMachine() {
+            @Override protected String refused(LeaseState s, LeaseCommand op) {
+                if (plant == Plant.GRANTS_WHILE_HELD && op instanceof LeaseCommand.Grant
+                        || plant == Plant.RELEASES_ANY_TOKEN && op instanceof LeaseCommand.Release) {
                     return null;
                 }
                 return super.refused(s, op);
             }
 
-            @Override protected long next(DutyState s) {
+            @Override protected long next(LeaseState s) {
                 return plant == Plant.SAME_TOKEN && s.token() > 0 ? s.token() : super.next(s);
             }
         };
@@ -152,24 +154,27 @@
             }
 
             @Override protected boolean isMoved(Release r, View.Sight s) {
-                return plant == Plant.TAKES_ANY_RETURN_FOR_MOVED ? s.out() == null && s.look() != Permits.Look.GONE
-                        && r.place(s.name()).attempt() > 0 || super.isMoved(r, s) : super.isMoved(r, s);
+                return plant == Plant.TAKES_ANY_RETURN_FOR_MOVED
+                        ? s.out() == null && s.look() != DisruptionController.Look.GONE
+                                && r.place(s.name()).attempt() > 0 || super.isMoved(r, s)
+                        : super.isMoved(r, s);
             }
 
             @Override protected void judged(List<Judge.Look> looks) {
                 super.judged(plant != Plant.JUDGES_B_BY_ITSELF ? looks : looks.stream().flatMap(l -> l.moved()
                         ? java.util.stream.Stream.of(l, new Judge.Look(l.name(), l.zone(), false, l.share(),
-                                l.brokenOff(), l.megabytes()))
+                                l.failed(), l.megabytes()))
                         : java.util.stream.Stream.empty()).toList());
             }
         };
     }
 
     /** @param broken is told of each step that counted though whoever proposed it does not conduct */
-    static ReleaseLedger releases(Plant plant, DutyLedger duties, OutLedger outs, Consumer<String> broken) {
+    static ReleaseLedger releases(Plant plant, LeaseStateMachine duties, DisruptionStateMachine outs,
+            Consumer<String> broken) {
         return new ReleaseLedger(duties, outs) {
             @Override public Outcome apply(ReleaseOp op) {
-                DutyState duty = op.by().conducts() ? duties.get(op.by().duty()) : null;
+                LeaseState duty = op.by().conducts() ? duties.get(op.by().duty()) : null;
                 Outcome outcome = super.apply(op);
                 if (outcome.done() && op.by().conducts() && (duty == null || !duty.held()
                         || duty.token() != op.by().token())) {
@@ -196,41 +201,41 @@
         };
     }
 
-    static OutLedger outs(Plant plant) {
-        return new OutLedger() {
-            @Override public Outcome apply(OutOp op) {
-                if (plant == Plant.FREES_THE_LOST && op instanceof OutOp.Lost l) {
-                    return super.apply(new OutOp.GivenUp(l.subject(), ""));
+    static DisruptionStateMachine outs(Plant plant) {
+        return new DisruptionStateMachine() {
+            @Override public Outcome apply(DisruptionCommand op) {
+                if (plant == Plant.FREES_THE_LOST && op instanceof DisruptionCommand.Lost l) {
+                    return super.apply(new DisruptionCommand.GivenUp(l.subject(), ""));
                 }
                 return super.apply(op);
             }
 
-            @Override protected String refuses(Subject one, Collection<Subject> besides) {
-                return plant == Plant.NO_BUDGET_BELOW && one.kind() == Subject.Kind.BELOW ? null
+            @Override protected String refuses(DisruptionTarget one, Collection<DisruptionTarget> besides) {
+                return plant == Plant.NO_BUDGET_BELOW && one.kind() == DisruptionTarget.Kind.BELOW ? null
                         : super.refuses(one, besides);
             }
 
-            @Override protected Outcome leaves(OutOp.Leaves l) {
+            @Override protected Outcome leaves(DisruptionCommand.Leaves l) {
                 return plant == Plant.ANY_PERMISSION_COUNTS && l.token() > 0 ? new Outcome(l.token(), null)
                         : super.leaves(l);
             }
         };
     }
 
-    static Permits permits(Plant plant, OutLedger ledger, double lostAfter) {
-        return new Permits(ledger, lostAfter) {
+    static DisruptionController permits(Plant plant, DisruptionStateMachine ledger, double lostAfter) {
+        return new DisruptionController(ledger, lostAfter) {
             @Override protected boolean countsAsOut(Seen l) {
                 return plant != Plant.COUNTS_THE_COLD_AS_THERE
                         && !(plant == Plant.FREES_THE_LOST && l.look() == Look.GONE) && super.countsAsOut(l);
             }
 
-            @Override protected boolean steady(double now, Subject s, Seen l) {
+            @Override protected boolean steady(double now, DisruptionTarget s, Seen l) {
                 return plant == Plant.COUNTS_THE_COLD_AS_THERE || super.steady(now, s, l);
             }
         };
     }
 
-    static Verdicts verdicts(Plant plant, OutLedger ledger) {
+    static Verdicts verdicts(Plant plant, DisruptionStateMachine ledger) {
         return new Verdicts(ledger) {
             @Override protected boolean ill(int ill, int tried, int watchers) {
                 return plant == Plant.ONE_WATCHER_IS_ENOUGH ? ill > 0 : super.ill(ill, tried, watchers);
@@ -244,10 +249,10 @@
                 return plant == Plant.MOST_ILL_COUNTS || super.believed(tellsOfServers);
             }
 
-            @Override public List<OutOp> tick(double now) {
-                List<OutOp> ops = super.tick(now);
+            @Override public List<DisruptionCommand> tick(double now) {
+                List<DisruptionCommand> ops = super.tick(now);
                 return plant != Plant.NEVER_TRIED_AGAIN ? ops
-                        : ops.stream().filter(o -> !(o instanceof OutOp.Rejoins)).toList();
+                        : ops.stream().filter(o -> !(o instanceof DisruptionCommand.Rejoins)).toList();
             }
         };
     }
@@ -272,16 +277,16 @@
     /** An old answer with the term of now, so that it passes for one to what was asked now. */
     static Saying asOfNow(Saying what, VoterNode voter) {
         if (what instanceof Saying.Consensus c && c.message()instanceof AppendEntriesSuccessResponse r
-                && voter != null && voter.seat() != null && r.getTerm() < voter.seat().term()) {
+                && voter != null && voter.replica() != null && r.getTerm() < voter.replica().term()) {
             return new Saying.Consensus(new DefaultRaftModelFactory().createAppendEntriesSuccessResponseBuilder()
-                    .setGroupId(r.getGroupId()).setSender(r.getSender()).setTerm(voter.seat().term())
+                    .setGroupId(r.getGroupId()).setSender(r.getSender()).setTerm(voter.replica().term())
                     .setLastLogIndex(r.getLastLogIndex()).setQuerySequenceNumber(r.getQuerySequenceNumber())
                     .setFlowControlSequenceNumber(r.getFlowControlSequenceNumber()).build());
         }
         return what;
     }
 
-    static final class Store extends MemoryStore {
+    static final class Store extends InMemoryVoterStore {
         private final Plant plant;
         private Founding before;
 
--- a/src/main/java/topazladder/experiment/BelowsExperiment.java
+++ b/src/main/java/topazladder/experiment/BelowsExperiment.java
@@ -13,8 +13,8 @@
 import org.apache.commons.statistics.descriptive.Quantile;
 import topazladder.below.Use;
 import topazladder.below.Word;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.HallWorld;
 import topazladder.emulator.hall.Plant;
 import topazladder.emulator.hall.Servers;
@@ -52,7 +52,7 @@
         double end = Math.max(drawn.length(), servers.end()) + QUIET;
         Schedule s = new Schedule(seed, members, drawn.voters(), drawn.clocks(), drawn.faults(), end - drawn.length());
         HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new Budget("below", Subject.Kind.BELOW, "", budget, 1))).calling(servers);
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", budget, 1))).calling(servers);
         return new Played(servers, new HallWorld(s, setup, plant).play());
     }
 
@@ -167,7 +167,8 @@
         Schedule s = new Schedule(seed, members, Schedule.votersOf(members), Collections.nCopies(members, 1.0),
                 List.of(), 0);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(members, s.voters(), 1, 2, 0.2,
-                new Membership.Terms(0.3, 3, 3600), List.of(new Budget("below", Subject.Kind.BELOW, "", 1, 1)))
+                new Membership.Terms(0.3, 3, 3600),
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1)))
                         .calling(servers),
                 Plant.NONE).open();
         world.time().runUntil(DAY + 20);
--- a/src/main/java/topazladder/experiment/DutiesExperiment.java
+++ b/src/main/java/topazladder/experiment/DutiesExperiment.java
@@ -273,7 +273,7 @@
         }
     }
 
-    /** Payoff honoured with and without a hall, in pairs that share their callers' seeds and run beside each other. */
+    /** Payoff served with and without a hall, in pairs that share their callers' seeds and run beside each other. */
     public static String payoff(long firstSeed, int pairs, int processes, double seconds, RigPlan.Pace pace)
             throws Exception {
         StringBuilder out = new StringBuilder("| load | pairs | part of the payoff lost, without | with | difference |"
--- a/src/main/java/topazladder/experiment/HallCampaign.java
+++ b/src/main/java/topazladder/experiment/HallCampaign.java
@@ -120,7 +120,7 @@
             }
             over = true;
             sampler.join(5000);
-            System.err.println("tickets: " + rig.tickets());
+            System.err.println("tickets: " + rig.requests());
         }
         String table = table();
         Files.writeString(folder.resolve("page.html"), page(table));
--- a/src/main/java/topazladder/experiment/PeerExperiment.java
+++ b/src/main/java/topazladder/experiment/PeerExperiment.java
@@ -15,8 +15,8 @@
 import topazladder.emulator.PeerTrial.Condition;
 import topazladder.emulator.PeerTrial.Outcome;
 import topazladder.emulator.PeerTrial.Told;
+import topazladder.request.LearnedEstimate.Kind;
 import topazladder.rig.PeerRig;
-import topazladder.ticket.Learned.Kind;
 
 /** Pairs of one cold start each, with and without a peer, in virtual time; the same seeds give the same table. */
 public final class PeerExperiment {
--- a/src/main/java/topazladder/experiment/ReleasesExperiment.java
+++ b/src/main/java/topazladder/experiment/ReleasesExperiment.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.LongStream;
 import org.apache.commons.statistics.descriptive.Quantile;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.Fleet;
 import topazladder.emulator.hall.Fleet.Quality;
 import topazladder.emulator.hall.HallWorld;
@@ -65,7 +65,8 @@
         Map<String, Quality> versions = bad ? Map.of("B", BAD.get(chance.nextInt(BAD.size()))) : Map.of();
         int budget = Math.max(1, members / 4);
         HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new Budget("hall", Subject.Kind.INSTANCE, "", budget, 1)), new HallWorld.Roll(
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
+                new HallWorld.Roll(
                         new Fleet(members, LOAD, versions, chance.split()),
                         new Supervisor(trouble, trouble, trouble / 4,
                                 trouble),
@@ -87,8 +88,8 @@
     }
 
     private static void word(HallWorld world, int what) {
-        world.order(seat -> {
-            Release r = seat.releases().release();
+        world.order(replica -> {
+            Release r = replica.releases().release();
             ReleaseOp.By by = ReleaseOp.By.operator(0);
             return r == null ? null : what == 0 ? new ReleaseOp.Halt(by, r.id(), "by an operator")
                     : what == 1 ? new ReleaseOp.Resume(by, r.id()) : new ReleaseOp.Back(by, r.id());
@@ -216,7 +217,8 @@
     private static HallWorld ordinary(int members, int budget, Plant plant) {
         Schedule s = new Schedule(7, members, 3, Collections.nCopies(members, 1.0), List.of(), 0);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(members, 3, 1, 2, 0.2,
-                new Membership.Terms(0.3, 3, 3600), List.of(new Budget("hall", Subject.Kind.INSTANCE, "", budget, 1)),
+                new Membership.Terms(0.3, 3, 3600),
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
                 new HallWorld.Roll(new Fleet(members, LOAD, Map.of(), new SplittableRandom(7)), Supervisor.GOOD, 2,
                         DOWN, Set.of())),
                 plant).open();
@@ -405,7 +407,8 @@
                 0);
         SplittableRandom chance = new SplittableRandom(seed);
         HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 4, 0.4, new Membership.Terms(0.5, 3, 3600),
-                List.of(new Budget("hall", Subject.Kind.INSTANCE, "", budget, 1)), new HallWorld.Roll(
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
+                new HallWorld.Roll(
                         new Fleet(members, 0.8, Map.of(), chance.split()), Supervisor.GOOD, 2, DOWN, Set.of()));
         HallWorld world = new HallWorld(s, setup, Plant.NONE).open();
         world.time().runUntil(30);
@@ -465,7 +468,7 @@
                 List.of(),
                 0);
         HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 4, 0.4, new Membership.Terms(0.5, 3, 3600),
-                List.of(new Budget("hall", Subject.Kind.INSTANCE, "", Math.max(1, members / 10), 1)),
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", Math.max(1, members / 10), 1)),
                 new HallWorld.Roll(new Fleet(members, 0.8, Map.of("B", q), new SplittableRandom(seed)),
                         Supervisor.GOOD, 2, DOWN, Set.of()));
         HallWorld world = new HallWorld(s, setup, Plant.NONE).open();
--- a/src/main/java/topazladder/experiment/VirtualEpisode.java
+++ b/src/main/java/topazladder/experiment/VirtualEpisode.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.Fleet;
 import topazladder.emulator.hall.HallWorld;
 import topazladder.emulator.hall.Plant;
@@ -41,7 +41,7 @@
                 f.seconds(), f.amount())));
         Schedule s = new Schedule(seed, members, e.schedule().voters(), e.schedule().clocks(), List.copyOf(faults), 0);
         world = new HallWorld(s, new HallWorld.Setup(members, s.voters(), 3, 3, 0.3, new Membership.Terms(0.6, 3, 3600),
-                List.of(new Budget("hall", Subject.Kind.INSTANCE, "", Math.max(1, members / 10), 1)),
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", Math.max(1, members / 10), 1)),
                 new HallWorld.Roll(fleet, Supervisor.GOOD, 4, 2, Set.of())), Plant.NONE).open();
         world.time().runUntil(BEGIN);
         world.ledger().measureAnew();
--- a/src/main/java/topazladder/experiment/WorstExperiment.java
+++ b/src/main/java/topazladder/experiment/WorstExperiment.java
@@ -11,9 +11,9 @@
 import java.util.SplittableRandom;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
-import topazladder.config.ScheduleFile;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
+import topazladder.config.FaultScheduleFile;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.Fleet;
 import topazladder.emulator.hall.HallWorld;
 import topazladder.emulator.hall.Plant;
@@ -60,7 +60,8 @@
         Fleet fleet = new Fleet(s.processes(), 0.6, Map.of(), new SplittableRandom(s.seed()));
         int budget = Math.max(1, s.processes() / 4);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(s.processes(), s.voters(), 2, 2, 0.2,
-                new Membership.Terms(0.3, 3, 3600), List.of(new Budget("hall", Subject.Kind.INSTANCE, "", budget, 1)),
+                new Membership.Terms(0.3, 3, 3600),
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
                 new HallWorld.Roll(fleet, Supervisor.GOOD, 2, 2, Set.of())), Plant.NONE).open();
         world.time().runUntil(5.9);
         world.mostOut();
@@ -117,7 +118,7 @@
             });
             if (breaks) {
                 bad.add((long) m.ordinal());
-                System.err.println(m + ": " + broken + "\n" + ScheduleFile.text(shortest));
+                System.err.println(m + ": " + broken + "\n" + FaultScheduleFile.text(shortest));
             }
             if (folder != null) {
                 Files.createDirectories(folder);
@@ -125,7 +126,7 @@
                         + ".txtpb"), "# " + m.name().toLowerCase(Locale.ROOT) + " of " + members + " members, found"
                                 + " from seed " + seed + ": " + String.format(Locale.ROOT, "%.2f",
                                         value.applyAsDouble(play(shortest)))
-                                + "\n" + ScheduleFile.text(shortest));
+                                + "\n" + FaultScheduleFile.text(shortest));
             }
             out.append(String.format(Locale.ROOT, "| %s | %d | %.2f | %.2f | %d | %d | %.2f | %s |%n",
                     m.name().toLowerCase(Locale.ROOT), members, start, most, worst.faults().size(),
--- a/src/main/java/topazladder/faults/TicketLedger.java
+++ b/src/main/java/topazladder/faults/RequestLedger.java
@@ -9,22 +9,22 @@
 import java.util.Map;
 
 /**
- * What became of tickets, as callers and runtimes see it: one answer each by its time, no fingerprinted one run twice
+ * What became of requests, as callers and runtimes see it: one answer each by its time, no fingerprinted one run twice
  * by one instance, none that was read left behind by a drain. What an instance could not do because its process stood
  * still or was killed is not held against it.
  */
-public final class TicketLedger {
+public final class RequestLedger {
     /**
-     * Part of the tickets that may have no answer in their time. The operators' bench has 3 in 1000, on a clock of its
+     * Part of the requests that may have no answer in their time. The operators' bench has 3 in 1000, on a clock of its
      * own; here dozens of processes start and compile on a few cores beside each other.
      */
     private static final double MOST_LATE = 0.02;
-    /** Of few tickets a single one says nothing. */
+    /** Of few requests a single one says nothing. */
     private static final long FEW = 5;
     /** Seconds past its time in which an answer may still be on its way. */
     private static final double SLACK = 0.5;
     private static final double WINDOW = 13.6;
-    /** Seconds before its due time within which a process that stood still is excused of a ticket. */
+    /** Seconds before its due time within which a process that stood still is excused of a request. */
     private static final double EXCUSED = 3;
     private static final int MOST_BREAKS = 20;
 
@@ -41,7 +41,7 @@
     private long dropped;
     private long excused;
 
-    public TicketLedger(int instances) {
+    public RequestLedger(int instances) {
         excusedUntil = new double[instances];
         Arrays.fill(excusedUntil, Double.NEGATIVE_INFINITY);
         leftOpen = new int[instances];
@@ -85,7 +85,7 @@
         broken(now, "n" + instance + " answers what it has answered, or what was not asked: " + what);
     }
 
-    /** A connection has ended with so many tickets open. */
+    /** A connection has ended with so many requests open. */
     public void closed(int instance, int open) {
         leftOpen[instance] += open;
     }
@@ -101,7 +101,7 @@
         excusedUntil[instance] = still ? Double.POSITIVE_INFINITY : now;
     }
 
-    /** A run begins for a fingerprinted ticket. */
+    /** A run begins for a fingerprinted request. */
     public void ran(int instance, double now, String fingerprint, String ref) {
         Map<String, Run> of = runs.get(instance);
         of.values().removeIf(r -> now - r.at() > WINDOW);
--- a/src/main/java/topazladder/hall/ConductorNode.java
+++ b/src/main/java/topazladder/hall/ConductorNode.java
@@ -6,7 +6,7 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
-import topazladder.duty.Member;
+import topazladder.lease.MemberIdentity;
 import topazladder.release.Conductor;
 import topazladder.release.ReleaseOp;
 import topazladder.service.Timers;
@@ -19,7 +19,7 @@
     private static final double BEAT = 0.5;
     private static final double PATIENCE = 1.5;
 
-    private final Member here;
+    private final MemberIdentity here;
     private final String duty;
     private final Timers timers;
     private final DoubleSupplier clock;
@@ -33,7 +33,7 @@
     private boolean answered;
 
     /** @param maker of what decides; trials plant one that errs */
-    public ConductorNode(Member here, String duty, Timers timers, DoubleSupplier clock, LongSupplier timeOfDay,
+    public ConductorNode(MemberIdentity here, String duty, Timers timers, DoubleSupplier clock, LongSupplier timeOfDay,
             MemberNode member, Function<ReleaseOp.By, Conductor> maker) {
         this.here = here;
         this.duty = duty;
--- a/src/main/java/topazladder/hall/HallTerms.java
+++ b/src/main/java/topazladder/hall/HallTerms.java
@@ -1,8 +1,8 @@
 package topazladder.hall;
 
 import java.util.List;
-import topazladder.drain.Budget;
-import topazladder.duty.DutyTerms;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.lease.LeaseSettings;
 import topazladder.membership.Membership;
 
 /**
@@ -20,8 +20,8 @@
  * @param mayHold whether this member takes duties at all
  */
 public record HallTerms(String name, String address, String hall, List<String> seeds, List<String> voters,
-        double heartbeat, List<DutyTerms> duties, boolean mayHold, Membership.Terms membership,
-        List<Budget> budgets, int schema) {
+        double heartbeat, List<LeaseSettings> duties, boolean mayHold, Membership.Terms membership,
+        List<DisruptionBudget> budgets, int schema) {
 
     public boolean votes() {
         return voters.contains(name);
--- a/src/main/java/topazladder/hall/MemberNode.java
+++ b/src/main/java/topazladder/hall/MemberNode.java
@@ -10,17 +10,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.below.Use;
-import topazladder.drain.Permits;
-import topazladder.drain.Serving;
-import topazladder.drain.Subject;
-import topazladder.duty.Holder;
-import topazladder.duty.Member;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.disruption.LoadReport;
+import topazladder.lease.LeaseHolder;
+import topazladder.lease.MemberIdentity;
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
 import topazladder.service.Timers;
 
 /**
- * A member of a hall without I/O: who is there, and what it holds. It never asks the group anything on a ticket's
+ * A member of a hall without I/O: who is there, and what it holds. It never asks the group anything on a request's
  * path. All calls come on one thread.
  */
 public final class MemberNode {
@@ -70,7 +70,7 @@
     private final DoubleSupplier clock;
     private final World world;
     private final Membership membership;
-    private final Holder holder;
+    private final LeaseHolder holder;
     private final Guide guide;
     private double lastHint = Double.NEGATIVE_INFINITY;
     private Saying.LeaderIs toldOf;
@@ -81,13 +81,13 @@
     private double wellSince;
     private boolean over;
     private long wake;
-    private Serving serving = Serving.NOTHING;
+    private LoadReport serving = LoadReport.NOTHING;
     private double answeredAt = Double.NEGATIVE_INFINITY;
     private Use below; // null where this instance calls no servers below, or only one
     private double lastNews = Double.NEGATIVE_INFINITY;
 
     /** @param holder made for the same member; handed in so that trials can plant one that errs */
-    public MemberNode(HallTerms terms, Holder holder, Timers timers, DoubleSupplier clock, RandomGenerator chance,
+    public MemberNode(HallTerms terms, LeaseHolder holder, Timers timers, DoubleSupplier clock, RandomGenerator chance,
             World world) {
         this.terms = terms;
         this.holder = holder;
@@ -104,7 +104,7 @@
         wake();
     }
 
-    public Member here() {
+    public MemberIdentity here() {
         return holder.here();
     }
 
@@ -112,7 +112,7 @@
         return membership;
     }
 
-    public Holder holder() {
+    public LeaseHolder holder() {
         return holder;
     }
 
@@ -132,7 +132,7 @@
 
     /** The duty has come to its end; {@code failed} says why it could not be done, or is null. */
     public void stopped(String duty, long token, String failed) {
-        duties(holder.stopped(clock.getAsDouble(), duty, token, failed));
+        duties(holder.taskStopped(clock.getAsDouble(), duty, token, failed));
         wake();
     }
 
@@ -140,7 +140,7 @@
     public void leave() {
         leaving = true;
         sayLeaving();
-        duties(holder.leave(clock.getAsDouble()));
+        duties(holder.shutDown(clock.getAsDouble()));
         wake();
     }
 
@@ -154,7 +154,7 @@
 
     /** Whether nothing is left to hand over. */
     public boolean clear() {
-        return holder.clear() || terms.voters().isEmpty();
+        return holder.isIdle() || terms.voters().isEmpty();
     }
 
     /** The last that is done: says good-bye, and does nothing any more. */
@@ -183,7 +183,7 @@
         } else if (what instanceof Saying.Answering a) {
             guide.answeredBy(from);
             answeredAt = now;
-            duties(holder.answered(now, a.answer()));
+            duties(holder.handleResponse(now, a.answer()));
         } else if (what instanceof Saying.LeaderIs l) {
             // Two that each believe in the other must not be asked in turn as fast as the link can.
             if (!l.address().isEmpty()) {
@@ -191,7 +191,7 @@
             }
             if (guide.told(from, l.name()) && now - lastHint > HINTS_APART) {
                 lastHint = now;
-                duties(holder.nudged(now));
+                duties(holder.wakeUp(now));
             }
         } else if (what instanceof Saying.MayGo m && !leaving && !agreed) {
             world.say(from, addressOf(from), new Saying.Going(here(), m.token()));
@@ -208,7 +208,7 @@
             }
         } else if (what instanceof Saying.Nudge) {
             guide.answeredBy(from);
-            duties(holder.nudged(now));
+            duties(holder.wakeUp(now));
         }
         wake();
     }
@@ -217,7 +217,7 @@
         double now = clock.getAsDouble();
         boolean steady = wellSaid && now - wellSince >= STEADY_AFTER && membership.health() < MOST_UNWELL;
         membership.steady(steady);
-        duties(holder.steady(now, steady && terms.mayHold() && !terms.voters().isEmpty()));
+        duties(holder.setSteady(now, steady && terms.mayHold() && !terms.voters().isEmpty()));
     }
 
     /** One timer at a time: the earliest of what is due. */
@@ -226,7 +226,8 @@
             return;
         }
         double now = clock.getAsDouble();
-        double in = Math.min(membership.next(now), terms.voters().isEmpty() ? Double.MAX_VALUE : holder.next(now));
+        double in =
+                Math.min(membership.next(now), terms.voters().isEmpty() ? Double.MAX_VALUE : holder.nextDeadline(now));
         long mine = ++wake;
         timers.in(Math.min(in, STEADY_AFTER), () -> {
             if (mine == wake && !over) {
@@ -251,12 +252,12 @@
         }
     }
 
-    private void duties(List<Holder.Step> steps) {
+    private void duties(List<LeaseHolder.Step> steps) {
         if (terms.voters().isEmpty()) {
             return;
         }
-        for (Holder.Step step : steps) {
-            if (step instanceof Holder.Step.Send s) {
+        for (LeaseHolder.Step step : steps) {
+            if (step instanceof LeaseHolder.Step.Send s) {
                 if (s.another()) {
                     guide.another();
                 }
@@ -270,10 +271,10 @@
                 } else {
                     world.say(whom, addressOf(whom), ask);
                 }
-            } else if (step instanceof Holder.Step.Start s) {
+            } else if (step instanceof LeaseHolder.Step.Start s) {
                 LOG.info("{} takes {} under token {}", here(), s.duty(), s.token());
                 world.start(s.duty(), s.token());
-            } else if (step instanceof Holder.Step.Stop s) {
+            } else if (step instanceof LeaseHolder.Step.Stop s) {
                 LOG.info("{} stops {} under token {}: {}", here(), s.duty(), s.token(), s.why());
                 world.stop(s.duty(), s.token(), s.by());
             }
@@ -286,7 +287,7 @@
     }
 
     /** What the instance did of late; goes with the next ask. */
-    public void serving(Serving now) {
+    public void serving(LoadReport now) {
         serving = now;
     }
 
@@ -300,7 +301,7 @@
         double now = clock.getAsDouble();
         if (below != null && now - lastNews > HINTS_APART && below.news(now) && !over) {
             lastNews = now;
-            duties(holder.nudged(now));
+            duties(holder.wakeUp(now));
             wake();
         }
     }
@@ -319,22 +320,24 @@
     }
 
     /** How the instances look from this one; a leader goes by it. */
-    public Map<Subject, Permits.Seen> looks() {
-        Map<Subject, Permits.Seen> looks = new HashMap<>();
+    public Map<DisruptionTarget, DisruptionController.Seen> looks() {
+        Map<DisruptionTarget, DisruptionController.Seen> looks = new HashMap<>();
         for (Standing s : membership.others()) {
-            looks.put(subject(s), new Permits.Seen(!s.there() ? Permits.Look.GONE
-                    : s.state() == Standing.State.SUSPECTED ? Permits.Look.SUSPECTED
-                            : s.steady() ? Permits.Look.STEADY : Permits.Look.UNSTEADY,
+            looks.put(subject(s), new DisruptionController.Seen(!s.there() ? DisruptionController.Look.GONE
+                    : s.state() == Standing.State.SUSPECTED ? DisruptionController.Look.SUSPECTED
+                            : s.steady() ? DisruptionController.Look.STEADY : DisruptionController.Look.UNSTEADY,
                     s.life()));
         }
         Standing self = membership.self();
-        looks.put(subject(self), new Permits.Seen(self.steady() ? Permits.Look.STEADY : Permits.Look.UNSTEADY,
-                self.life()));
+        looks.put(subject(self),
+                new DisruptionController.Seen(
+                        self.steady() ? DisruptionController.Look.STEADY : DisruptionController.Look.UNSTEADY,
+                        self.life()));
         return looks;
     }
 
-    private static Subject subject(Standing s) {
-        return new Subject(Subject.Kind.INSTANCE, s.name(), s.hall());
+    private static DisruptionTarget subject(Standing s) {
+        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, s.name(), s.hall());
     }
 
     private String addressOf(String name) {
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import topazladder.drain.Budget;
-import topazladder.drain.Permits;
-import topazladder.drain.Subject;
-import topazladder.group.Endpoint;
-import topazladder.group.Seat;
+import topazladder.consensus.ConsensusReplica;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.release.Place;
 import topazladder.release.Plan;
 import topazladder.release.ReleaseOp;
@@ -27,11 +27,11 @@
     private static final int KNOWS_RELEASES = 2;
     private static final String CONDUCTING_LEASE = "release";
 
-    private final Seat seat;
+    private final ConsensusReplica replica;
     private final Plan plan;
 
-    private ReleaseStart(Seat seat, Plan plan) {
-        this.seat = seat;
+    private ReleaseStart(ConsensusReplica replica, Plan plan) {
+        this.replica = replica;
         this.plan = plan;
     }
 
@@ -48,20 +48,20 @@
         }
     }
 
-    public static Decision decide(Seat seat, Plan plan, ReleaseOp.By by) {
-        return new ReleaseStart(seat, plan).decide(by);
+    public static Decision decide(ConsensusReplica replica, Plan plan, ReleaseOp.By by) {
+        return new ReleaseStart(replica, plan).decide(by);
     }
 
     private Decision decide(ReleaseOp.By by) {
-        if (!seat.settled()) {
+        if (!replica.settled()) {
             return new Decision(null, "the leader has not led for long enough to know every member; try again soon");
         }
-        View view = seat.view();
+        View view = replica.view();
         String refusal = refusal(view);
         if (refusal != null) {
             return new Decision(null, refusal);
         }
-        Set<String> voting = seat.voting().stream().map(Endpoint::name).collect(Collectors.toSet());
+        Set<String> voting = replica.voting().stream().map(VoterEndpoint::name).collect(Collectors.toSet());
         List<Place> places = new ArrayList<>();
         for (View.Sight member : view.members()) {
             places.add(new Place(member.name(), member.zone(), voting.contains(member.name()), 0, Place.Stage.LEFT, 0));
@@ -71,33 +71,33 @@
 
     /** What would stop it in the middle is better known before its first step. */
     private String refusal(View view) {
-        List<String> unread = seat.voting().stream().map(Endpoint::name)
-                .filter(name -> seat.permits().schema(name) < KNOWS_RELEASES).toList();
-        if (2 * unread.size() >= seat.voting().size()) {
+        List<String> unread = replica.voting().stream().map(VoterEndpoint::name)
+                .filter(name -> replica.permits().schemaOf(name) < KNOWS_RELEASES).toList();
+        if (2 * unread.size() >= replica.voting().size()) {
             return "the voters " + unread + " can't read releases; start them in a version that can";
         }
-        if (seat.ledger().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
+        if (replica.ledger().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
             return "no duty named release conducts here";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
     }
 
     private String refusalBy(View.Sight member) {
-        if (member.look() == Permits.Look.GONE) {
+        if (member.look() == DisruptionController.Look.GONE) {
             return member.name() + " is not there; give it up first, or start it";
         }
         String runs = member.serving() == null ? "" : member.serving().version();
         if (!runs.equals(plan.from()) && !runs.equals(plan.to())) {
             return member.name() + " runs '" + runs + "', neither " + plan.from() + " nor " + plan.to();
         }
-        Subject subject = new Subject(Subject.Kind.INSTANCE, member.name(), member.zone());
-        List<Budget> covering = seat.outs().budgets().stream().filter(b -> b.covers(subject)).toList();
+        DisruptionTarget subject = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.zone());
+        List<DisruptionBudget> covering = replica.outs().budgets().stream().filter(b -> b.covers(subject)).toList();
         boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.most() == 0);
         return mayGo ? null : "no budget lets " + member.name() + " go";
     }
 
     private String conductor() {
-        return seat.ledger().all().stream().filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
+        return replica.ledger().all().stream().filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
                 .map(d -> d.holder().name()).findFirst().orElse("");
     }
 }
--- a/src/main/java/topazladder/hall/Saying.java
+++ b/src/main/java/topazladder/hall/Saying.java
@@ -4,11 +4,11 @@
 import java.util.List;
 import topazladder.below.Report;
 import topazladder.below.Word;
-import topazladder.drain.Serving;
-import topazladder.duty.Answer;
-import topazladder.duty.Ask;
-import topazladder.duty.Member;
-import topazladder.group.Endpoint;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.disruption.LoadReport;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.MemberIdentity;
 import topazladder.membership.Gossip;
 import topazladder.release.ReleaseOp;
 import topazladder.release.View;
@@ -29,9 +29,10 @@
      * @param serving what it did of late
      * @param below how the servers below look to it; none where it calls none
      */
-    record Asking(Ask ask, String address, int schema, Serving serving, List<Report> below) implements Saying {
+    record Asking(LeaseRequest ask, String address, int schema, LoadReport serving,
+            List<Report> below) implements Saying {
 
-        public Asking(Ask ask, String address, int schema, Serving serving) {
+        public Asking(LeaseRequest ask, String address, int schema, LoadReport serving) {
             this(ask, address, schema, serving, List.of());
         }
     }
@@ -44,7 +45,7 @@
     record Belows(long term, List<Word> words) implements Saying {
     }
 
-    record Answering(Answer answer) implements Saying {
+    record Answering(LeaseResponse answer) implements Saying {
     }
 
     /**
@@ -66,7 +67,7 @@
     record MayGo(long token) implements Saying {
     }
 
-    record Going(Member from, long token) implements Saying {
+    record Going(MemberIdentity from, long token) implements Saying {
     }
 
     /** It is written down that it goes: it goes now, and comes back as that version; empty for as it is. */
@@ -78,22 +79,22 @@
      *
      * @param doing in words, for operators
      */
-    record Conduct(Member from, long number, List<ReleaseOp> ops, String doing) implements Saying {
+    record Conduct(MemberIdentity from, long number, List<ReleaseOp> ops, String doing) implements Saying {
     }
 
     record Conducted(long number, View view) implements Saying {
     }
 
     /** Told to leave by somebody else, it goes and says so. */
-    record Leaving(Member from, String by) implements Saying {
+    record Leaving(MemberIdentity from, String by) implements Saying {
     }
 
     /** A voter with an empty folder asks to vote under its new birth. */
-    record AsksToVote(Endpoint who) implements Saying {
+    record AsksToVote(VoterEndpoint who) implements Saying {
     }
 
     /** The group has taken it in; who founded it, and how often it was formed anew. */
-    record TakenIn(Endpoint who, List<Endpoint> first, long formed) implements Saying {
+    record TakenIn(VoterEndpoint who, List<VoterEndpoint> first, long formed) implements Saying {
     }
 
     /** An operator's command, by {@link Command}. */
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -9,17 +9,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.below.Verdicts;
-import topazladder.drain.Permits;
-import topazladder.drain.Subject;
-import topazladder.duty.Allotter;
-import topazladder.duty.Answer;
-import topazladder.duty.DutyLedger.Outcome;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
-import topazladder.group.Agreed;
-import topazladder.group.Endpoint;
-import topazladder.group.Seat;
-import topazladder.group.VoterStore;
+import topazladder.consensus.ConsensusReplica;
+import topazladder.consensus.ReplicatedState;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.consensus.VoterStore;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseManager;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.LeaseStateMachine.Outcome;
+import topazladder.lease.MemberIdentity;
 import topazladder.service.Timers;
 
 /**
@@ -55,24 +55,27 @@
     private final DoubleSupplier clock;
     private final RandomGenerator chance;
     private final World world;
-    private final Agreed agreed;
-    private final Allotter allotter;
-    private final Permits permits;
+    private final ReplicatedState agreed;
+    private final LeaseManager leaseManager;
+    private final DisruptionController permits;
     private final Verdicts verdicts;
-    private Seat.Terms seatTerms;
-    private Seat seat;
-    private Endpoint newborn;
+    private ConsensusReplica.Terms replicaTerms;
+    private ConsensusReplica replica;
+    private VoterEndpoint newborn;
     private Phase phase = Phase.ASKING_TO_VOTE;
     private String doing = "";
 
     public VoterNode(HallTerms terms, VoterStore store, Timers timers, DoubleSupplier clock, RandomGenerator chance,
             World world) {
-        this(terms, store, timers, clock, chance, world, new Agreed(), null, null, null);
+        this(terms, store, timers, clock, chance, world, new ReplicatedState(), null, null, null);
     }
 
-    /** @param allotter and what is behind it, of what is agreed, or null for the usual; trials plant ones that err */
+    /**
+     * @param leaseManager and what is behind it, of what is agreed, or null for the usual; trials plant ones that err
+     */
     public VoterNode(HallTerms terms, VoterStore store, Timers timers, DoubleSupplier clock, RandomGenerator chance,
-            World world, Agreed agreed, Allotter allotter, Permits permits, Verdicts verdicts) {
+            World world, ReplicatedState agreed, LeaseManager leaseManager, DisruptionController permits,
+            Verdicts verdicts) {
         this.terms = terms;
         this.store = store;
         this.timers = timers;
@@ -80,10 +83,11 @@
         this.chance = chance;
         this.world = world;
         this.agreed = agreed;
-        this.allotter = allotter == null ? new Allotter(agreed.duties()) : allotter;
-        this.permits = permits == null ? new Permits(agreed.outs(), LOST_AFTER * terms.heartbeat()) : permits;
+        this.leaseManager = leaseManager == null ? new LeaseManager(agreed.duties()) : leaseManager;
+        this.permits =
+                permits == null ? new DisruptionController(agreed.outs(), LOST_AFTER * terms.heartbeat()) : permits;
         this.verdicts = verdicts == null ? new Verdicts(agreed.outs()) : verdicts;
-        seatTerms = new Seat.Terms(terms.voters(), terms.heartbeat(), terms.duties(), terms.budgets());
+        replicaTerms = new ConsensusReplica.Terms(terms.voters(), terms.heartbeat(), terms.duties(), terms.budgets());
     }
 
     public Phase phase() {
@@ -91,15 +95,15 @@
     }
 
     /** Null while it has none. */
-    public Seat seat() {
-        return seat;
+    public ConsensusReplica replica() {
+        return replica;
     }
 
     public void open() {
         if (store.founding() != null) {
             take();
         } else {
-            newborn = new Endpoint(terms.name(), 1 + (chance.nextLong() >>> 2));
+            newborn = new VoterEndpoint(terms.name(), 1 + (chance.nextLong() >>> 2));
             LOG.warn("{} has an empty folder: it asks to be taken in as {}", terms.name(), newborn);
             askToVote();
         }
@@ -115,23 +119,23 @@
 
     private void take() {
         phase = Phase.SEATED;
-        if (seat != null) {
-            seat.close(() -> {});
+        if (replica != null) {
+            replica.close(() -> {});
         }
-        seat = new Seat(store, seatTerms, timers, clock, chance, new Seat.World() {
-            @Override public void send(Endpoint to, RaftMessage message) {
+        replica = new ConsensusReplica(store, replicaTerms, timers, clock, chance, new ConsensusReplica.World() {
+            @Override public void send(VoterEndpoint to, RaftMessage message) {
                 world.say(to.name(), new Saying.Consensus(message));
             }
 
-            @Override public void reply(Member to, Answer answer) {
+            @Override public void reply(MemberIdentity to, LeaseResponse answer) {
                 world.say(to.name(), new Saying.Answering(answer));
                 if (verdicts.watches(to.name())) {
-                    world.say(to.name(), new Saying.Belows(seat.term(), verdicts.words(clock.getAsDouble(), to
+                    world.say(to.name(), new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to
                             .name())));
                 }
             }
 
-            @Override public void nudge(Member to) {
+            @Override public void nudge(MemberIdentity to) {
                 world.say(to.name(), new Saying.Nudge());
             }
 
@@ -146,15 +150,16 @@
             @Override public void failed(Throwable why) {
                 VoterNode.this.failed(why);
             }
-        }, agreed, allotter, permits, verdicts);
-        seat.start();
+        }, agreed, leaseManager, permits, verdicts);
+        replica.start();
     }
 
     /**
-     * What was flushed is still true: nothing was answered for that was not. So it may take its seat again from that.
+     * What was flushed is still true: nothing was answered for that was not. So it may take its replica again from
+     * that.
      */
     private void failed(Throwable why) {
-        if (!seatTerms.voters().contains(terms.name())) {
+        if (!replicaTerms.voters().contains(terms.name())) {
             // The library ends where its voter is taken out, which the settings asked for.
             phase = Phase.RETIRED;
             LOG.info("{} votes no more", terms.name());
@@ -172,9 +177,9 @@
     }
 
     public void replace(HallTerms next) {
-        seatTerms = new Seat.Terms(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
-        if (seat != null) {
-            seat.replace(seatTerms);
+        replicaTerms = new ConsensusReplica.Terms(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
+        if (replica != null) {
+            replica.replace(replicaTerms);
         }
     }
 
@@ -186,7 +191,7 @@
             done.run();
         };
         if (before == Phase.SEATED) {
-            seat.close(end);
+            replica.close(end);
         } else {
             end.run();
         }
@@ -199,40 +204,40 @@
         } else if (phase != Phase.SEATED) {
             return; // whoever asks finds another voter
         } else if (what instanceof Saying.Consensus c) {
-            seat.handle(c.message());
+            replica.handle(c.message());
         } else if (what instanceof Saying.Asking a) {
-            if (seat.leading()) {
-                seat.says(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
+            if (replica.leading()) {
+                replica.says(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
                 verdicts.says(clock.getAsDouble(), a.ask().from().name(), a.below());
-                seat.ask(a.ask());
+                replica.ask(a.ask());
             } else {
                 elsewhere(from);
             }
         } else if (what instanceof Saying.Conduct c) {
-            if (seat.leading()) {
+            if (replica.leading()) {
                 doing = c.doing();
-                seat.conduct(c.ops(), view -> world.say(from, new Saying.Conducted(c.number(), view)));
+                replica.conduct(c.ops(), view -> world.say(from, new Saying.Conducted(c.number(), view)));
             } else {
                 elsewhere(from);
             }
         } else if (what instanceof Saying.Going g) {
-            seat.going(g.from(), g.token());
+            replica.going(g.from(), g.token());
         } else if (what instanceof Saying.Leaving l) {
-            seat.leaving(l.from(), l.by());
+            replica.leaving(l.from(), l.by());
         } else if (what instanceof Saying.AsksToVote v) {
             // Any voter may tell it that it is one, since the leader that took it in may be gone by now.
-            if (seat.voting().contains(v.who())) {
+            if (replica.voting().contains(v.who())) {
                 VoterStore.Founding f = store.founding();
                 world.say(from, new Saying.TakenIn(v.who(), f.first(), f.formed()));
             } else {
-                seat.asksToVote(v.who());
+                replica.asksToVote(v.who());
             }
         }
     }
 
     private void elsewhere(String from) {
-        Endpoint leader = seat.leader();
-        world.say(from, new Saying.LeaderIs(leader == null || leader.equals(seat.here()) ? "" : leader.name()));
+        VoterEndpoint leader = replica.leader();
+        world.say(from, new Saying.LeaderIs(leader == null || leader.equals(replica.here()) ? "" : leader.name()));
     }
 
     /** How the servers below look to all, for operators; of use only while this voter leads. */
@@ -259,18 +264,18 @@
     }
 
     /** How the instances look from this member. */
-    public void seen(Map<Subject, Permits.Seen> looks) {
-        if (seat != null && phase == Phase.SEATED) {
-            seat.seen(looks);
+    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
+        if (replica != null && phase == Phase.SEATED) {
+            replica.seen(looks);
         }
     }
 
     /** An operator's wish; only the leader can carry it out. */
-    public void propose(Op op, Consumer<Outcome> then) {
-        if (seat == null || phase != Phase.SEATED) {
+    public void propose(LeaseCommand op, Consumer<Outcome> then) {
+        if (replica == null || phase != Phase.SEATED) {
             then.accept(new Outcome(0, "this voter has no seat"));
         } else {
-            seat.propose(op, then);
+            replica.propose(op, then);
         }
     }
 }
--- a/src/main/java/topazladder/knowledge/Fact.java
+++ b/src/main/java/topazladder/knowledge/Fact.java
@@ -1,6 +1,6 @@
 package topazladder.knowledge;
 
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate.Kind;
 
 /**
  * What one origin learned of one subject, at one moment.
--- a/src/main/java/topazladder/knowledge/Knowledge.java
+++ b/src/main/java/topazladder/knowledge/Knowledge.java
@@ -14,8 +14,8 @@
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
 import topazladder.knowledge.Fact.Key;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
 
 /**
  * What was learned by whom, as an immutable set of facts: one is read or sent while the next is made of it, and
@@ -25,7 +25,7 @@
 public final class Knowledge {
     /** Origins whose facts are kept: the median of so many is not moved by a few that are wrong. */
     static final int MOST_ORIGINS = 12;
-    /** Facts kept of one origin: kinds and offerings, with room to spare. */
+    /** Facts kept of one origin: kinds and request classes, with room to spare. */
     static final int MOST_OF_ONE = 64;
     /** Past this a fact is forgotten. */
     private static final double FORGOTTEN = 0.1;
@@ -104,7 +104,7 @@
      * What all of it comes to on one machine at one moment, one value a kind and subject: the weighted median, as one
      * origin that was itself in trouble must not pull the others along. What this very process told is left out.
      */
-    public List<Learned> seenFrom(Origin here, double now) {
+    public List<LearnedEstimate> seenFrom(Origin here, double now) {
         record At(Kind kind, String subject) {
         }
 
@@ -114,7 +114,7 @@
                 groups.computeIfAbsent(new At(f.kind(), f.subject()), k -> new ArrayList<>()).add(f);
             }
         }
-        List<Learned> all = new ArrayList<>();
+        List<LearnedEstimate> all = new ArrayList<>();
         groups.forEach((at, group) -> {
             Nature nature = Nature.of(at.kind());
             Map<Double, Double> weightByValue = new TreeMap<>();
@@ -129,7 +129,7 @@
             }
             double weight = weightByValue.values().stream().mapToDouble(w -> w).sum();
             if (weight >= nature.least()) {
-                all.add(new Learned(at.kind(), at.subject(), median(weightByValue, weight),
+                all.add(new LearnedEstimate(at.kind(), at.subject(), median(weightByValue, weight),
                         Math.min(nature.most(), weight), age));
             }
         });
--- a/src/main/java/topazladder/knowledge/Learning.java
+++ b/src/main/java/topazladder/knowledge/Learning.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.DoubleSupplier;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
 
 /**
  * What one instance knows by others and passes on. The module takes each kind and subject once: taken again, the same
@@ -18,7 +18,7 @@
     private final Origin here;
     private final DoubleSupplier clock;
     private final Set<Kind> leftOut;
-    /** Bounded by kinds and offerings. */
+    /** Bounded by kinds and request classes. */
     private final Set<String> handedOver = new HashSet<>();
     private Knowledge heard = Knowledge.NONE;
     private long tellings;
@@ -42,9 +42,9 @@
     }
 
     /** What the module was not told yet, as it holds here and now. */
-    public List<Learned> forTheModule() {
-        List<Learned> fresh = new ArrayList<>();
-        for (Learned l : heard.seenFrom(here, clock.getAsDouble())) {
+    public List<LearnedEstimate> forTheModule() {
+        List<LearnedEstimate> fresh = new ArrayList<>();
+        for (LearnedEstimate l : heard.seenFrom(here, clock.getAsDouble())) {
             if (!leftOut.contains(l.kind()) && handedOver.add(l.kind() + "/" + l.subject())) {
                 fresh.add(l);
             }
@@ -53,7 +53,7 @@
     }
 
     /** What is given to whoever asks: the own facts as they are now, and those heard of others with their origins. */
-    public Knowledge toTell(Collection<Learned> own) {
+    public Knowledge toTell(Collection<LearnedEstimate> own) {
         double now = clock.getAsDouble();
         long version = ++tellings;
         heard = heard.bounded(now);
--- a/src/main/java/topazladder/knowledge/Nature.java
+++ b/src/main/java/topazladder/knowledge/Nature.java
@@ -3,7 +3,7 @@
 import java.util.EnumMap;
 import java.util.Map;
 import java.util.OptionalDouble;
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate.Kind;
 
 /**
  * What holds of one kind of fact wherever it was learned: how soon it is out of date, how many events it may stand for
@@ -17,7 +17,7 @@
 
     /** How a value changes from the machine it was learned on to another. */
     enum Carry {
-        /** The same for all: it lies in the tickets, or below. */
+        /** The same for all: it lies in the requests, or below. */
         AS_IS,
         /** Shorter on faster cores. */
         BY_SPEED,
@@ -33,9 +33,9 @@
     private static final Map<Kind, Nature> ALL = new EnumMap<>(Map.of(
             // Runs differ with the bodies more than with the hour; three own ones say more of this machine.
             Kind.RUN_TIME, new Nature(600, 3, 1, Carry.BY_SPEED, 0.25),
-            Kind.CALLS_IN_HAND, new Nature(300, 10, 5, Carry.SAME_CORES, 0),
+            Kind.CALLS_IN_FLIGHT, new Nature(300, 10, 5, Carry.SAME_CORES, 0),
             // Another mix of work is finished at another rate.
-            Kind.OUTGOING, new Nature(60, 1000, 10, Carry.BY_POWER, 0)));
+            Kind.COMPLETION_RATE, new Nature(60, 1000, 10, Carry.BY_POWER, 0)));
 
     static Nature of(Kind kind) {
         return ALL.get(kind);
--- a/src/main/java/topazladder/knowledge/Origin.java
+++ b/src/main/java/topazladder/knowledge/Origin.java
@@ -6,7 +6,7 @@
  *
  * @param cores of its machine
  * @param coreSpeed beside the installation's yardstick of 1; 0 where nobody knows
- * @param settings digest of the offerings and of what lies below; facts of another mix of work hold less
+ * @param settings digest of the request classes and of what lies below; facts of another mix of work hold less
  */
 public record Origin(String name, long incarnation, double cores, double coreSpeed, long settings) {
 
--- a/src/main/java/topazladder/duty/Holder.java
+++ b/src/main/java/topazladder/lease/LeaseHolder.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,16 +7,16 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.TreeMap;
-import topazladder.duty.Answer.Lease;
-import topazladder.duty.Ask.Held;
-import topazladder.duty.Ask.Stopped;
+import topazladder.lease.LeaseRequest.Held;
+import topazladder.lease.LeaseRequest.Stopped;
+import topazladder.lease.LeaseResponse.Lease;
 
 /**
  * A member's side of duties: asks the group, counts its leases from before each ask, starts and stops what it holds. It
  * goes by one clock that never runs backwards and that counts while the process is stalled; whoever has an effect to
  * make asks {@link #token} just before it and hands the token to whatever is touched.
  */
-public class Holder {
+public class LeaseHolder {
     /** Parts of a lease after which it is renewed. */
     private static final double RENEW_AFTER = 0.25;
     /** Parts of a lease after which an ask without an answer is asked again, of another voter. */
@@ -30,13 +30,13 @@
     /** What is to be done outside. */
     public sealed interface Step {
 
-        record Send(Ask ask, boolean another) implements Step {
+        record Send(LeaseRequest ask, boolean another) implements Step {
         }
 
         record Start(String duty, long token) implements Step {
         }
 
-        /** Stop, and say so by {@link Holder#stopped}; after so many seconds its effects are no longer allowed. */
+        /** Stop, and say so by {@link LeaseHolder#stopped}; after so many seconds its effects are no longer allowed. */
         record Stop(String duty, long token, double by, String why) implements Step {
         }
     }
@@ -57,7 +57,7 @@
         }
     }
 
-    private final Member here;
+    private final MemberIdentity here;
     private final Map<String, Post> posts = new TreeMap<>(); // no more than the group grants
     private final Map<String, Long> ended = new HashMap<>(); // by duty, the last token that is over here
     private final Map<String, Double> stoppedAt = new HashMap<>(); // by duty, when its end was first to be said
@@ -70,12 +70,12 @@
     private double idle = FIRST_IDLE;
     private boolean soon = true;
 
-    public Holder(Member here) {
+    public LeaseHolder(MemberIdentity here) {
         this.here = here;
     }
 
     /** Whether this may be granted anything from now on; what it holds it keeps until the group takes it over. */
-    public List<Step> steady(double now, boolean is) {
+    public List<Step> setSteady(double now, boolean is) {
         if (steady != is) {
             steady = is;
             soon = true;
@@ -84,7 +84,7 @@
     }
 
     /** The process will end: all is stopped in order, and nothing is taken any more. */
-    public List<Step> leave(double now) {
+    public List<Step> shutDown(double now) {
         leaving = true;
         List<Step> steps = new ArrayList<>();
         posts.forEach((duty, p) -> stop(now, duty, p, "the instance leaves", steps));
@@ -94,7 +94,7 @@
     }
 
     /** Whether nothing is left that the group should be told before the process ends. */
-    public boolean clear() {
+    public boolean isIdle() {
         return posts.isEmpty();
     }
 
@@ -105,13 +105,13 @@
     }
 
     /** Seconds for which the duty may go on as things stand; 0 where it may not. */
-    public double left(double now, String duty) {
+    public double remainingSeconds(double now, String duty) {
         Post p = posts.get(duty);
         return p == null || p.phase == Phase.STOPPED ? 0 : Math.max(0, p.until - now);
     }
 
     /** The answer to one ask; late ones count from their own ask, unknown ones not at all. */
-    public List<Step> answered(double now, Answer a) {
+    public List<Step> handleResponse(double now, LeaseResponse a) {
         List<Step> steps = new ArrayList<>();
         Double asked = out.remove(a.number());
         if (asked == null) {
@@ -173,7 +173,7 @@
     }
 
     /** The duty has come to its end: no effect under that token is made any more. */
-    public List<Step> stopped(double now, String duty, long token, String failed) {
+    public List<Step> taskStopped(double now, String duty, long token, String failed) {
         Post p = posts.get(duty);
         if (p != null && p.token == token && p.phase != Phase.STOPPED) {
             over(now, duty, p, failed);
@@ -217,7 +217,7 @@
     }
 
     /** Something was granted here: ask at once. */
-    public List<Step> nudged(double now) {
+    public List<Step> wakeUp(double now) {
         soon = true;
         return tick(now);
     }
@@ -235,7 +235,7 @@
     }
 
     /** Seconds until {@link #tick} is due. */
-    public double next(double now) {
+    public double nextDeadline(double now) {
         double due = lastAsk + (lastAnswer < lastAsk ? patience(!posts.isEmpty() || soon) : interval());
         for (Post p : posts.values()) {
             if (p.phase == Phase.HOLDING) {
@@ -264,10 +264,10 @@
                 held.add(new Held(duty, p.token));
             }
         });
-        steps.add(new Step.Send(new Ask(here, number, steady && !leaving, held, over), another));
+        steps.add(new Step.Send(new LeaseRequest(here, number, steady && !leaving, held, over), another));
     }
 
-    public Member here() {
+    public MemberIdentity here() {
         return here;
     }
 
--- a/src/main/java/topazladder/duty/Allotter.java
+++ b/src/main/java/topazladder/lease/LeaseManager.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -11,9 +11,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import topazladder.duty.Answer.Lease;
-import topazladder.duty.Ask.Stopped;
-import topazladder.duty.DutyState.Loss;
+import topazladder.lease.LeaseRequest.Stopped;
+import topazladder.lease.LeaseResponse.Lease;
+import topazladder.lease.LeaseState.Loss;
 
 /**
  * What the group's leader decides about duties: who is granted what, when a lease is surely over, whom it answers. Only
@@ -23,7 +23,7 @@
  * <p>An ask is answered once a majority has confirmed, after it came, that this is still the leader: a leader that was
  * cut off may believe in itself for long, and must not go on renewing what another one has given away.
  */
-public class Allotter {
+public class LeaseManager {
     /** Asks that wait for a confirmation; whoever comes beyond asks again by itself. */
     static final int MOST_ASKS = 4096;
     /** Asks a second, over all members, that the leader wants from those that hold nothing. */
@@ -40,56 +40,56 @@
     /** What is to be done outside. */
     public sealed interface Step {
 
-        record Propose(Op op) implements Step {
+        record Propose(LeaseCommand op) implements Step {
         }
 
         /** Ask a majority whether this is still the leader; then {@link #confirmed}. */
         record Confirm(long round) implements Step {
         }
 
-        record Reply(Member to, Answer answer) implements Step {
+        record Reply(MemberIdentity to, LeaseResponse answer) implements Step {
         }
 
         /** Something was granted: the member should ask at once. */
-        record Nudge(Member to) implements Step {
+        record Nudge(MemberIdentity to) implements Step {
         }
     }
 
     /** One life of a member, as this leader has heard of it. */
     private static final class Heard {
-        private final Member member;
+        private final MemberIdentity member;
         private double at;
         private boolean steady;
         private double unsteadySince = Double.NaN;
 
-        Heard(Member member) {
+        Heard(MemberIdentity member) {
             this.member = member;
         }
     }
 
-    private record Waiting(Ask ask, long round) {
+    private record Waiting(LeaseRequest ask, long round) {
     }
 
-    private final DutyLedger ledger;
+    private final LeaseStateMachine ledger;
     private boolean leading;
     private long round;
     private boolean confirming;
     private final Map<String, Double> until = new HashMap<>(); // by duty, no more than there are
     private final Map<String, Double> since = new HashMap<>(); // likewise
-    private final Map<String, Op> pending = new HashMap<>(); // by duty, the operation under way
+    private final Map<String, LeaseCommand> pending = new HashMap<>(); // by duty, the operation under way
     private final Set<String> moving = new HashSet<>(); // duties that go elsewhere to even the load
     private final Map<String, Heard> heard = new TreeMap<>(); // by name; forgotten after some idle asks
-    private final Map<Member, Waiting> waiting = new LinkedHashMap<>();
+    private final Map<MemberIdentity, Waiting> waiting = new LinkedHashMap<>();
     private Set<String> hurried = Set.of();
     private double grantFrom;
     private double formedUntil = Double.NEGATIVE_INFINITY;
     private double lastMove;
 
-    public Allotter(DutyLedger ledger) {
+    public LeaseManager(LeaseStateMachine ledger) {
         this.ledger = ledger;
     }
 
-    public boolean leading() {
+    public boolean isLeader() {
         return leading;
     }
 
@@ -97,7 +97,7 @@
      * The first operation of this leader's time is applied: all that leaders before it decided is known. What holders
      * were told is not, so each lease counts from now.
      */
-    public void lead(double now) {
+    public void becomeLeader(double now) {
         leading = true;
         confirming = false;
         pending.clear();
@@ -109,7 +109,7 @@
         lastMove = now;
         // Whoever asks first would get all of it: the others have their time to be heard.
         grantFrom = now + askAgainIn();
-        for (DutyState s : ledger.all()) {
+        for (LeaseState s : ledger.all()) {
             if (s.held()) {
                 until.put(s.terms().name(), firstUntil(now, s.terms()));
                 since.put(s.terms().name(), now);
@@ -118,22 +118,22 @@
     }
 
     /** When what another leader has granted is over. */
-    protected double firstUntil(double now, DutyTerms terms) {
+    protected double firstUntil(double now, LeaseSettings terms) {
         return now + surelyOver(terms);
     }
 
     /** Seconds by this clock after which a lease that was granted now is over by any clock. */
-    protected double surelyOver(DutyTerms terms) {
-        return DutyTerms.surelyOver(terms.lease());
+    protected double surelyOver(LeaseSettings terms) {
+        return LeaseSettings.surelyOver(terms.lease());
     }
 
-    public void resign() {
+    public void stepDown() {
         leading = false;
         waiting.clear();
     }
 
     /** One member's ask. It is answered after a confirmation that begins after it came. */
-    public List<Step> ask(double now, Ask ask) {
+    public List<Step> handleRequest(double now, LeaseRequest ask) {
         if (!leading) {
             return List.of();
         }
@@ -151,10 +151,10 @@
                 ? now : before.unsteadySince;
         before.steady = ask.steady();
         for (Stopped s : ask.stopped()) {
-            DutyState state = ledger.get(s.duty());
+            LeaseState state = ledger.get(s.duty());
             if (state != null && state.held() && state.token() == s.token() && state.holder().equals(ask.from())) {
-                propose(s.duty(), s.failed() == null ? new Op.Release(s.duty(), s.token())
-                        : new Op.Failed(s.duty(), s.token(), s.failed()), steps);
+                propose(s.duty(), s.failed() == null ? new LeaseCommand.Release(s.duty(), s.token())
+                        : new LeaseCommand.Failed(s.duty(), s.token(), s.failed()), steps);
             }
         }
         if (waiting.size() < MOST_ASKS || waiting.containsKey(ask.from())) {
@@ -165,12 +165,12 @@
     }
 
     /** Whoever bears the name anew ended the life before it: what that one held and lost counts as brought down. */
-    private List<Step> crashed(Member now) {
+    private List<Step> crashed(MemberIdentity now) {
         List<Step> steps = new ArrayList<>();
-        for (DutyState s : ledger.all()) {
+        for (LeaseState s : ledger.all()) {
             for (Loss l : s.losses()) {
                 if (!l.ended() && l.holder().name().equals(now.name()) && l.holder().life() != now.life()) {
-                    steps.add(new Step.Propose(new Op.Crashed(s.terms().name(), l.token())));
+                    steps.add(new Step.Propose(new LeaseCommand.Crashed(s.terms().name(), l.token())));
                 }
             }
         }
@@ -186,21 +186,21 @@
     }
 
     /** A majority has confirmed that this led at some moment after the round began. */
-    public List<Step> confirmed(double now, long of) {
+    public List<Step> leadershipConfirmed(double now, long of) {
         List<Step> steps = new ArrayList<>();
         if (!leading || of != round) {
             return steps;
         }
         confirming = false;
         double again = askAgainIn();
-        Map<Member, List<DutyState>> held = heldBy();
+        Map<MemberIdentity, List<LeaseState>> held = heldBy();
         for (Waiting w : List.copyOf(waiting.values())) {
             if (w.round() > of) {
                 continue;
             }
             waiting.remove(w.ask().from());
             List<Lease> leases = new ArrayList<>();
-            for (DutyState s : held.getOrDefault(w.ask().from(), List.of())) {
+            for (LeaseState s : held.getOrDefault(w.ask().from(), List.of())) {
                 String name = s.terms().name();
                 if (pending.containsKey(name) && !renewable(pending.get(name))) {
                     continue; // it may be another's by the time this arrives
@@ -208,7 +208,7 @@
                 until.merge(name, now + surelyOver(s.terms()), Math::max);
                 leases.add(new Lease(name, s.token(), s.terms().lease(), toStop(now, s)));
             }
-            steps.add(new Step.Reply(w.ask().from(), new Answer(w.ask().number(), leases,
+            steps.add(new Step.Reply(w.ask().from(), new LeaseResponse(w.ask().number(), leases,
                     hurried.contains(w.ask().from().name()) ? Math.min(again, HURRIED) : again)));
         }
         confirm(steps);
@@ -216,12 +216,12 @@
     }
 
     /** No renewal of what is being given away: nothing tells which of the two comes first. */
-    protected boolean renewable(Op underWay) {
-        return underWay instanceof Op.Settled;
+    protected boolean renewable(LeaseCommand underWay) {
+        return underWay instanceof LeaseCommand.Settled;
     }
 
     /** The majority did not answer: whoever waits asks anew, here or elsewhere. */
-    public List<Step> unconfirmed(long of) {
+    public List<Step> leadershipUnconfirmed(long of) {
         if (of == round) {
             confirming = false;
             waiting.values().removeIf(w -> w.round() <= of);
@@ -234,7 +234,7 @@
     }
 
     /** Those that are on their way back: how they serve should be heard soon, as their places are waited for. */
-    public void hurry(Set<String> names) {
+    public void wakeUp(Set<String> names) {
         hurried = names;
     }
 
@@ -243,9 +243,9 @@
         return Math.max(shortest / 2, heard.size() / IDLE_ASKS);
     }
 
-    private Map<Member, List<DutyState>> heldBy() {
-        Map<Member, List<DutyState>> held = new HashMap<>();
-        for (DutyState s : ledger.all()) {
+    private Map<MemberIdentity, List<LeaseState>> heldBy() {
+        Map<MemberIdentity, List<LeaseState>> held = new HashMap<>();
+        for (LeaseState s : ledger.all()) {
             if (s.held()) {
                 held.computeIfAbsent(s.holder(), m -> new ArrayList<>()).add(s);
             }
@@ -254,7 +254,7 @@
     }
 
     /** Whether the holder should give it up though nothing is wrong with its lease. */
-    private boolean toStop(double now, DutyState s) {
+    private boolean toStop(double now, LeaseState s) {
         if (s.halted() != null || moving.contains(s.terms().name())) {
             return true;
         }
@@ -266,7 +266,7 @@
                 && now - holder.unsteadySince > s.terms().lease() && anotherSteady(s.holder());
     }
 
-    private boolean anotherSteady(Member than) {
+    private boolean anotherSteady(MemberIdentity than) {
         return heard.values().stream().anyMatch(h -> !h.member.equals(than) && candidate(h));
     }
 
@@ -275,31 +275,31 @@
     }
 
     /** An operation was applied at this voter, with what became of it. */
-    public List<Step> applied(double now, Op op, DutyLedger.Outcome outcome) {
+    public List<Step> commandApplied(double now, LeaseCommand op, LeaseStateMachine.Outcome outcome) {
         if (!leading) {
             return List.of();
         }
         List<Step> steps = new ArrayList<>();
-        if (op instanceof Op.Grant g) {
+        if (op instanceof LeaseCommand.Grant g) {
             pending.remove(g.duty());
             if (outcome.done()) {
-                DutyState s = ledger.get(g.duty());
+                LeaseState s = ledger.get(g.duty());
                 until.put(g.duty(), now + surelyOver(s.terms()));
                 since.put(g.duty(), now);
                 steps.add(new Step.Nudge(g.to()));
             }
-        } else if (op instanceof Op.Release r) {
+        } else if (op instanceof LeaseCommand.Release r) {
             ended(r.duty());
-        } else if (op instanceof Op.Expire e) {
+        } else if (op instanceof LeaseCommand.Expire e) {
             ended(e.duty());
-        } else if (op instanceof Op.Failed f) {
+        } else if (op instanceof LeaseCommand.Failed f) {
             ended(f.duty());
-        } else if (op instanceof Op.Settled s) {
+        } else if (op instanceof LeaseCommand.Settled s) {
             pending.remove(s.duty());
-        } else if (op instanceof Op.Define) {
+        } else if (op instanceof LeaseCommand.Define) {
             pending.clear();
             grantFrom = Math.min(grantFrom, now + askAgainIn()); // by the leases that there are, not by a guess
-        } else if (op instanceof Op.RaiseTokens && outcome.done()) {
+        } else if (op instanceof LeaseCommand.RaiseTokens && outcome.done()) {
             pending.clear();
             // Holders of the group that was before may go on for as long as their leases.
             double longest = ledger.all().stream().mapToDouble(s -> surelyOver(s.terms())).max().orElse(0);
@@ -311,7 +311,7 @@
     private void ended(String duty) {
         pending.remove(duty);
         moving.remove(duty);
-        DutyState s = ledger.get(duty);
+        LeaseState s = ledger.get(duty);
         if (s == null || !s.held()) {
             until.remove(duty);
             since.remove(duty);
@@ -319,14 +319,14 @@
     }
 
     /** An operation did not come through, or nobody knows whether it did; what is applied tells. */
-    public void failed(Op op) {
-        if (op instanceof Op.Grant g) {
+    public void commandFailed(LeaseCommand op) {
+        if (op instanceof LeaseCommand.Grant g) {
             pending.remove(g.duty());
-        } else if (op instanceof Op.Release r) {
+        } else if (op instanceof LeaseCommand.Release r) {
             pending.remove(r.duty());
-        } else if (op instanceof Op.Failed f) {
+        } else if (op instanceof LeaseCommand.Failed f) {
             pending.remove(f.duty());
-        } else if (op instanceof Op.Settled s) {
+        } else if (op instanceof LeaseCommand.Settled s) {
             pending.remove(s.duty());
         }
         // One that expires stays pending: whether it comes through is unknown, so nothing is renewed under it any more.
@@ -340,24 +340,24 @@
         }
         double forget = MISSED * askAgainIn();
         heard.values().removeIf(h -> now - h.at > forget);
-        Map<Member, Integer> load = new HashMap<>();
-        ledger.all().stream().filter(DutyState::held).forEach(s -> load.merge(s.holder(), 1, Integer::sum));
-        for (DutyState s : List.copyOf(ledger.all())) {
+        Map<MemberIdentity, Integer> load = new HashMap<>();
+        ledger.all().stream().filter(LeaseState::held).forEach(s -> load.merge(s.holder(), 1, Integer::sum));
+        for (LeaseState s : List.copyOf(ledger.all())) {
             String name = s.terms().name();
             if (s.held()) {
                 if (over(now, s)) {
                     // Again where the last try was lost: it names the token, so twice does no harm.
-                    Op.Expire expire = new Op.Expire(name, s.token());
+                    LeaseCommand.Expire expire = new LeaseCommand.Expire(name, s.token());
                     pending.put(name, expire);
                     steps.add(new Step.Propose(expire));
                 } else if (!s.losses().isEmpty() && !pending.containsKey(name)
                         && now - since.getOrDefault(name, now) > SETTLES_AFTER * s.terms().lease()) {
-                    propose(name, new Op.Settled(name, s.token()), steps);
+                    propose(name, new LeaseCommand.Settled(name, s.token()), steps);
                 }
             } else if (s.halted() == null && !pending.containsKey(name) && now >= grantFrom && now >= formedUntil) {
                 takerOf(s, load).ifPresent(m -> {
                     load.merge(m, 1, Integer::sum);
-                    propose(name, new Op.Grant(name, m, s.token()), steps);
+                    propose(name, new LeaseCommand.Grant(name, m, s.token()), steps);
                 });
             }
         }
@@ -369,9 +369,9 @@
      * A few at a time go elsewhere from members well past the bound: a hall that joins moves in calm. What an operator
      * put somewhere stays there, however much that member holds: it would be taken from it within moments.
      */
-    private void even(double now, Map<Member, Integer> load) {
-        long steady = heard.values().stream().filter(Allotter::candidate).count();
-        int bound = Placement.bound(ledger.all().size(), (int) steady);
+    private void even(double now, Map<MemberIdentity, Integer> load) {
+        long steady = heard.values().stream().filter(LeaseManager::candidate).count();
+        int bound = LeasePlacement.bound(ledger.all().size(), (int) steady);
         double every = askAgainIn();
         moving.removeIf(name -> ledger.get(name) == null);
         if (steady < 2 || now < grantFrom || now - lastMove < every || moving.size() > ledger.all().size() / MOVED) {
@@ -379,9 +379,9 @@
         }
         lastMove = now;
         int most = bound + Math.max(1, bound / 4);
-        int room = (int) heard.values().stream().filter(Allotter::candidate)
+        int room = (int) heard.values().stream().filter(LeaseManager::candidate)
                 .mapToInt(h -> Math.max(0, bound - load.getOrDefault(h.member, 0))).sum();
-        for (DutyState s : ledger.all()) {
+        for (LeaseState s : ledger.all()) {
             if (room > 0 && s.held() && !s.placed() && load.getOrDefault(s.holder(), 0) > most
                     && moving.size() <= ledger.all().size() / MOVED && moving.add(s.terms().name())) {
                 load.merge(s.holder(), -1, Integer::sum);
@@ -391,33 +391,34 @@
     }
 
     /** Whether the holder's time is surely over, by this clock. */
-    protected boolean over(double now, DutyState s) {
+    protected boolean over(double now, LeaseState s) {
         return now >= until.computeIfAbsent(s.terms().name(), n -> now + surelyOver(s.terms()));
     }
 
-    private Optional<Member> takerOf(DutyState s, Map<Member, Integer> load) {
+    private Optional<MemberIdentity> takerOf(LeaseState s, Map<MemberIdentity, Integer> load) {
         Heard wanted = heard.get(s.wanted());
         if (candidate(wanted)) {
             return Optional.of(wanted.member);
         }
-        Collection<Member> steady = heard.values().stream().filter(Allotter::candidate).map(h -> h.member)
+        Collection<MemberIdentity> steady = heard.values().stream().filter(LeaseManager::candidate).map(h -> h.member)
                 .sorted(Comparator.naturalOrder()).toList();
         // Whoever lost it last is asked again only where nobody else is there: it may be the one that is in trouble.
-        Member last = s.losses().isEmpty() ? null : s.losses().get(s.losses().size() - 1).holder();
-        List<Member> others = steady.stream().filter(m -> last == null || !m.name().equals(last.name())).toList();
-        return Placement.choose(s.terms().name(), others.isEmpty() ? steady : others, load,
-                Placement.bound(ledger.all().size(), steady.size()));
+        MemberIdentity last = s.losses().isEmpty() ? null : s.losses().get(s.losses().size() - 1).holder();
+        List<MemberIdentity> others =
+                steady.stream().filter(m -> last == null || !m.name().equals(last.name())).toList();
+        return LeasePlacement.choose(s.terms().name(), others.isEmpty() ? steady : others, load,
+                LeasePlacement.bound(ledger.all().size(), steady.size()));
     }
 
-    private void propose(String duty, Op op, List<Step> steps) {
+    private void propose(String duty, LeaseCommand op, List<Step> steps) {
         if (pending.putIfAbsent(duty, op) == null) {
             steps.add(new Step.Propose(op));
         }
     }
 
     /** For operators: who was heard of, and whether it is steady. */
-    public Map<Member, Boolean> members() {
-        Map<Member, Boolean> all = new TreeMap<>();
+    public Map<MemberIdentity, Boolean> knownMembers() {
+        Map<MemberIdentity, Boolean> all = new TreeMap<>();
         heard.values().forEach(h -> all.put(h.member, h.steady));
         return all;
     }
--- a/src/main/java/topazladder/duty/Ask.java
+++ b/src/main/java/topazladder/lease/LeaseRequest.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import java.util.List;
 
@@ -10,7 +10,7 @@
  * @param held what it does now
  * @param stopped what it was granted and does not do any more; said again until the group knows it
  */
-public record Ask(Member from, long number, boolean steady, List<Held> held, List<Stopped> stopped) {
+public record LeaseRequest(MemberIdentity from, long number, boolean steady, List<Held> held, List<Stopped> stopped) {
 
     public record Held(String duty, long token) {
     }
--- a/src/main/java/topazladder/duty/Answer.java
+++ b/src/main/java/topazladder/lease/LeaseResponse.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import java.util.List;
 
@@ -9,7 +9,7 @@
  * @param leases all that the member holds by the group
  * @param askAgainIn seconds within which a member without a duty should ask anew
  */
-public record Answer(long number, List<Lease> leases, double askAgainIn) {
+public record LeaseResponse(long number, List<Lease> leases, double askAgainIn) {
 
     /**
      * @param lease seconds from before the ask was sent
--- a/src/main/java/topazladder/duty/DutyTerms.java
+++ b/src/main/java/topazladder/lease/LeaseSettings.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 /**
  * What holds for a duty by its settings.
@@ -6,7 +6,7 @@
  * @param lease seconds that a holder may go on without word from the group, by its own clock
  * @param mostLosses holders that it may bring down one after another before it is halted
  */
-public record DutyTerms(String name, double lease, int mostLosses) {
+public record LeaseSettings(String name, double lease, int mostLosses) {
 
     /** How far a clock may run fast or slow; what goes beyond is not covered by any promise here. */
     public static final double CLOCKS = 0.05;
--- a/src/main/java/topazladder/duty/DutyState.java
+++ b/src/main/java/topazladder/lease/LeaseState.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,58 +13,59 @@
  * @param placed whether an operator put it where it is; the load is not evened at its cost
  * @param losses of holders that were lost, latest last; emptied by one that settles
  */
-public record DutyState(DutyTerms terms, long token, Member holder, String halted, String wanted, boolean placed,
+public record LeaseState(LeaseSettings terms, long token, MemberIdentity holder, String halted, String wanted,
+        boolean placed,
         List<Loss> losses) {
 
     /** Losses kept; more than any bound that terms may set. */
     static final int MOST_LOSSES = 16;
 
     /** @param ended whether the process is known to have ended, or to have failed */
-    public record Loss(long token, Member holder, boolean ended) {
+    public record Loss(long token, MemberIdentity holder, boolean ended) {
     }
 
-    static DutyState fresh(DutyTerms terms, long token) {
-        return new DutyState(terms, token, null, null, "", false, List.of());
+    static LeaseState fresh(LeaseSettings terms, long token) {
+        return new LeaseState(terms, token, null, null, "", false, List.of());
     }
 
     public boolean held() {
         return holder != null;
     }
 
-    DutyState with(DutyTerms other) {
-        return new DutyState(other, token, holder, halted, wanted, placed, losses);
+    LeaseState with(LeaseSettings other) {
+        return new LeaseState(other, token, holder, halted, wanted, placed, losses);
     }
 
-    DutyState granted(Member to, long under) {
+    LeaseState granted(MemberIdentity to, long under) {
         boolean asWanted = to.name().equals(wanted);
-        return new DutyState(terms, under, to, halted, asWanted ? "" : wanted, asWanted, losses);
+        return new LeaseState(terms, under, to, halted, asWanted ? "" : wanted, asWanted, losses);
     }
 
-    DutyState free() {
-        return new DutyState(terms, token, null, halted, wanted, placed, losses);
+    LeaseState free() {
+        return new LeaseState(terms, token, null, halted, wanted, placed, losses);
     }
 
-    DutyState halted(String why) {
-        return new DutyState(terms, token, holder, why, wanted, placed, losses);
+    LeaseState halted(String why) {
+        return new LeaseState(terms, token, holder, why, wanted, placed, losses);
     }
 
-    DutyState resumed() {
-        return new DutyState(terms, token, holder, null, wanted, placed, List.of());
+    LeaseState resumed() {
+        return new LeaseState(terms, token, holder, null, wanted, placed, List.of());
     }
 
-    DutyState wanted(String member) {
+    LeaseState wanted(String member) {
         if (held() && holder.name().equals(member)) {
-            return new DutyState(terms, token, holder, halted, "", true, losses);
+            return new LeaseState(terms, token, holder, halted, "", true, losses);
         }
-        return new DutyState(terms, token, holder, halted, member, placed, losses);
+        return new LeaseState(terms, token, holder, halted, member, placed, losses);
     }
 
-    DutyState settled() {
-        return new DutyState(terms, token, holder, halted, wanted, placed, List.of());
+    LeaseState settled() {
+        return new LeaseState(terms, token, holder, halted, wanted, placed, List.of());
     }
 
     /** A loss more, or one that is known better; halts once enough holders in a row are known to have ended. */
-    DutyState lost(Loss loss) {
+    LeaseState lost(Loss loss) {
         List<Loss> now = new ArrayList<>(losses);
         now.removeIf(l -> l.token() == loss.token());
         now.add(loss);
@@ -75,6 +76,6 @@
         long ended = now.stream().filter(Loss::ended).count();
         String why = halted == null && ended >= terms.mostLosses()
                 ? "it brought down " + ended + " holders one after another" : halted;
-        return new DutyState(terms, token, holder, why, wanted, placed, List.copyOf(now));
+        return new LeaseState(terms, token, holder, why, wanted, placed, List.copyOf(now));
     }
 }
--- a/src/main/java/topazladder/duty/Work.java
+++ b/src/main/java/topazladder/lease/LeasedTask.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import java.util.OptionalLong;
 import java.util.function.Supplier;
@@ -7,7 +7,7 @@
  * What a duty does while its holder holds it. All calls come on the one thread that owns the holder's state; one that
  * needs to wait does so elsewhere, and looks at its leave again behind each wait.
  */
-public interface Work {
+public interface LeasedTask {
 
     /**
      * Begin under this token, never before the last one is stopped.
--- a/src/main/java/topazladder/duty/Member.java
+++ b/src/main/java/topazladder/lease/MemberIdentity.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 /**
  * One process that may hold duties.
@@ -6,9 +6,9 @@
  * @param name the same through restarts
  * @param life differs between the processes that bear the name
  */
-public record Member(String name, long life) implements Comparable<Member> {
+public record MemberIdentity(String name, long life) implements Comparable<MemberIdentity> {
 
-    @Override public int compareTo(Member other) {
+    @Override public int compareTo(MemberIdentity other) {
         int byName = name.compareTo(other.name);
         return byName != 0 ? byName : Long.compare(life, other.life);
     }
