--- a/src/main/java/topazladder/net/CallerConnection.java
+++ b/src/main/java/topazladder/net/CallerConnection.java
@@ -11,16 +11,16 @@
 import topazladder.net.codec.CallerFrames;
 import topazladder.net.codec.CallerMessage;
 import topazladder.net.codec.FrameReader;
-import topazladder.net.codec.Malformed;
-import topazladder.service.Answer;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.service.Caller;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
-import topazladder.service.InHand;
+import topazladder.service.InFlightRequest;
+import topazladder.service.RequestDispatcher;
+import topazladder.service.Response;
 
 /**
- * One caller's connection, and the tickets that are open on it. Whoever breaks the protocol on it is told so, and
+ * One caller's connection, and the requests that are open on it. Whoever breaks the protocol on it is told so, and
  * loses the connection with all that is open on it: what such a caller asked for earns nothing.
  */
 final class CallerConnection {
@@ -30,7 +30,7 @@
     private static final int MOST_OPEN = 32;
     /** One that can't be decided on may be a mistake; a caller that goes on so is told and left. */
     private static final int MOST_UNUSABLE = 3;
-    /** Of tickets taken back since the last answer: twice what can be open at once is no loss of patience. */
+    /** Of requests taken back since the last answer: twice what can be open at once is no loss of patience. */
     private static final int MOST_TAKEN_BACK = 2 * MOST_OPEN;
     /**
      * What says nothing for so many looks, two seconds, or stops within a message, is closed: others wait for its
@@ -46,7 +46,7 @@
 
     private final Vertx vertx;
     private final NetSocket socket;
-    private final Exchange exchange;
+    private final RequestDispatcher dispatcher;
     private final Counters counters;
     private final Consumer<CallerConnection> gone;
     private final FrameReader reader = new FrameReader();
@@ -60,24 +60,24 @@
     private int takenBack;
     private boolean proven; // a sound message came
     private int asked;
-    private long lastCallAt; // 0 until it was told that no new ticket is wanted
+    private long lastCallAt; // 0 until it was told that no new request is wanted
     private boolean heardAll; // its caller sends no more
     private boolean stuck; // nothing more is read until what was written has gone out
     private boolean parting; // what still comes is of no use
     private boolean closed;
 
-    CallerConnection(Vertx vertx, NetSocket socket, Exchange exchange, Counters counters,
+    CallerConnection(Vertx vertx, NetSocket socket, RequestDispatcher dispatcher, Counters counters,
             Consumer<CallerConnection> gone) {
         this.vertx = vertx;
         this.socket = socket;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
         this.counters = counters;
         this.gone = gone;
         socket.setWriteQueueMaxSize(MOST_UNSENT);
         socket.handler(this::read);
         socket.exceptionHandler(e -> socket.close());
         socket.closeHandler(v -> closed());
-        Directions.watch(socket, this::heardAll);
+        HalfClose.watch(socket, this::heardAll);
         socket.shutdownHandler(v -> {}); // told by lastCall; without a handler the socket is closed at once
     }
 
@@ -97,12 +97,12 @@
                 looks = 0;
             }
             awaiting = !reader.isEmpty();
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             part(Count.CONNECTIONS_ENDED_AS_MALFORMED, e.getMessage());
         }
     }
 
-    private void take(CallerMessage message) throws Malformed {
+    private void take(CallerMessage message) throws MalformedMessageException {
         if (message instanceof CallerMessage.GivenUp) {
             Waiting waiting = open.remove(message.stream());
             if (waiting != null) {
@@ -114,7 +114,7 @@
             return;
         }
         if (message.stream() != 0 && message.stream() <= lastStream || open.containsKey(message.stream())) {
-            throw new Malformed("stream " + message.stream() + " used twice");
+            throw new MalformedMessageException("stream " + message.stream() + " used twice");
         }
         if (open.size() >= MOST_OPEN) {
             part(Count.CONNECTIONS_ENDED_AS_OVERFULL, "more than " + MOST_OPEN + " requests open");
@@ -125,13 +125,13 @@
         open.put(message.stream(), waiting);
         if (message instanceof CallerMessage.Check check) {
             proven = true;
-            exchange.check(waiting, check.deep());
+            dispatcher.healthCheck(waiting, check.deep());
         } else if (message instanceof CallerMessage.Submitted submitted) {
-            waiting.inHand = exchange.arrive(submitted.arrival(), waiting);
-            proven |= waiting.inHand != null;
+            waiting.inFlight = dispatcher.dispatch(submitted.arrival(), waiting);
+            proven |= waiting.inFlight != null;
             asked++;
         } else {
-            exchange.unusable(waiting);
+            dispatcher.answerUnusable(waiting);
         }
     }
 
@@ -155,30 +155,30 @@
         vertx.runOnContext(v -> closeIfAllIsSaid());
     }
 
-    /** Asks for no new ticket; the caller closes once all is answered, or is closed on when idle. */
+    /** Asks for no new request; the caller closes once all is answered, or is closed on when idle. */
     void lastCall() {
         if (lastCallAt == 0) {
             lastCallAt = System.nanoTime();
-            socket.write(Buffer.buffer(CallerFrames.noNewTicket()));
+            socket.write(Buffer.buffer(CallerFrames.noNewRequest()));
         }
     }
 
     /**
      * Its caller sends no more: gone, or waiting for what is open. What is owed is answered, and the end comes with the
-     * last answer; the word that no ticket is wanted does no harm to who waits, and finds out who is gone.
+     * last answer; the word that no request is wanted does no harm to who waits, and finds out who is gone.
      */
     private void heardAll() {
         heardAll = true;
         if (parting || open.isEmpty() && !stuck) {
             socket.close();
         } else {
-            write(CallerFrames.noNewTicket());
-            vertx.setTimer(PROBE_MS, id -> write(CallerFrames.noNewTicket()));
+            write(CallerFrames.noNewRequest());
+            vertx.setTimer(PROBE_MS, id -> write(CallerFrames.noNewRequest()));
         }
     }
 
     /**
-     * First it is told, so that no ticket crosses the close; what is open is never cut.
+     * First it is told, so that no request crosses the close; what is open is never cut.
      *
      * @param told seconds from that word on in which a caller that heeds it has closed by itself
      */
@@ -200,12 +200,12 @@
         if (!parting) {
             parting = true;
             lastCall();
-            Directions.finish(socket);
+            HalfClose.finish(socket);
             vertx.setTimer(HANGING_UP_MS, id -> socket.close());
         }
     }
 
-    /** What was never said, or said by half, ends it; what waits for an answer or between two tickets does not. */
+    /** What was never said, or said by half, ends it; what waits for an answer or between two requests does not. */
     void closeIfDumb() {
         if (!parting && awaiting && ++looks > DUMB_LOOKS) {
             part(proven ? Count.CONNECTIONS_ENDED_AS_HALF_SAID : Count.CONNECTIONS_ENDED_AS_SILENT,
@@ -245,11 +245,11 @@
         counters.add(kind);
         parting = true;
         for (Waiting waiting : List.copyOf(open.values())) {
-            waiting.answer(Answer.UNUSABLE);
+            waiting.answer(Response.UNUSABLE);
             waiting.gone();
         }
         write(CallerFrames.error(why));
-        Directions.finish(socket);
+        HalfClose.finish(socket);
         // It may send at full speed, and reading what nobody takes would cost the others their time.
         socket.drainHandler(null);
         socket.pause();
@@ -275,13 +275,13 @@
     /** Whoever waits on one stream. */
     private final class Waiting implements Caller {
         private final long stream;
-        private InHand inHand;
+        private InFlightRequest inFlight;
 
         Waiting(long stream) {
             this.stream = stream;
         }
 
-        @Override public void answer(Answer answer) {
+        @Override public void answer(Response answer) {
             if (open.remove(stream) != null) {
                 takenBack = 0;
                 write(CallerFrames.answer(stream, answer));
@@ -289,7 +289,7 @@
             }
         }
 
-        @Override public void unusable(Answer answer) {
+        @Override public void unusable(Response answer) {
             answer(answer);
             if (++unusable >= MOST_UNUSABLE) {
                 part(Count.CONNECTIONS_ENDED_AS_UNUSABLE, "too many requests that can't be decided on");
@@ -304,10 +304,10 @@
         }
 
         void gone() {
-            if (inHand != null) {
-                exchange.callerGone(inHand);
+            if (inFlight != null) {
+                dispatcher.callerDisconnected(inFlight);
             } else {
-                exchange.checkGone(this);
+                dispatcher.healthCheckAbandoned(this);
             }
         }
     }
--- a/src/main/java/topazladder/net/CallerServer.java
+++ b/src/main/java/topazladder/net/CallerServer.java
@@ -12,11 +12,11 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.service.Callers;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
+import topazladder.service.RequestDispatcher;
 
 /** Listens for callers and keeps their connections, so many and no more. */
 final class CallerServer implements Callers {
@@ -28,7 +28,7 @@
 
     /** Past this part of the table those of least use are asked to leave, so that none need be cut. */
     private static final double FILLED = 0.7;
-    /** Seconds: between two tickets of a busy caller lies less. */
+    /** Seconds: between two requests of a busy caller lies less. */
     private static final double LEAST_IDLE = 0.5;
     /** Seconds: by then a caller that was told of the last call has heard it, and closes by itself if it ever will. */
     private static final double TOLD = 0.5;
@@ -45,7 +45,7 @@
     private final NetServer server;
     /** One a connection; emptied as they close. */
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
-    private Exchange exchange;
+    private RequestDispatcher dispatcher;
     private double idle = Double.POSITIVE_INFINITY;
     private boolean lastCall;
     private boolean ended;
@@ -64,8 +64,8 @@
                 .setAcceptBacklog(1024));
     }
 
-    Future<NetServer> listen(Address at, Exchange exchange) {
-        this.exchange = exchange;
+    Future<NetServer> listen(Address at, RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
         vertx.setPeriodic(LEAST_SWEEP_MS, id -> sweep());
         return server.connectHandler(this::connected).listen(at.port(), at.host());
     }
@@ -73,10 +73,10 @@
     private void connected(NetSocket socket) {
         boolean full = connections.size() >= most && !makeRoom();
         counters.add(full ? Count.CONNECTIONS_TURNED_AWAY : Count.CONNECTIONS_TAKEN);
-        CallerConnection c = new CallerConnection(vertx, socket, exchange, counters, this::closed);
+        CallerConnection c = new CallerConnection(vertx, socket, dispatcher, counters, this::closed);
         connections.add(c);
         if (full || lastCall) {
-            // Not closed at once: its first ticket may have come with it, and would be lost. The gate holds back who
+            // Not closed at once: its first request may have come with it, and would be lost. The gate holds back who
             // comes after the few that there is room for beyond the table.
             c.lastCall();
         }
@@ -92,7 +92,7 @@
             counters.add(Count.CONNECTIONS_GIVEN_WAY);
             connections.remove(least);
             if (least.proven()) {
-                least.hangUp(); // a ticket may be on its way just now
+                least.hangUp(); // a request may be on its way just now
             } else {
                 least.cut();
             }
@@ -136,7 +136,7 @@
     }
 
     /**
-     * Whoever the system has taken for this server already would be reset with its ticket unread: where the gate holds
+     * Whoever the system has taken for this server already would be reset with its request unread: where the gate holds
      * newcomers back, they are let in first, as those in there leave.
      *
      * @param wasOpen whether the gate was open a look ago: who was held back needs a moment to come in
@@ -146,7 +146,7 @@
         if (!ended && !(open && wasOpen)) {
             vertx.setTimer(LOOK_MS, id -> stopListening(open));
         } else {
-            // Closed outright, the server would cut the open tickets of all its connections.
+            // Closed outright, the server would cut the open requests of all its connections.
             server.shutdown(LONGEST_SHUTDOWN_S, TimeUnit.SECONDS);
         }
     }
--- a/src/main/java/topazladder/net/ControlPlane.java
+++ b/src/main/java/topazladder/net/ControlPlane.java
@@ -3,8 +3,8 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.datagram.DatagramSocket;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.service.Instance;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.service.InstanceLifecycle;
 
 /** Reports to the control plane that the instance lives; no answer comes, so that none is waited for. */
 final class ControlPlane {
@@ -27,7 +27,7 @@
         socket = vertx.createDatagramSocket();
     }
 
-    void open(Instance instance) {
+    void open(InstanceLifecycle instance) {
         report(instance);
         timer = vertx.setPeriodic(PERIOD_MS, id -> report(instance));
     }
@@ -41,7 +41,7 @@
         address = to;
     }
 
-    private void report(Instance instance) {
+    private void report(InstanceLifecycle instance) {
         socket.send(Buffer.buffer("lease " + name + (instance.ready() ? " Ready" : " NotReady")),
                 address.port(), address.host());
     }
--- a/src/main/java/topazladder/net/IndexChoice.java
+++ b/src/main/java/topazladder/net/DependencyEndpointChoice.java
@@ -1,10 +1,10 @@
 package topazladder.net;
 
 import topazladder.below.How;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 
 /** Which of several index servers a call goes to, and what became of it there. */
-public interface IndexChoice {
+public interface DependencyEndpointChoice {
 
     /**
      * @param not a server that the call has been to, or -1
--- a/src/main/java/topazladder/net/IndexLink.java
+++ b/src/main/java/topazladder/net/DependencyLink.java
@@ -15,23 +15,23 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.below.How;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.net.codec.IndexLines;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
+import topazladder.request.Outcome;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
-import topazladder.service.IndexPort;
-import topazladder.service.Reach;
-import topazladder.ticket.Ending;
+import topazladder.service.DependencyCircuitBreaker;
+import topazladder.service.DependencyPort;
+import topazladder.service.RequestDispatcher;
 
 /**
  * The connections to the index. One call at a time is on a connection, so that a spoilt reply costs no other
  * call; each call ends by its own time, whatever the index does.
  */
-final class IndexLink implements IndexPort {
-    private static final Logger LOG = LoggerFactory.getLogger(IndexLink.class);
+final class DependencyLink implements DependencyPort {
+    private static final Logger LOG = LoggerFactory.getLogger(DependencyLink.class);
     /** Sooner than the index does it: of a call that crosses the close nothing is known. */
     private static final long IDLE_MS = 2000;
     /** What a reply in its time may need to come through, past the time that the index was told. */
@@ -50,16 +50,16 @@
     /** The one used last is first; emptied by calls, by the sweep and as they close. */
     private final Deque<Line> idle = new ArrayDeque<>();
     private Address address;
-    private Exchange exchange;
-    private Reach reach;
-    private IndexChoice choice; // null where there is one address
+    private RequestDispatcher dispatcher;
+    private DependencyCircuitBreaker reach;
+    private DependencyEndpointChoice choice; // null where there is one address
     private boolean reached = true;
 
     /**
      * @param address null where nothing lies below, so that no call can be made
      * @param most connections at once
      */
-    IndexLink(Vertx vertx, Address address, int most, Counters counters) {
+    DependencyLink(Vertx vertx, Address address, int most, Counters counters) {
         this.vertx = vertx;
         this.address = address;
         this.most = most;
@@ -68,12 +68,12 @@
     }
 
     /** @param whether it is worth a try; without one each call tries */
-    void tryBy(Reach whether) {
+    void tryBy(DependencyCircuitBreaker whether) {
         reach = whether;
     }
 
     /** @param among the servers to choose from, in place of the one address */
-    void choose(IndexChoice among) {
+    void choose(DependencyEndpointChoice among) {
         choice = among;
     }
 
@@ -85,8 +85,8 @@
         return System.nanoTime() / 1e9;
     }
 
-    void open(Exchange exchange) {
-        this.exchange = exchange;
+    void open(RequestDispatcher dispatcher) {
+        this.dispatcher = dispatcher;
         vertx.setPeriodic(IDLE_MS / 4, id -> {
             long now = System.nanoTime();
             List.copyOf(idle).stream().filter(l -> now - l.lastUsed > IDLE_MS * 1_000_000).forEach(Line::end);
@@ -111,7 +111,7 @@
         Call call = new Call(ref, repeatable, patience, body);
         calls.put(ref, call);
         if (address == null && choice == null) {
-            vertx.runOnContext(v -> call.over(Ending.UNREACHED, null));
+            vertx.runOnContext(v -> call.over(Outcome.UNREACHABLE, null));
             return;
         }
         call.timer = vertx.setTimer(Math.max(1, Math.round(patience * 1000)) + REPLY_SLACK_MS, id -> call.tooLong());
@@ -127,12 +127,12 @@
 
     private void place(Call call) {
         // An idle connection may have been forgotten: a reset then looks like that of a call that ran. And a copy of
-        // a reply may come late, so that no ticket gets the connection it had before.
+        // a reply may come late, so that no request gets the connection it had before.
         if (choice != null && call.server < 0) {
             call.server = choice.pick(call.refusedBy);
             call.told = false;
             if (call.server < 0) {
-                vertx.runOnContext(v -> call.over(Ending.UNREACHED, null));
+                vertx.runOnContext(v -> call.over(Outcome.UNREACHABLE, null));
                 return;
             }
         }
@@ -141,8 +141,8 @@
         if (line != null) {
             idle.remove(line);
             line.carry(call);
-        } else if (reach != null && !reach.mayTry(seconds())) {
-            vertx.runOnContext(v -> call.over(Ending.UNREACHED, null));
+        } else if (reach != null && !reach.isCallPermitted(seconds())) {
+            vertx.runOnContext(v -> call.over(Outcome.UNREACHABLE, null));
         } else if (lines.size() < most) {
             new Line(call).connect();
         } else {
@@ -160,7 +160,7 @@
         }
     }
 
-    /** One call, from the ruling to its end. */
+    /** One call, from the decision to its end. */
     private final class Call {
         private final String ref;
         private final boolean repeatable;
@@ -193,10 +193,10 @@
             }
         }
 
-        void over(Ending how, byte[] reply) {
+        void over(Outcome how, byte[] reply) {
             if (calls.get(ref) == this) {
                 leave();
-                exchange.callEnded(ref, how, reply);
+                dispatcher.dependencyCallEnded(ref, how, reply);
             }
         }
 
@@ -213,7 +213,7 @@
             }
             counters.add(Count.CALLS_TOO_LONG);
             // The index knows how long it is waited for and says when that is over; silence is the connection's.
-            over(written ? Ending.BROKEN_OFF : Ending.UNREACHED, null);
+            over(written ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE, null);
         }
     }
 
@@ -250,7 +250,7 @@
             }
             reached = true;
             if (reach != null) {
-                reach.reached();
+                reach.onSuccess();
             }
             socket = s;
             s.handler(this::read);
@@ -287,9 +287,9 @@
                     }
                     reached = false;
                     if (reach != null) {
-                        reach.refused(seconds());
+                        reach.onConnectionRefused(seconds());
                     }
-                    refused.over(Ending.UNREACHED, null);
+                    refused.over(Outcome.UNREACHABLE, null);
                 }
             }
             placeNext();
@@ -304,7 +304,7 @@
                 refused.server = -1;
                 place(refused);
             } else {
-                refused.over(Ending.UNREACHED, null);
+                refused.over(Outcome.UNREACHABLE, null);
             }
         }
 
@@ -323,7 +323,7 @@
                 for (LineReader.Line l = reader.next(); l != null; l = reader.next()) {
                     IndexLines.Reply r = IndexLines.reply(l);
                     if (call == null) {
-                        throw new Malformed("more than one reply");
+                        throw new MalformedMessageException("more than one reply");
                     }
                     if (r.ref().equals(call.ref)) {
                         replied(r);
@@ -332,19 +332,19 @@
                     }
                 }
                 if (call == null && !reader.isEmpty()) {
-                    throw new Malformed("the start of another reply");
+                    throw new MalformedMessageException("the start of another reply");
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 counters.add(Count.REPLIES_UNREADABLE);
                 end();
             }
         }
 
-        /** The line is free before the exchange hears of it, which may make the next call at once. */
+        /** The line is free before the dispatcher hears of it, which may make the next call at once. */
         private void replied(IndexLines.Reply r) {
             Call done = call;
             call = null;
-            done.tells(r.how() == Ending.FAILED ? How.FAILED : How.ANSWERED);
+            done.tells(r.how() == Outcome.FAILED ? How.FAILED : How.ANSWERED);
             done.line = null;
             lastUsed = System.nanoTime();
             // What came with the reply may be the start of a copy: seen by the reader of the rest.
@@ -384,7 +384,7 @@
                 counters.add(Count.CALLS_CUT_OFF);
                 broken.tells(How.CUT);
                 broken.line = null;
-                broken.over(Ending.BROKEN_OFF, null);
+                broken.over(Outcome.CONNECTION_LOST, null);
             }
             placeNext();
         }
--- a/src/main/java/topazladder/net/Directions.java
+++ b/src/main/java/topazladder/net/HalfClose.java
@@ -14,9 +14,9 @@
  * all it wanted would lose its answers, and a close over bytes not read yet would reset the connection, with what was
  * written last.
  */
-final class Directions {
+final class HalfClose {
 
-    private Directions() {}
+    private HalfClose() {}
 
     /** @param heardAll run on the event loop when the other side has said that it sends no more; it may still read */
     static void watch(NetSocket socket, Runnable heardAll) {
--- a/src/main/java/topazladder/net/RuntimeLink.java
+++ b/src/main/java/topazladder/net/RuntimeLink.java
@@ -7,10 +7,10 @@
 import io.vertx.core.net.NetSocket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.net.Unacknowledged.Command;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.net.UnacknowledgedCommands.Command;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.RuntimeLines;
 import topazladder.net.codec.RuntimeLines.Ended;
 import topazladder.net.codec.RuntimeLines.Load;
@@ -21,8 +21,8 @@
 import topazladder.net.codec.RuntimeLines.Wants;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
 import topazladder.service.RuntimePort;
 
 /** The link to the runtime: taken anew whenever it is lost, with nothing lost or doubled. */
@@ -42,10 +42,10 @@
     private final Counters counters;
     private final NetClient client;
     private final Backoff backoff = new Backoff();
-    private final Unacknowledged unacknowledged = new Unacknowledged();
+    private final UnacknowledgedCommands unacknowledged = new UnacknowledgedCommands();
     private Address address;
-    private Exchange exchange;
-    private Instance instance;
+    private RequestDispatcher dispatcher;
+    private InstanceLifecycle instance;
     private int attempt; // the latest connect or wait for one; whatever an earlier one leads to is let go
     private NetSocket socket; // null while there is no link
     private NetSocket next; // takes its place as soon as all that was written to it is shown to be read
@@ -63,8 +63,8 @@
         client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(1000));
     }
 
-    void open(Exchange exchange, Instance instance) {
-        this.exchange = exchange;
+    void open(RequestDispatcher dispatcher, InstanceLifecycle instance) {
+        this.dispatcher = dispatcher;
         this.instance = instance;
         connect();
     }
@@ -85,7 +85,7 @@
             LOG.info("the runtime is at another address");
             address = to;
             backoff.reset();
-            if (exchange != null && !over) {
+            if (dispatcher != null && !over) {
                 connect();
             }
         }
@@ -156,7 +156,7 @@
         if (socket == s) {
             socket = null;
             caughtUp = false;
-            exchange.runtimeLost();
+            dispatcher.runtimeLost();
             if (!over) {
                 counters.add(Count.LINKS_LOST);
                 LOG.warn("the link to the runtime is lost after notice {}", lastNotice);
@@ -192,7 +192,7 @@
             for (LineReader.Line l = reader.next(); l != null && socket == from; l = reader.next()) {
                 take(RuntimeLines.notice(l));
             }
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             counters.add(Count.LINES_UNREADABLE);
             LOG.warn("the runtime sent what can't be read: {}", e.getMessage());
             from.close();
@@ -205,27 +205,27 @@
             LOG.info("the runtime is up since {} s, {}", ready.secondsAgo(), ready.loaded() ? "loaded" : "empty");
             // The answer to a question comes after all notices of before; only then is it known what ran.
             write(RuntimeLines.gauges("c" + unacknowledged.lastWritten()));
-            instance.runtimeUp(!ready.loaded());
+            instance.runtimeConnected(!ready.loaded());
         } else if (notice instanceof Load load) {
             load(load);
         } else if (notice instanceof Ended e) {
             if (isNew(e.number())) {
                 unacknowledged.heardOf(e.ref());
-                exchange.runEnded(e.ref(), e.how(), e.elapsed(), e.result());
+                dispatcher.runEnded(e.ref(), e.how(), e.elapsed(), e.result());
             }
         } else if (notice instanceof Wants w) {
             if (isNew(w.number())) {
                 unacknowledged.heardOf(w.ref());
-                exchange.callWanted(w.ref(), w.number(), w.body());
+                dispatcher.dependencyCallRequested(w.ref(), w.number(), w.body());
             }
         } else if (notice instanceof Verdict v) {
-            exchange.verdict(tag(v.tag()), v.passed());
+            dispatcher.healthCheckCompleted(tag(v.tag()), v.passed());
         } else if (notice instanceof Nack n) {
             unacknowledged.heardOf(n.ref());
             if (n.command().equals("start")) {
-                exchange.notStarted(n.ref());
+                dispatcher.notStarted(n.ref());
             } else if (n.command().equals("selftest")) {
-                exchange.verdict(tag(n.ref()), false);
+                dispatcher.healthCheckCompleted(tag(n.ref()), false);
             } else {
                 counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
             }
@@ -247,7 +247,7 @@
                 if (c.start() && unacknowledged.wasWritten(c)) {
                     // A run that was started and ends in this instant would be started a second time.
                     unacknowledged.heardOf(c.ref());
-                    exchange.startInDoubt(c.ref());
+                    dispatcher.startUncertain(c.ref());
                 } else {
                     write(c);
                 }
@@ -258,7 +258,7 @@
                 takeNext(next);
             }
         }
-        exchange.gaugesRead(load.values());
+        dispatcher.gaugesReceived(load.values());
     }
 
     private static long tag(String text) {
@@ -290,8 +290,8 @@
         }
     }
 
-    @Override public void start(String ref, String offering, byte[] body) {
-        command(ref, true, RuntimeLines.start(ref, offering, body));
+    @Override public void start(String ref, String requestClass, byte[] body) {
+        command(ref, true, RuntimeLines.start(ref, requestClass, body));
     }
 
     @Override public void give(String ref, byte[] reply) {
@@ -317,7 +317,7 @@
 
     @Override public void askWhetherWorkGetsDone(long tag) {
         if (socket == null) {
-            exchange.verdict(tag, false); // nobody would ever tell
+            dispatcher.healthCheckCompleted(tag, false); // nobody would ever tell
         }
         write(RuntimeLines.selftest(String.valueOf(tag)));
     }
--- a/src/main/java/topazladder/net/Service.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -15,26 +15,26 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.config.BadTerms;
-import topazladder.config.HallSettings;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.drain.Meter;
+import topazladder.config.ClusterSettings;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
+import topazladder.disruption.ThroughputMeter;
 import topazladder.net.amqp.AmqpNode;
 import topazladder.net.hall.HallNode;
 import topazladder.net.peer.PeerNode;
 import topazladder.service.Callers;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
-import topazladder.service.Part;
-import topazladder.service.Reach;
+import topazladder.service.DependencyCircuitBreaker;
+import topazladder.service.InstanceExtension;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
 import topazladder.service.Timers;
 
 /** Puts the parts of a real service instance together, all on one event loop. */
-public final class Service {
-    private static final Logger LOG = LoggerFactory.getLogger(Service.class);
+public final class ServiceInstance {
+    private static final Logger LOG = LoggerFactory.getLogger(ServiceInstance.class);
     /**
      * Kept back of the descriptors: libraries, event loop and links hold 33, and a closed one is given back only
      * when the event loop comes round again. None left, nobody would be taken for a second.
@@ -49,26 +49,26 @@
     /** One in so many descriptors may be a connection to the index. */
     private static final int INDEX_PART = 8;
 
-    private final ServiceTerms terms;
+    private final ServiceSettings terms;
     private final Vertx vertx;
     private final Counters counters = new Counters();
     private final CallerServer callers;
     private final RuntimeLink runtime;
-    private final IndexLink index;
+    private final DependencyLink index;
     private final ControlPlane control;
-    private final Exchange exchange;
-    private final Instance instance;
+    private final RequestDispatcher dispatcher;
+    private final InstanceLifecycle instance;
     private final IntConsumer exit;
     private int status;
-    private final List<Part> parts = new ArrayList<>();
+    private final List<InstanceExtension> parts = new ArrayList<>();
 
     /** @param exit ends the process with a status; nothing is done any more after it */
-    public Service(ServiceTerms terms, IntConsumer exit) {
-        this(terms, OwnSettings.NONE, exit);
+    public ServiceInstance(ServiceSettings terms, IntConsumer exit) {
+        this(terms, ExtensionSettings.NONE, exit);
     }
 
     /** @param own switches on the parts that are off by default */
-    public Service(ServiceTerms terms, OwnSettings own, IntConsumer exit) {
+    public ServiceInstance(ServiceSettings terms, ExtensionSettings own, IntConsumer exit) {
         this.terms = terms;
         this.exit = exit;
         int toIndex = Math.max(1, terms.sockets() / INDEX_PART);
@@ -82,28 +82,30 @@
         vertx.exceptionHandler(this::fault);
         callers = new CallerServer(vertx, toCallers, gate::shut, counters);
         runtime = new RuntimeLink(vertx, terms.runtime(), counters);
-        index = new IndexLink(vertx, terms.index(), toIndex, counters);
+        index = new DependencyLink(vertx, terms.index(), toIndex, counters);
         control = new ControlPlane(vertx, terms.control(), terms.name());
-        DoubleSupplier clock = Service::unixSeconds;
+        DoubleSupplier clock = ServiceInstance::unixSeconds;
         Timers timers = (seconds, what) -> vertx.setTimer(Math.max(1, Math.round(seconds * 1000)),
                 id -> what.run());
-        exchange = new Exchange(clock, terms.terms(), runtime, index, callers, timers, counters);
-        instance = new Instance(terms.name(), terms.seed(), terms.stopAfter(), clock, exchange, withParts(callers),
+        dispatcher = new RequestDispatcher(clock, terms.terms(), runtime, index, callers, timers, counters);
+        instance = new InstanceLifecycle(terms.name(), terms.seed(), terms.stopAfter(), clock, dispatcher,
+                withParts(callers),
                 timers,
                 this::exit);
         addParts(own, clock, timers);
     }
 
-    private void addParts(OwnSettings own, DoubleSupplier clock, Timers timers) {
+    private void addParts(ExtensionSettings own, DoubleSupplier clock, Timers timers) {
         AmqpNode brokers = own.brokers().isEmpty() ? null
-                : new AmqpNode(vertx, terms, own, clock, timers, exchange, instance, counters);
+                : new AmqpNode(vertx, terms, own, clock, timers, dispatcher, instance, counters);
         if (own.peering() != null) {
             HallNode[] hall = new HallNode[1];
-            PeerNode peers = new PeerNode(vertx, terms, own, exchange, instance, counters, () -> hall[0]);
+            PeerNode peers = new PeerNode(vertx, terms, own, dispatcher, instance, counters, () -> hall[0]);
             parts.add(peers);
             if (own.members() != null) {
-                Reach reach = new Reach(new SplittableRandom(terms.seed() ^ System.nanoTime()));
-                if (own.members().duties().stream().anyMatch(d -> d.what() instanceof HallSettings.Probe)) {
+                DependencyCircuitBreaker reach =
+                        new DependencyCircuitBreaker(new SplittableRandom(terms.seed() ^ System.nanoTime()));
+                if (own.members().duties().stream().anyMatch(d -> d.what() instanceof ClusterSettings.Probe)) {
                     index.tryBy(reach);
                 }
                 hall[0] = new HallNode(vertx, terms, own, instance::phase, counters, peers::keys,
@@ -121,11 +123,11 @@
     }
 
     public void start() {
-        onLoop(() -> callers.listen(terms.listen(), exchange).onComplete(s -> {
-            instance.listening();
-            parts.forEach(Part::open);
-            index.open(exchange);
-            runtime.open(exchange, instance);
+        onLoop(() -> callers.listen(terms.listen(), dispatcher).onComplete(s -> {
+            instance.listenersOpened();
+            parts.forEach(InstanceExtension::open);
+            index.open(dispatcher);
+            runtime.open(dispatcher, instance);
             control.open(instance);
         }, e -> {
             System.err.println("serve: can't listen on " + terms.listen().host() + ":" + terms.listen().port()
@@ -137,21 +139,21 @@
     /** The notice to leave, from any thread. */
     public void leave() {
         onLoop(() -> {
-            parts.forEach(Part::leave);
-            instance.leave();
+            parts.forEach(InstanceExtension::leave);
+            instance.shutdown();
         });
     }
 
     /** The hall has agreed that this instance goes out: whoever supervises it is told so by the status. */
     private void leaveAsAgreed(double notice) {
         status = AGREED;
-        instance.announce();
+        instance.announceShutdown();
         vertx.setTimer(Math.max(1, Math.round(notice * 1000)), id -> leave());
     }
 
-    private Meter.Counted counted() {
-        double[] payoff = exchange.payoff();
-        return new Meter.Counted(payoff[0], payoff[1], counters.of(Count.BROKEN_OFF));
+    private ThroughputMeter.Counted counted() {
+        double[] payoff = dispatcher.payoff();
+        return new ThroughputMeter.Counted(payoff[0], payoff[1], counters.of(Count.FAILED));
     }
 
     /** What a part has to settle holds the stop back as an open connection does. */
@@ -166,15 +168,15 @@
             }
 
             @Override public int connections() {
-                return server.connections() + parts.stream().mapToInt(Part::busy).sum();
+                return server.connections() + parts.stream().mapToInt(InstanceExtension::busy).sum();
             }
         };
     }
 
     /** Moves to the addresses of the configuration as it is now, from any thread. One that is bad changes nothing. */
-    public void reload(Supplier<ServiceTerms> configuration) {
+    public void reload(Supplier<ServiceSettings> configuration) {
         try {
-            ServiceTerms read = configuration.get();
+            ServiceSettings read = configuration.get();
             onLoop(() -> {
                 counters.add(Count.CONFIGURATIONS_READ);
                 LOG.info("{} reads its configuration anew", terms.name());
@@ -185,7 +187,7 @@
                 index.move(read.index());
                 control.move(read.control());
             });
-        } catch (BadTerms e) {
+        } catch (InvalidSettingsException e) {
             onLoop(() -> {
                 counters.add(Count.CONFIGURATIONS_REFUSED);
                 LOG.error("the configuration stays as it was: {}", e.getMessage());
@@ -194,11 +196,11 @@
     }
 
     /** The same for the settings of the parts that are switched on. */
-    public void reloadOwn(Supplier<OwnSettings> settings) {
+    public void reloadOwn(Supplier<ExtensionSettings> settings) {
         try {
-            OwnSettings read = settings.get();
+            ExtensionSettings read = settings.get();
             onLoop(() -> parts.forEach(p -> p.reload(read)));
-        } catch (BadTerms e) {
+        } catch (InvalidSettingsException e) {
             onLoop(() -> {
                 counters.add(Count.CONFIGURATIONS_REFUSED);
                 LOG.error("the settings stay as they were: {}", e.getMessage());
@@ -220,14 +222,14 @@
         }
     }
 
-    /** One ticket's fault must not end the process that all others are in. */
+    /** One request's fault must not end the process that all others are in. */
     private void fault(Throwable e) {
         counters.add(Count.FAULTS);
         LOG.error("a fault of the program", e);
     }
 
     private void tellCounters() {
-        LOG.info("{} {} {} connections={}", terms.name(), counters, exchange, callers.connections());
+        LOG.info("{} {} {} connections={}", terms.name(), counters, dispatcher, callers.connections());
     }
 
     private void exit() {
@@ -249,7 +251,7 @@
         vertx.close().onComplete(v -> exit.accept(status));
     }
 
-    private static void closeParts(Iterator<Part> left, Runnable then) {
+    private static void closeParts(Iterator<InstanceExtension> left, Runnable then) {
         if (left.hasNext()) {
             left.next().close(() -> closeParts(left, then));
         } else {
--- a/src/main/java/topazladder/net/Unacknowledged.java
+++ b/src/main/java/topazladder/net/UnacknowledgedCommands.java
@@ -9,13 +9,13 @@
  * could start again what has ended, or answer the wrong call; never sent, a run would hang. Of a start that was
  * written, the module says whether and when.
  */
-final class Unacknowledged {
+final class UnacknowledgedCommands {
 
     /** @param start whether it starts a run */
     record Command(long number, String ref, boolean start, byte[] bytes) {
     }
 
-    /** Emptied by whatever the runtime says later on the same link, and by a notice on the same ticket. */
+    /** Emptied by whatever the runtime says later on the same link, and by a notice on the same request. */
     private final Deque<Command> commands = new ArrayDeque<>();
     private long last;
     private long written;
@@ -51,7 +51,7 @@
         }
     }
 
-    /** A notice on a ticket comes after all that it was told before. */
+    /** A notice on a request comes after all that it was told before. */
     void heardOf(String ref) {
         commands.removeIf(c -> c.ref().equals(ref));
     }
--- a/src/main/java/topazladder/net/Rehearsal.java
+++ b/src/main/java/topazladder/net/WarmUp.java
@@ -14,40 +14,40 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.config.ServiceTerms;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.ticket.Offering;
-import topazladder.ticket.Offering.Repeats;
+import topazladder.config.ServiceSettings;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.request.RequestClass;
+import topazladder.request.RequestClass.Repeats;
 
 /**
- * Plays a few hundred tickets through an instance of its own before the real one listens, all round it played by
+ * Plays a few hundred requests through an instance of its own before the real one listens, all round it played by
  * this class on the same machine's loopback. A Java machine that has run nothing yet takes ten times as long for a
- * ticket, and on part of a core its first callers would wait for that; also what a start needs is loaded once, for
+ * request, and on part of a core its first callers would wait for that; also what a start needs is loaded once, for
  * the archive that later starts map. Nothing of it is left but compiled code.
  */
-public final class Rehearsal {
-    private static final Logger LOG = LoggerFactory.getLogger(Rehearsal.class);
-    public static final int TICKETS = 400;
+public final class WarmUp {
+    private static final Logger LOG = LoggerFactory.getLogger(WarmUp.class);
+    public static final int REQUESTS = 400;
     private static final int AT_ONCE = 8;
     /** Seconds: a late start costs more than a slow one. */
     private static final double LONGEST = 5;
 
-    private final ServiceTerms terms;
+    private final ServiceSettings terms;
     private final InetAddress host;
     private final long endNs = System.nanoTime() + (long) (LONGEST * 1e9);
 
     private int answers;
 
-    private Rehearsal(ServiceTerms terms) throws IOException {
+    private WarmUp(ServiceSettings terms) throws IOException {
         this.terms = terms;
         host = InetAddress.getByName(terms.listen().host());
     }
 
     /** Returns the answers that came when it is over; one that fails costs nothing but a slow start. */
-    public static int play(ServiceTerms terms) {
+    public static int play(ServiceSettings terms) {
         int answers = 0;
         try {
-            Rehearsal rehearsal = new Rehearsal(terms);
+            WarmUp rehearsal = new WarmUp(terms);
             rehearsal.play();
             answers = rehearsal.answers;
         } catch (IOException | RuntimeException e) {
@@ -64,7 +64,7 @@
                 port = free.getLocalPort();
             }
             String at = terms.listen().host();
-            Service service = new Service(new ServiceTerms("rehearsal", new Address(at, port),
+            ServiceInstance service = new ServiceInstance(new ServiceSettings("rehearsal", new Address(at, port),
                     new Address(at, runtime.getLocalPort()), new Address(at, index.getLocalPort()),
                     new Address(at, index.getLocalPort()), 1, 0.3, terms.sockets(), terms.terms()),
                     status -> over.countDown());
@@ -171,12 +171,12 @@
     }
 
     private void ask(Socket... callers) throws IOException {
-        List<Offering> offerings = terms.terms().offerings();
+        List<RequestClass> requestClasses = terms.terms().requestClasses();
         DataInputStream[] in = new DataInputStream[callers.length];
         for (int i = 0; i < callers.length; i++) {
             in[i] = new DataInputStream(new BufferedInputStream(callers[i].getInputStream()));
         }
-        for (int i = 0; i < TICKETS + AT_ONCE && System.nanoTime() < endNs; i++) {
+        for (int i = 0; i < REQUESTS + AT_ONCE && System.nanoTime() < endNs; i++) {
             int c = i % callers.length;
             if (i >= AT_ONCE) {
                 byte type;
@@ -186,19 +186,20 @@
                 } while (type == 48);
                 answers++;
             }
-            if (i < TICKETS) {
-                callers[c].getOutputStream().write(ticket(i, offerings.get(i % offerings.size())));
+            if (i < REQUESTS) {
+                callers[c].getOutputStream().write(request(i, requestClasses.get(i % requestClasses.size())));
             }
         }
     }
 
-    private byte[] ticket(int i, Offering offering) {
+    private byte[] request(int i, RequestClass requestClass) {
         String ref = String.format("%016x", i + 1);
-        boolean marked = offering.repeats() == Repeats.FINGERPRINTED;
-        boolean named = !terms.terms().customers().isEmpty();
-        String[] fields = {"service", offering.name(), "ref", ref, "since", String.valueOf(System.currentTimeMillis()),
-                "room", "10", "class_rank", "0.5", named ? "project" : "sender",
-                named ? terms.terms().customers().get(0).name() : "1", marked ? "replay" : "lookup", ref};
+        boolean marked = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
+        boolean named = !terms.terms().tenants().isEmpty();
+        String[] fields =
+                {"service", requestClass.name(), "ref", ref, "since", String.valueOf(System.currentTimeMillis()),
+                        "room", "10", "class_rank", "0.5", named ? "project" : "sender",
+                        named ? terms.terms().tenants().get(0).name() : "1", marked ? "replay" : "lookup", ref};
         ByteBuffer out = ByteBuffer.allocate(512).putInt(0).put((byte) 16).putInt(i + 1)
                 .put((byte) (fields.length / 2));
         for (int f = 0; f < fields.length; f += 2) {
--- a/src/main/java/topazladder/net/amqp/AmqpLink.java
+++ b/src/main/java/topazladder/net/amqp/AmqpLink.java
@@ -34,10 +34,10 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.config.BrokerTerms;
-import topazladder.config.BrokerTerms.Topology;
-import topazladder.config.QueueTerms;
-import topazladder.config.QueueTerms.Route;
+import topazladder.config.BrokerSettings;
+import topazladder.config.BrokerSettings.Topology;
+import topazladder.config.QueueSettings;
+import topazladder.config.QueueSettings.Route;
 import topazladder.delivery.BrokerPort;
 import topazladder.delivery.Consumer;
 import topazladder.delivery.Delivery;
@@ -111,13 +111,13 @@
     private final ScheduledExecutorService heartbeats;
     private final Map<String, Integer> windows = new HashMap<>();
     private final Set<String> heldBack = new HashSet<>(); // queues that are not consumed for now
-    private BrokerTerms terms;
+    private BrokerSettings terms;
     private Consumer consumer;
     private Session session; // null while there is no link
     private int generation; // whatever an earlier one leads to is let go
     private boolean over;
 
-    AmqpLink(Vertx vertx, Context loop, BrokerTerms terms, Counters counters, RandomGenerator chance) {
+    AmqpLink(Vertx vertx, Context loop, BrokerSettings terms, Counters counters, RandomGenerator chance) {
         this.vertx = vertx;
         this.loop = loop;
         this.terms = terms;
@@ -163,7 +163,7 @@
     }
 
     /** The broker is another now, or is spoken to in another way: what is out on the old link comes again. */
-    void move(BrokerTerms to) {
+    void move(BrokerSettings to) {
         if (!to.equals(terms)) {
             LOG.info("broker {} is at another address, or spoken to in another way", to.name());
             terms = to;
@@ -208,7 +208,7 @@
 
     private void connect() {
         int mine = ++generation;
-        BrokerTerms to = terms;
+        BrokerSettings to = terms;
         if (!takes.add(() -> {
             Session s = new Session();
             try {
@@ -284,7 +284,7 @@
 
     // ---- On the threads of the commands
 
-    private ConnectionFactory factory(BrokerTerms to) throws IOException {
+    private ConnectionFactory factory(BrokerSettings to) throws IOException {
         ConnectionFactory f = new ConnectionFactory();
         f.setHost(to.address().host());
         f.setPort(to.address().port());
@@ -319,7 +319,7 @@
         return f;
     }
 
-    private void make(Session s, BrokerTerms to, int mine) throws Exception {
+    private void make(Session s, BrokerSettings to, int mine) throws Exception {
         ConnectionFactory f = factory(to);
         s.consuming = f.newConnection("topazladder takes");
         s.publishing = f.newConnection("topazladder puts");
@@ -365,16 +365,16 @@
                 onLoop(mine, () -> lost("its channel for messages ended: " + reason(cause)));
             }
         });
-        for (QueueTerms q : to.queues()) {
+        for (QueueSettings q : to.queues()) {
             channel(s, q.queue(), mine);
         }
     }
 
-    private void topology(Session s, BrokerTerms to) throws Exception {
+    private void topology(Session s, BrokerSettings to) throws Exception {
         Channel c = s.consuming.createChannel();
         Topology t = to.declare();
         if (t == null) {
-            for (QueueTerms q : to.queues()) {
+            for (QueueSettings q : to.queues()) {
                 c.queueDeclarePassive(q.queue());
                 for (Route r : new Route[] {q.delay(), q.deadLetter()}) {
                     if (r != null && !r.exchange().isEmpty()) {
@@ -383,10 +383,10 @@
                 }
             }
         } else {
-            for (BrokerTerms.Exchange e : t.exchanges()) {
+            for (BrokerSettings.Exchange e : t.exchanges()) {
                 c.exchangeDeclare(e.name(), e.type(), true);
             }
-            for (BrokerTerms.Queue q : t.queues()) {
+            for (BrokerSettings.Queue q : t.queues()) {
                 Map<String, Object> arguments = new LinkedHashMap<>();
                 if (q.deadLetterExchange() != null) {
                     arguments.put("x-dead-letter-exchange", q.deadLetterExchange());
@@ -402,7 +402,7 @@
                 }
                 c.queueDeclare(q.name(), true, false, false, arguments);
             }
-            for (BrokerTerms.Binding b : t.bindings()) {
+            for (BrokerSettings.Binding b : t.bindings()) {
                 c.queueBind(b.queue(), b.exchange(), b.routingKey());
             }
         }
--- a/src/main/java/topazladder/net/amqp/AmqpNode.java
+++ b/src/main/java/topazladder/net/amqp/AmqpNode.java
@@ -8,50 +8,50 @@
 import java.util.function.DoubleSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.config.BrokerTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
+import topazladder.config.BrokerSettings;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ServiceSettings;
 import topazladder.delivery.Consumer;
-import topazladder.duty.Work;
+import topazladder.lease.LeasedTask;
 import topazladder.service.Counters;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
-import topazladder.service.Instance.Phase;
-import topazladder.service.Part;
+import topazladder.service.InstanceExtension;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.InstanceLifecycle.Phase;
+import topazladder.service.RequestDispatcher;
 import topazladder.service.Timers;
 
 /** Consuming from brokers: a link and a consumer for each, as long as the instance serves. */
-public final class AmqpNode implements Part {
+public final class AmqpNode implements InstanceExtension {
     private static final Logger LOG = LoggerFactory.getLogger(AmqpNode.class);
     private static final long LOOK_MS = 250;
 
-    private record Source(BrokerTerms terms, AmqpLink link, Consumer consumer) {
+    private record Source(BrokerSettings terms, AmqpLink link, Consumer consumer) {
     }
 
     private final Vertx vertx;
-    private final Instance instance;
+    private final InstanceLifecycle instance;
     private final Map<String, Source> sources = new LinkedHashMap<>();
     private boolean opened;
     private boolean leaving;
 
-    public AmqpNode(Vertx vertx, ServiceTerms terms, OwnSettings own, DoubleSupplier clock, Timers timers,
-            Exchange exchange, Instance instance, Counters counters) {
+    public AmqpNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, DoubleSupplier clock, Timers timers,
+            RequestDispatcher dispatcher, InstanceLifecycle instance, Counters counters) {
         this.vertx = vertx;
         this.instance = instance;
         // Names of tries must not come again after a restart, whatever the seed: the runtime keeps what it ran.
         SplittableRandom chance = new SplittableRandom(terms.seed() ^ System.nanoTime() ^ ProcessHandle.current()
                 .pid() << 32);
         var loop = vertx.getOrCreateContext();
-        for (BrokerTerms b : own.brokers()) {
+        for (BrokerSettings b : own.brokers()) {
             AmqpLink link = new AmqpLink(vertx, loop, b, counters, chance.split());
-            sources.put(b.name(), new Source(b, link, new Consumer(clock, timers, exchange, counters, chance.split(),
+            sources.put(b.name(), new Source(b, link, new Consumer(clock, timers, dispatcher, counters, chance.split(),
                     link,
                     terms.terms(), b.queues())));
         }
     }
 
     /** A queue that is consumed only while this instance holds the duty for it. */
-    public Work consumeBy(String broker, String queue) {
+    public LeasedTask consumeBy(String broker, String queue) {
         Source s = sources.get(broker);
         s.link().holdBack(queue);
         return new ConsumeWork(vertx, new ConsumeWork.Queue() {
@@ -82,8 +82,8 @@
         });
     }
 
-    @Override public void reload(OwnSettings settings) {
-        for (BrokerTerms b : settings.brokers()) {
+    @Override public void reload(ExtensionSettings settings) {
+        for (BrokerSettings b : settings.brokers()) {
             Source had = sources.get(b.name());
             if (had == null || !had.terms().queues().equals(b.queues())) {
                 LOG.warn("broker {} has other queues now, which needs a restart", b.name());
--- a/src/main/java/topazladder/net/amqp/ConsumeWork.java
+++ b/src/main/java/topazladder/net/amqp/ConsumeWork.java
@@ -5,14 +5,14 @@
 import java.util.function.Consumer;
 import java.util.function.IntSupplier;
 import java.util.function.Supplier;
-import topazladder.duty.Work;
+import topazladder.lease.LeasedTask;
 
 /**
  * The one consumer of a queue. It is given up in order once all that it has in hand has its outcome; past its time
  * what is left is given back to the broker, which brings it to the next one. A broker checks no token: a holder that
  * stands still keeps what it had in hand until the broker's heartbeat finds it, and the next one consumes meanwhile.
  */
-final class ConsumeWork implements Work {
+final class ConsumeWork implements LeasedTask {
     private static final long LOOK_MS = 20;
 
     /** The queue's link. */
@@ -29,14 +29,14 @@
 
     private final Vertx vertx;
     private final Queue queue;
-    private final IntSupplier inHand;
+    private final IntSupplier inFlight;
     private long look = -1;
 
-    /** @param inHand deliveries without an outcome */
-    ConsumeWork(Vertx vertx, Queue queue, IntSupplier inHand) {
+    /** @param inFlight deliveries without an outcome */
+    ConsumeWork(Vertx vertx, Queue queue, IntSupplier inFlight) {
         this.vertx = vertx;
         this.queue = queue;
-        this.inHand = inHand;
+        this.inFlight = inFlight;
     }
 
     @Override public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
@@ -60,7 +60,7 @@
             if (late) {
                 queue.giveBack();
             }
-            if (late || inHand.getAsInt() == 0) {
+            if (late || inFlight.getAsInt() == 0) {
                 vertx.cancelTimer(id);
                 done.run();
             }
--- a/src/main/java/topazladder/net/amqp/Pem.java
+++ b/src/main/java/topazladder/net/amqp/Pem.java
@@ -21,8 +21,8 @@
 import javax.net.ssl.TrustManager;
 import javax.net.ssl.TrustManagerFactory;
 import javax.net.ssl.X509TrustManager;
-import topazladder.config.BadTerms;
-import topazladder.config.BrokerTerms.Tls;
+import topazladder.config.BrokerSettings.Tls;
+import topazladder.config.InvalidSettingsException;
 
 /** Makes a TLS context of PEM texts, for the client library, which takes nothing else. */
 final class Pem {
@@ -54,7 +54,8 @@
                     tls.serverName().isEmpty() ? own : new Named(own, tls.serverName())}, null);
             return context;
         } catch (GeneralSecurityException | IOException | IllegalArgumentException e) {
-            throw new BadTerms("tls: the certificates or the key can't be used: " + e.getClass().getSimpleName());
+            throw new InvalidSettingsException(
+                    "tls: the certificates or the key can't be used: " + e.getClass().getSimpleName());
         }
     }
 
--- a/src/main/java/topazladder/net/codec/BelowMessages.java
+++ b/src/main/java/topazladder/net/codec/BelowMessages.java
@@ -21,9 +21,9 @@
                 .setFailed(r.failed()).build();
     }
 
-    static List<Report> reports(List<BelowReport> all) throws Malformed {
+    static List<Report> reports(List<BelowReport> all) throws MalformedMessageException {
         if (all.size() > MOST_SERVERS) {
-            throw new Malformed("reports of " + all.size() + " servers");
+            throw new MalformedMessageException("reports of " + all.size() + " servers");
         }
         List<Report> reports = new ArrayList<>();
         for (BelowReport r : all) {
@@ -31,7 +31,7 @@
                 continue; // a look of a newer version says nothing here
             }
             if (!(r.getTried() >= 0) || !(r.getFailed() >= 0)) {
-                throw new Malformed("calls that are no number");
+                throw new MalformedMessageException("calls that are no number");
             }
             reports.add(new Report(GroupMessages.name(r.getServer()), Look.values()[r.getLook()], r.getTried(),
                     r.getFailed()));
@@ -46,14 +46,15 @@
         return b.build();
     }
 
-    static Saying.Belows belows(BelowsMessage m) throws Malformed {
+    static Saying.Belows belows(BelowsMessage m) throws MalformedMessageException {
         if (m.getWordsCount() > MOST_SERVERS) {
-            throw new Malformed("words about " + m.getWordsCount() + " servers");
+            throw new MalformedMessageException("words about " + m.getWordsCount() + " servers");
         }
         List<Word> words = new ArrayList<>();
         for (BelowWord w : m.getWordsList()) {
             if (w.getKind() < 0 || w.getKind() >= Word.Kind.values().length || !(w.getAge() >= 0)) {
-                throw new Malformed("a word of kind " + w.getKind() + " that is " + w.getAge() + " s old");
+                throw new MalformedMessageException(
+                        "a word of kind " + w.getKind() + " that is " + w.getAge() + " s old");
             }
             words.add(new Word(GroupMessages.name(w.getServer()), Word.Kind.values()[w.getKind()], w.getToken(),
                     w.getAge()));
--- a/src/main/java/topazladder/net/codec/CallerFrames.java
+++ b/src/main/java/topazladder/net/codec/CallerFrames.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import topazladder.service.Answer;
+import topazladder.service.Response;
 
 /** Writes the frames that go to callers. */
 public final class CallerFrames {
@@ -12,7 +12,7 @@
 
     private CallerFrames() {}
 
-    public static byte[] answer(long stream, Answer answer) {
+    public static byte[] answer(long stream, Response answer) {
         List<String> fields = new ArrayList<>();
         pressure(fields, answer.level());
         if (answer.stayAway() > 0) {
@@ -24,9 +24,9 @@
             fields.add("1");
         }
         int code = switch (answer.how()) {
-            case HONOURED -> 0;
-            case DEFERRED -> 1;
-            case BROKEN_OFF -> 2;
+            case SERVED -> 0;
+            case REJECTED -> 1;
+            case FAILED -> 2;
         };
         return frame(17, stream, code, fields, answer.body());
     }
@@ -37,12 +37,12 @@
         return frame(33, stream, good ? 0 : 1, fields, NOTHING);
     }
 
-    /** An error that belongs to no ticket. */
+    /** An error that belongs to no request. */
     public static byte[] error(String why) {
         return frame(17, 0, 2, List.of(), why.getBytes(StandardCharsets.UTF_8));
     }
 
-    public static byte[] noNewTicket() {
+    public static byte[] noNewRequest() {
         return ByteBuffer.allocate(9).putInt(5).put((byte) 48).putInt(0).array();
     }
 
--- a/src/main/java/topazladder/net/codec/CallerMessage.java
+++ b/src/main/java/topazladder/net/codec/CallerMessage.java
@@ -1,13 +1,13 @@
 package topazladder.net.codec;
 
-import topazladder.service.Arrival;
+import topazladder.service.IncomingRequest;
 
 /** What a caller's frame says. */
 public sealed interface CallerMessage {
 
     long stream();
 
-    record Submitted(long stream, Arrival arrival) implements CallerMessage {
+    record Submitted(long stream, IncomingRequest arrival) implements CallerMessage {
     }
 
     /** A sound frame with a field that is missing, impossible or unknown. */
--- a/src/main/java/topazladder/net/codec/FrameReader.java
+++ b/src/main/java/topazladder/net/codec/FrameReader.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.regex.Pattern;
-import topazladder.service.Arrival;
+import topazladder.service.IncomingRequest;
 
 /** Reads the frames of one caller's connection from bytes that come in any pieces. */
 public final class FrameReader {
     private static final int LEAST = 5;
     private static final int MOST = 262_144;
     private static final int LONGEST_BODY = 2048;
-    /** No ticket that can be decided on is longer; of one that is, nothing is kept, or a few would fill the heap. */
+    /** No request that can be decided on is longer; of one that is, nothing is kept, or a few would fill the heap. */
     private static final int LONGEST_KEPT = 16_384;
     private static final double LARGEST_FOOTPRINT = 2000;
     private static final Pattern REF = Pattern.compile("[0-9a-fA-F]{16}");
@@ -22,7 +22,7 @@
             "room", "class_rank", "replay", "lookup");
 
     private final Unread unread = new Unread();
-    private long skip; // bytes left of a ticket that is too long
+    private long skip; // bytes left of a request that is too long
     private long skipped; // its stream
 
     public void feed(byte[] more) {
@@ -35,7 +35,7 @@
     }
 
     /** The next whole message, or null until more bytes have come. */
-    public CallerMessage next() throws Malformed {
+    public CallerMessage next() throws MalformedMessageException {
         CallerMessage message = read();
         if (message == null) {
             unread.trim();
@@ -43,7 +43,7 @@
         return message;
     }
 
-    private CallerMessage read() throws Malformed {
+    private CallerMessage read() throws MalformedMessageException {
         if (skip > 0) {
             return skip();
         }
@@ -53,11 +53,11 @@
         ByteBuffer in = ByteBuffer.wrap(unread.bytes, unread.from, unread.size());
         long length = in.getInt() & 0xffff_ffffL;
         if (length < LEAST || length > MOST) {
-            throw new Malformed("a frame of " + length + " bytes");
+            throw new MalformedMessageException("a frame of " + length + " bytes");
         }
         if (length > LONGEST_KEPT && in.remaining() >= LEAST) {
             if (in.get() != 16) {
-                throw new Malformed("a frame of " + length + " bytes that is no request");
+                throw new MalformedMessageException("a frame of " + length + " bytes that is no request");
             }
             skipped = in.getInt() & 0xffff_ffffL;
             skip = length - LEAST;
@@ -79,13 +79,13 @@
         return skip > 0 ? null : new CallerMessage.Unusable(skipped, "body");
     }
 
-    private static CallerMessage message(ByteBuffer in) throws Malformed {
+    private static CallerMessage message(ByteBuffer in) throws MalformedMessageException {
         int type = in.get() & 0xff;
         long stream = in.getInt() & 0xffff_ffffL;
         switch (type) {
             case 16 :
                 if (stream == 0) {
-                    throw new Malformed("a request on stream 0");
+                    throw new MalformedMessageException("a request on stream 0");
                 }
                 Map<String, String> fields = fields(in);
                 byte[] body = new byte[in.remaining()];
@@ -96,22 +96,22 @@
             case 32 :
                 return new CallerMessage.Check(stream, "1".equals(fields(in).get("inner")));
             default :
-                throw new Malformed("a frame of type " + type);
+                throw new MalformedMessageException("a frame of type " + type);
         }
     }
 
-    private static Map<String, String> fields(ByteBuffer in) throws Malformed {
+    private static Map<String, String> fields(ByteBuffer in) throws MalformedMessageException {
         try {
             Map<String, String> fields = new HashMap<>();
             for (int count = in.get() & 0xff; count > 0; count--) {
                 String name = text(in, in.get() & 0xff);
                 if (fields.put(name, text(in, in.getShort() & 0xffff)) != null) {
-                    throw new Malformed("a field given twice: " + name);
+                    throw new MalformedMessageException("a field given twice: " + name);
                 }
             }
             return fields;
         } catch (BufferUnderflowException e) {
-            throw new Malformed("fields cut short");
+            throw new MalformedMessageException("fields cut short");
         }
     }
 
@@ -143,7 +143,7 @@
         if (why != null) {
             return new CallerMessage.Unusable(stream, why);
         }
-        return new CallerMessage.Submitted(stream, new Arrival(ref, f.get("service"), f.get("project"),
+        return new CallerMessage.Submitted(stream, new IncomingRequest(ref, f.get("service"), f.get("project"),
                 since / 1000, dup != null, room, rank, replay, body));
     }
 
--- a/src/main/java/topazladder/net/codec/GroupMessages.java
+++ b/src/main/java/topazladder/net/codec/GroupMessages.java
@@ -22,14 +22,9 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
-import topazladder.drain.OutOp;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyState;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
-import topazladder.group.Agreed;
-import topazladder.group.Endpoint;
+import topazladder.consensus.ReplicatedState;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.disruption.DisruptionCommand;
 import topazladder.hall.proto.Append;
 import topazladder.hall.proto.Appended;
 import topazladder.hall.proto.ChunkMessage;
@@ -49,6 +44,11 @@
 import topazladder.hall.proto.Snapshot;
 import topazladder.hall.proto.SnapshotAnswer;
 import topazladder.hall.proto.Vote;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseState;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 import topazladder.release.ReleaseOp;
 
 /** The group's consensus as messages, and what its voters keep: the library's types to protobuf and back. */
@@ -61,26 +61,26 @@
 
     // ---- names
 
-    static MemberId member(Member m) {
+    static MemberId member(MemberIdentity m) {
         return MemberId.newBuilder().setName(m.name()).setLife(m.life()).build();
     }
 
-    static Member member(MemberId m) throws Malformed {
-        return new Member(name(m.getName()), m.getLife());
+    static MemberIdentity member(MemberId m) throws MalformedMessageException {
+        return new MemberIdentity(name(m.getName()), m.getLife());
     }
 
-    static String name(String name) throws Malformed {
+    static String name(String name) throws MalformedMessageException {
         if (name.isEmpty() || name.length() > LONGEST_NAME) {
-            throw new Malformed("a name of " + name.length() + " characters");
+            throw new MalformedMessageException("a name of " + name.length() + " characters");
         }
         return name;
     }
 
-    private static Endpoint endpoint(String id) throws Malformed {
+    private static VoterEndpoint endpoint(String id) throws MalformedMessageException {
         try {
-            return Endpoint.of(name(id));
+            return VoterEndpoint.of(name(id));
         } catch (IllegalArgumentException e) {
-            throw new Malformed("no voter: " + id);
+            throw new MalformedMessageException("no voter: " + id);
         }
     }
 
@@ -88,9 +88,9 @@
         return all.stream().map(e -> e.getId().toString()).toList();
     }
 
-    private static List<RaftEndpoint> endpoints(List<String> ids) throws Malformed {
+    private static List<RaftEndpoint> endpoints(List<String> ids) throws MalformedMessageException {
         if (ids.size() > MOST_VOTERS) {
-            throw new Malformed(ids.size() + " voters");
+            throw new MalformedMessageException(ids.size() + " voters");
         }
         List<RaftEndpoint> all = new ArrayList<>();
         for (String id : ids) {
@@ -104,33 +104,33 @@
     /** What stands in the log: an operation on duties, or the library's own on the voters. */
     public static OpMessage op(Object operation) {
         OpMessage.Builder b = OpMessage.newBuilder();
-        if (operation instanceof Op.Define d) {
+        if (operation instanceof LeaseCommand.Define d) {
             DefineOp.Builder define = DefineOp.newBuilder();
             d.duties().forEach(t -> define.addDuties(terms(t)));
             b.setDefine(define);
-        } else if (operation instanceof Op.Grant g) {
+        } else if (operation instanceof LeaseCommand.Grant g) {
             b.setGrant(DutyOp.newBuilder().setDuty(g.duty()).setTo(member(g.to())).setToken(g.seen()));
-        } else if (operation instanceof Op.Release r) {
+        } else if (operation instanceof LeaseCommand.Release r) {
             b.setRelease(duty(r.duty(), r.token()));
-        } else if (operation instanceof Op.Expire e) {
+        } else if (operation instanceof LeaseCommand.Expire e) {
             b.setExpire(duty(e.duty(), e.token()));
-        } else if (operation instanceof Op.Settled s) {
+        } else if (operation instanceof LeaseCommand.Settled s) {
             b.setSettled(duty(s.duty(), s.token()));
-        } else if (operation instanceof Op.Crashed c) {
+        } else if (operation instanceof LeaseCommand.Crashed c) {
             b.setCrashed(duty(c.duty(), c.token()));
-        } else if (operation instanceof Op.Failed f) {
+        } else if (operation instanceof LeaseCommand.Failed f) {
             b.setFailed(duty(f.duty(), f.token()).setText(f.why()));
-        } else if (operation instanceof Op.Halt h) {
+        } else if (operation instanceof LeaseCommand.Halt h) {
             b.setHalt(duty(h.duty(), 0).setText(h.why()));
-        } else if (operation instanceof Op.Resume r) {
+        } else if (operation instanceof LeaseCommand.Resume r) {
             b.setResume(duty(r.duty(), 0));
-        } else if (operation instanceof Op.HandOver h) {
+        } else if (operation instanceof LeaseCommand.HandOver h) {
             b.setHandOver(duty(h.duty(), 0).setText(h.member()));
-        } else if (operation instanceof Op.Lead l) {
+        } else if (operation instanceof LeaseCommand.Lead l) {
             b.setLead(LeadOp.newBuilder().setLeader(l.leader()).setNonce(l.nonce()));
-        } else if (operation instanceof Op.RaiseTokens r) {
+        } else if (operation instanceof LeaseCommand.RaiseTokens r) {
             b.setRaiseTokens(r.to());
-        } else if (operation instanceof OutOp o) {
+        } else if (operation instanceof DisruptionCommand o) {
             b.setOut(OutMessages.op(o));
         } else if (operation instanceof ReleaseOp r) {
             b.setReleaseOp(ReleaseMessages.op(r));
@@ -148,26 +148,28 @@
         return DutyOp.newBuilder().setDuty(duty).setToken(token);
     }
 
-    public static Object op(OpMessage m) throws Malformed {
+    public static Object op(OpMessage m) throws MalformedMessageException {
         return switch (m.getOpCase()) {
             case DEFINE -> {
-                List<DutyTerms> all = new ArrayList<>();
+                List<LeaseSettings> all = new ArrayList<>();
                 for (DutyTermsMessage t : m.getDefine().getDutiesList()) {
                     all.add(terms(t));
                 }
-                yield new Op.Define(List.copyOf(all));
+                yield new LeaseCommand.Define(List.copyOf(all));
             }
-            case GRANT -> new Op.Grant(m.getGrant().getDuty(), member(m.getGrant().getTo()), m.getGrant().getToken());
-            case RELEASE -> new Op.Release(m.getRelease().getDuty(), m.getRelease().getToken());
-            case EXPIRE -> new Op.Expire(m.getExpire().getDuty(), m.getExpire().getToken());
-            case SETTLED -> new Op.Settled(m.getSettled().getDuty(), m.getSettled().getToken());
-            case CRASHED -> new Op.Crashed(m.getCrashed().getDuty(), m.getCrashed().getToken());
-            case FAILED -> new Op.Failed(m.getFailed().getDuty(), m.getFailed().getToken(), m.getFailed().getText());
-            case HALT -> new Op.Halt(m.getHalt().getDuty(), m.getHalt().getText());
-            case RESUME -> new Op.Resume(m.getResume().getDuty());
-            case HAND_OVER -> new Op.HandOver(m.getHandOver().getDuty(), m.getHandOver().getText());
-            case LEAD -> new Op.Lead(m.getLead().getLeader(), m.getLead().getNonce());
-            case RAISE_TOKENS -> new Op.RaiseTokens(m.getRaiseTokens());
+            case GRANT -> new LeaseCommand.Grant(m.getGrant().getDuty(), member(m.getGrant().getTo()),
+                    m.getGrant().getToken());
+            case RELEASE -> new LeaseCommand.Release(m.getRelease().getDuty(), m.getRelease().getToken());
+            case EXPIRE -> new LeaseCommand.Expire(m.getExpire().getDuty(), m.getExpire().getToken());
+            case SETTLED -> new LeaseCommand.Settled(m.getSettled().getDuty(), m.getSettled().getToken());
+            case CRASHED -> new LeaseCommand.Crashed(m.getCrashed().getDuty(), m.getCrashed().getToken());
+            case FAILED -> new LeaseCommand.Failed(m.getFailed().getDuty(), m.getFailed().getToken(),
+                    m.getFailed().getText());
+            case HALT -> new LeaseCommand.Halt(m.getHalt().getDuty(), m.getHalt().getText());
+            case RESUME -> new LeaseCommand.Resume(m.getResume().getDuty());
+            case HAND_OVER -> new LeaseCommand.HandOver(m.getHandOver().getDuty(), m.getHandOver().getText());
+            case LEAD -> new LeaseCommand.Lead(m.getLead().getLeader(), m.getLead().getNonce());
+            case RAISE_TOKENS -> new LeaseCommand.RaiseTokens(m.getRaiseTokens());
             case MEMBERS -> MODEL.createUpdateRaftGroupMembersOpBuilder()
                     .setMembers(endpoints(m.getMembers().getMembersList()))
                     .setVotingMembers(endpoints(m.getMembers().getVotingList()))
@@ -175,35 +177,35 @@
                     .build();
             case OUT -> OutMessages.op(m.getOut());
             case RELEASE_OP -> ReleaseMessages.op(m.getReleaseOp());
-            case OP_NOT_SET -> throw new Malformed("an operation that this version does not know");
+            case OP_NOT_SET -> throw new MalformedMessageException("an operation that this version does not know");
         };
     }
 
-    private static MembershipChangeMode mode(String name) throws Malformed {
+    private static MembershipChangeMode mode(String name) throws MalformedMessageException {
         try {
             return MembershipChangeMode.valueOf(name);
         } catch (IllegalArgumentException e) {
-            throw new Malformed("no change of voters: " + name);
+            throw new MalformedMessageException("no change of voters: " + name);
         }
     }
 
-    private static DutyTermsMessage terms(DutyTerms t) {
+    private static DutyTermsMessage terms(LeaseSettings t) {
         return DutyTermsMessage.newBuilder().setName(t.name()).setLease(t.lease()).setMostLosses(t.mostLosses())
                 .build();
     }
 
-    private static DutyTerms terms(DutyTermsMessage t) throws Malformed {
+    private static LeaseSettings terms(DutyTermsMessage t) throws MalformedMessageException {
         if (!(t.getLease() > 0)) {
-            throw new Malformed("a lease of " + t.getLease());
+            throw new MalformedMessageException("a lease of " + t.getLease());
         }
-        return new DutyTerms(name(t.getName()), t.getLease(), t.getMostLosses());
+        return new LeaseSettings(name(t.getName()), t.getLease(), t.getMostLosses());
     }
 
     // ---- snapshots
 
-    private static LedgerCopy copy(DutyLedger.Copy c) {
+    private static LedgerCopy copy(LeaseStateMachine.Copy c) {
         LedgerCopy.Builder b = LedgerCopy.newBuilder().setFloor(c.floor());
-        for (DutyState s : c.duties()) {
+        for (LeaseState s : c.duties()) {
             DutyStateMessage.Builder d = DutyStateMessage.newBuilder().setTerms(terms(s.terms())).setToken(s.token())
                     .setWanted(s.wanted()).setPlaced(s.placed()).setIsHalted(s.halted() != null);
             if (s.halted() != null) {
@@ -219,17 +221,17 @@
         return b.build();
     }
 
-    private static DutyLedger.Copy copy(LedgerCopy c) throws Malformed {
-        List<DutyState> all = new ArrayList<>();
+    private static LeaseStateMachine.Copy copy(LedgerCopy c) throws MalformedMessageException {
+        List<LeaseState> all = new ArrayList<>();
         for (DutyStateMessage s : c.getDutiesList()) {
-            List<DutyState.Loss> losses = new ArrayList<>();
+            List<LeaseState.Loss> losses = new ArrayList<>();
             for (LossMessage l : s.getLossesList()) {
-                losses.add(new DutyState.Loss(l.getToken(), member(l.getHolder()), l.getEnded()));
+                losses.add(new LeaseState.Loss(l.getToken(), member(l.getHolder()), l.getEnded()));
             }
-            all.add(new DutyState(terms(s.getTerms()), s.getToken(), s.hasHolder() ? member(s.getHolder()) : null,
+            all.add(new LeaseState(terms(s.getTerms()), s.getToken(), s.hasHolder() ? member(s.getHolder()) : null,
                     s.getIsHalted() ? s.getHalted() : null, s.getWanted(), s.getPlaced(), List.copyOf(losses)));
         }
-        return new DutyLedger.Copy(c.getFloor(), List.copyOf(all));
+        return new LeaseStateMachine.Copy(c.getFloor(), List.copyOf(all));
     }
 
     public static MembersView view(RaftGroupMembersView v) {
@@ -237,13 +239,13 @@
                 .addAllVoting(ids(v.getVotingMembers())).build();
     }
 
-    public static RaftGroupMembersView view(MembersView v) throws Malformed {
+    public static RaftGroupMembersView view(MembersView v) throws MalformedMessageException {
         return MODEL.createRaftGroupMembersViewBuilder().setLogIndex(v.getLogIndex())
                 .setMembers(endpoints(v.getMembersList())).setVotingMembers(endpoints(v.getVotingList())).build();
     }
 
     public static ChunkMessage chunk(SnapshotChunk c) {
-        Agreed.Copy all = (Agreed.Copy) c.getOperation();
+        ReplicatedState.Copy all = (ReplicatedState.Copy) c.getOperation();
         ChunkMessage.Builder b = ChunkMessage.newBuilder().setIndex(c.getIndex()).setTerm(c.getTerm())
                 .setChunk(c.getSnapshotChunkIndex()).setChunks(c.getSnapshotChunkCount())
                 .setMembers(view(c.getGroupMembersView())).setCopy(copy(all.duties()))
@@ -254,11 +256,11 @@
         return b.build();
     }
 
-    public static SnapshotChunk chunk(ChunkMessage c) throws Malformed {
+    public static SnapshotChunk chunk(ChunkMessage c) throws MalformedMessageException {
         return MODEL.createSnapshotChunkBuilder().setIndex(c.getIndex()).setTerm(c.getTerm())
                 .setSnapshotChunkIndex(c.getChunk()).setSnapshotChunkCount(c.getChunks())
                 .setGroupMembersView(view(c.getMembers()))
-                .setOperation(new Agreed.Copy(copy(c.getCopy()), OutMessages.copy(c.getOuts()),
+                .setOperation(new ReplicatedState.Copy(copy(c.getCopy()), OutMessages.copy(c.getOuts()),
                         c.hasRelease() ? ReleaseMessages.release(c.getRelease()) : null))
                 .build();
     }
@@ -268,7 +270,7 @@
                 .build();
     }
 
-    public static LogEntry entry(EntryMessage e) throws Malformed {
+    public static LogEntry entry(EntryMessage e) throws MalformedMessageException {
         return MODEL.createLogEntryBuilder().setIndex(e.getIndex()).setTerm(e.getTerm()).setOperation(op(e.getOp()))
                 .build();
     }
@@ -321,9 +323,9 @@
         return b.build();
     }
 
-    static RaftMessage consensus(ConsensusMessage m) throws Malformed {
+    static RaftMessage consensus(ConsensusMessage m) throws MalformedMessageException {
         String group = name(m.getGroup());
-        Endpoint sender = endpoint(m.getSender());
+        VoterEndpoint sender = endpoint(m.getSender());
         int term = m.getTerm();
         return switch (m.getWhatCase()) {
             case APPEND -> {
@@ -373,7 +375,8 @@
             case TAKE_OVER -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(sender)
                     .setTerm(term).setLastLogTerm(m.getTakeOver().getLastTerm())
                     .setLastLogIndex(m.getTakeOver().getLastIndex()).build();
-            case WHAT_NOT_SET -> throw new Malformed("a message of the group that this version does not know");
+            case WHAT_NOT_SET -> throw new MalformedMessageException(
+                    "a message of the group that this version does not know");
         };
     }
 }
--- a/src/main/java/topazladder/net/codec/HallMessages.java
+++ b/src/main/java/topazladder/net/codec/HallMessages.java
@@ -3,9 +3,7 @@
 import com.google.protobuf.InvalidProtocolBufferException;
 import java.util.ArrayList;
 import java.util.List;
-import topazladder.duty.Answer;
-import topazladder.duty.Ask;
-import topazladder.group.Endpoint;
+import topazladder.consensus.VoterEndpoint;
 import topazladder.hall.Saying;
 import topazladder.hall.proto.AnswerMessage;
 import topazladder.hall.proto.AskMessage;
@@ -23,7 +21,10 @@
 import topazladder.hall.proto.StandingMessage;
 import topazladder.hall.proto.TakenInMessage;
 import topazladder.hall.proto.ToldMessage;
+import topazladder.hall.proto.TakenInMessage;
 import topazladder.hall.proto.VoterId;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
 import topazladder.membership.Gossip;
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
@@ -109,15 +110,16 @@
     }
 
     /** Null for one of a newer version that this one needs not understand. */
-    public static Saying saying(byte[] bytes) throws Malformed {
+    public static Saying saying(byte[] bytes) throws MalformedMessageException {
         HallMessage m;
         try {
             m = HallMessage.parseFrom(bytes);
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed("no message between members of a hall");
+            throw new MalformedMessageException("no message between members of a hall");
         }
         if (m.getReadableFrom() > SCHEMA) {
-            throw new Malformed("a message that needs schema " + m.getReadableFrom() + ", this is " + SCHEMA);
+            throw new MalformedMessageException(
+                    "a message that needs schema " + m.getReadableFrom() + ", this is " + SCHEMA);
         }
         return switch (m.getWhatCase()) {
             case GOSSIP -> new Saying.Membership(gossip(m.getGossip()));
@@ -130,18 +132,11 @@
             case LEADER_IS -> new Saying.LeaderIs(m.getLeaderIs(), m.getLeaderAt());
             case NUDGE -> new Saying.Nudge();
             case ASKS_TO_VOTE -> new Saying.AsksToVote(voter(m.getAsksToVote()));
-            case TAKEN_IN -> {
-                List<Endpoint> first = new ArrayList<>();
-                for (VoterId v : m.getTakenIn().getFirstList()) {
-                    first.add(voter(v));
-                }
-                yield new Saying.TakenIn(voter(m.getTakenIn().getWho()), List.copyOf(first),
-                        m.getTakenIn().getFormed());
-            }
+            case TAKEN_IN -> takenIn(m.getTakenIn());
             case ORDER -> {
                 Saying.Command.Kind[] kinds = Saying.Command.Kind.values();
                 if (m.getOrder().getKind() < 0 || m.getOrder().getKind() >= kinds.length) {
-                    throw new Malformed("a command that this version does not know");
+                    throw new MalformedMessageException("a command that this version does not know");
                 }
                 yield new Saying.Order(m.getOrder().getNumber(), new Saying.Command(kinds[m.getOrder().getKind()],
                         m.getOrder().getDuty(), m.getOrder().getText()));
@@ -150,7 +145,7 @@
             case FOUND -> {
                 double age = m.getFound().getAge();
                 if (!(age >= 0)) {
-                    throw new Malformed("an age of " + age);
+                    throw new MalformedMessageException("an age of " + age);
                 }
                 yield new Saying.Found(m.getFound().getSubject(), m.getFound().getWell(), age, m.getFound().getToken());
             }
@@ -170,17 +165,25 @@
         };
     }
 
-    private static VoterId voter(Endpoint e) {
+    private static Saying.TakenIn takenIn(TakenInMessage m) throws MalformedMessageException {
+        List<VoterEndpoint> first = new ArrayList<>();
+        for (VoterId v : m.getFirstList()) {
+            first.add(voter(v));
+        }
+        return new Saying.TakenIn(voter(m.getWho()), List.copyOf(first), m.getFormed());
+    }
+
+    private static VoterId voter(VoterEndpoint e) {
         return VoterId.newBuilder().setName(e.name()).setBirth(e.birth()).build();
     }
 
-    private static Endpoint voter(VoterId v) throws Malformed {
-        return new Endpoint(GroupMessages.name(v.getName()), v.getBirth());
+    private static VoterEndpoint voter(VoterId v) throws MalformedMessageException {
+        return new VoterEndpoint(GroupMessages.name(v.getName()), v.getBirth());
     }
 
     // ---- duties
 
-    private static AskMessage.Builder ask(Ask a) {
+    private static AskMessage.Builder ask(LeaseRequest a) {
         AskMessage.Builder b = AskMessage.newBuilder().setFrom(GroupMessages.member(a.from())).setNumber(a.number())
                 .setSteady(a.steady());
         a.held().forEach(h -> b.addHeld(HeldMessage.newBuilder().setDuty(h.duty()).setToken(h.token())));
@@ -191,28 +194,30 @@
         return b;
     }
 
-    private static Ask ask(AskMessage m) throws Malformed {
+    private static LeaseRequest ask(AskMessage m) throws MalformedMessageException {
         if (m.getHeldCount() > MOST_DUTIES || m.getStoppedCount() > MOST_DUTIES) {
-            throw new Malformed("an ask about " + m.getHeldCount() + " and " + m.getStoppedCount() + " duties");
+            throw new MalformedMessageException(
+                    "an ask about " + m.getHeldCount() + " and " + m.getStoppedCount() + " duties");
         }
-        return new Ask(GroupMessages.member(m.getFrom()), m.getNumber(), m.getSteady(),
-                m.getHeldList().stream().map(h -> new Ask.Held(h.getDuty(), h.getToken())).toList(),
-                m.getStoppedList().stream().map(h -> new Ask.Stopped(h.getDuty(), h.getToken(),
+        return new LeaseRequest(GroupMessages.member(m.getFrom()), m.getNumber(), m.getSteady(),
+                m.getHeldList().stream().map(h -> new LeaseRequest.Held(h.getDuty(), h.getToken())).toList(),
+                m.getStoppedList().stream().map(h -> new LeaseRequest.Stopped(h.getDuty(), h.getToken(),
                         h.getFailed().isEmpty() ? null : h.getFailed())).toList());
     }
 
-    private static Answer answer(AnswerMessage m) throws Malformed {
+    private static LeaseResponse answer(AnswerMessage m) throws MalformedMessageException {
         if (m.getLeasesCount() > MOST_DUTIES || !(m.getAskAgainIn() > 0)) {
-            throw new Malformed("an answer about " + m.getLeasesCount() + " duties");
+            throw new MalformedMessageException("an answer about " + m.getLeasesCount() + " duties");
         }
-        List<Answer.Lease> leases = new ArrayList<>();
+        List<LeaseResponse.Lease> leases = new ArrayList<>();
         for (LeaseMessage l : m.getLeasesList()) {
             if (!(l.getLease() > 0)) {
-                throw new Malformed("a lease of " + l.getLease() + " s");
+                throw new MalformedMessageException("a lease of " + l.getLease() + " s");
             }
-            leases.add(new Answer.Lease(GroupMessages.name(l.getDuty()), l.getToken(), l.getLease(), l.getStop()));
+            leases.add(
+                    new LeaseResponse.Lease(GroupMessages.name(l.getDuty()), l.getToken(), l.getLease(), l.getStop()));
         }
-        return new Answer(m.getNumber(), List.copyOf(leases), m.getAskAgainIn());
+        return new LeaseResponse(m.getNumber(), List.copyOf(leases), m.getAskAgainIn());
     }
 
     // ---- membership
@@ -236,9 +241,9 @@
         return b.build();
     }
 
-    private static Gossip gossip(GossipMessage m) throws Malformed {
+    private static Gossip gossip(GossipMessage m) throws MalformedMessageException {
         if (m.getNewsCount() > Membership.MOST_NEWS) {
-            throw new Malformed(m.getNewsCount() + " standings in one message");
+            throw new MalformedMessageException(m.getNewsCount() + " standings in one message");
         }
         List<Standing> news = new ArrayList<>();
         for (StandingMessage s : m.getNewsList()) {
@@ -255,7 +260,8 @@
             case ACK -> new Gossip.Ack(m.getNumber(), all);
             case NACK -> new Gossip.Nack(m.getNumber(), all);
             case SYNC -> new Gossip.Sync(m.getBack(), all);
-            case UNRECOGNIZED -> throw new Malformed("a kind of gossip that this version does not know");
+            case UNRECOGNIZED -> throw new MalformedMessageException(
+                    "a kind of gossip that this version does not know");
         };
     }
 }
--- a/src/main/java/topazladder/net/codec/IndexLines.java
+++ b/src/main/java/topazladder/net/codec/IndexLines.java
@@ -1,7 +1,7 @@
 package topazladder.net.codec;
 
 import topazladder.net.codec.LineReader.Line;
-import topazladder.ticket.Ending;
+import topazladder.request.Outcome;
 
 /** The calls to the index, and its replies. */
 public final class IndexLines {
@@ -9,7 +9,7 @@
     private static final int LONGEST_LINE = 100;
 
     /** How a call ended; the reply is null unless it went well. */
-    public record Reply(String ref, Ending how, byte[] reply) {
+    public record Reply(String ref, Outcome how, byte[] reply) {
     }
 
     private IndexLines() {}
@@ -19,18 +19,18 @@
                 ? LineReader.length(words[2]) : -1);
     }
 
-    public static Reply reply(Line line) throws Malformed {
+    public static Reply reply(Line line) throws MalformedMessageException {
         String[] w = line.words();
         if (w.length < 2 || w[1].equals("HIT") != (line.blob() != null)) {
-            throw new Malformed("no reply of the index: " + String.join(" ", w));
+            throw new MalformedMessageException("no reply of the index: " + String.join(" ", w));
         }
         return new Reply(w[0], switch (w[1]) {
-            case "HIT" -> Ending.OK;
-            case "SHED" -> Ending.DEFERRED;
-            case "BROKEN" -> Ending.FAILED;
-            case "SLOW" -> Ending.ABANDONED;
-            case "NOBODY" -> Ending.MOOT;
-            default -> throw new Malformed("a call that ended as " + w[1]);
+            case "HIT" -> Outcome.SUCCEEDED;
+            case "SHED" -> Outcome.REJECTED;
+            case "BROKEN" -> Outcome.FAILED;
+            case "SLOW" -> Outcome.TIMED_OUT;
+            case "NOBODY" -> Outcome.NOT_STARTED;
+            default -> throw new MalformedMessageException("a call that ended as " + w[1]);
         }, line.blob());
     }
 
--- a/src/main/java/topazladder/net/codec/LineReader.java
+++ b/src/main/java/topazladder/net/codec/LineReader.java
@@ -10,7 +10,7 @@
 
     /** How many bytes follow a line; under 0 if none, and no CR LF of theirs either. */
     public interface Blobs {
-        int after(String[] words) throws Malformed;
+        int after(String[] words) throws MalformedMessageException;
     }
 
     /** One message: its words, and the bytes behind them or null. */
@@ -38,7 +38,7 @@
     }
 
     /** The next whole message, or null until more bytes have come. */
-    public Line next() throws Malformed {
+    public Line next() throws MalformedMessageException {
         if (words == null && !readWords()) {
             return null;
         }
@@ -49,7 +49,7 @@
             }
             int end = unread.from + blob;
             if (unread.bytes[end] != '\r' || unread.bytes[end + 1] != '\n') {
-                throw new Malformed("bytes that do not end in CR LF");
+                throw new MalformedMessageException("bytes that do not end in CR LF");
             }
             held = Arrays.copyOfRange(unread.bytes, unread.from, end);
             unread.from = end + 2;
@@ -59,40 +59,40 @@
         return line;
     }
 
-    private boolean readWords() throws Malformed {
+    private boolean readWords() throws MalformedMessageException {
         int end = unread.from;
         while (end < unread.to && unread.bytes[end] != '\n') {
             // Noise may hold no end of a line for long: told by the first byte that no line holds.
             if (unread.bytes[end] >= 0 && unread.bytes[end] < ' ' && unread.bytes[end] != '\r') {
-                throw new Malformed("a line with a control character");
+                throw new MalformedMessageException("a line with a control character");
             }
             end++;
         }
         int length = end - unread.from;
         if (length > longestLine) {
-            throw new Malformed("a line without an end");
+            throw new MalformedMessageException("a line without an end");
         }
         if (end == unread.to) {
             return false;
         }
         if (length == 0 || unread.bytes[end - 1] != '\r') {
-            throw new Malformed("a line that does not end in CR LF");
+            throw new MalformedMessageException("a line that does not end in CR LF");
         }
         // The limit keeps empty words: without it a line of spaces alone would have none, not even a first.
         words = new String(unread.bytes, unread.from, length - 1, StandardCharsets.UTF_8).split(" ", -1);
         unread.from = end + 1;
         blob = blobs.after(words);
         if (blob > LONGEST_BLOB) {
-            throw new Malformed("a length past belief: " + blob);
+            throw new MalformedMessageException("a length past belief: " + blob);
         }
         return true;
     }
 
-    public static int length(String word) throws Malformed {
+    public static int length(String word) throws MalformedMessageException {
         return (int) whole(word, Integer.MAX_VALUE);
     }
 
-    static long whole(String word, long most) throws Malformed {
+    static long whole(String word, long most) throws MalformedMessageException {
         try {
             long n = Long.parseLong(word);
             if (n >= 0 && n <= most) {
@@ -101,10 +101,10 @@
         } catch (NumberFormatException e) {
             // Told below, as a number out of bounds is.
         }
-        throw new Malformed("no whole number: " + word);
+        throw new MalformedMessageException("no whole number: " + word);
     }
 
-    static double number(String word) throws Malformed {
+    static double number(String word) throws MalformedMessageException {
         try {
             double n = Double.parseDouble(word);
             if (Double.isFinite(n)) {
@@ -113,6 +113,6 @@
         } catch (NumberFormatException e) {
             // Told below, as a number without bounds is.
         }
-        throw new Malformed("no number: " + word);
+        throw new MalformedMessageException("no number: " + word);
     }
 }
--- a/src/main/java/topazladder/net/codec/Malformed.java
+++ b/src/main/java/topazladder/net/codec/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package topazladder.net.codec;
 
 /** What came in is no message of its protocol. */
-public final class Malformed extends Exception {
+public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public Malformed(String message) {
+    public MalformedMessageException(String message) {
         super(message);
     }
 }
--- a/src/main/java/topazladder/net/codec/OutMessages.java
+++ b/src/main/java/topazladder/net/codec/OutMessages.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Subject;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.hall.proto.BudgetMessage;
 import topazladder.hall.proto.CapacityMessage;
 import topazladder.hall.proto.OutMessage;
@@ -22,104 +22,110 @@
 
     private OutMessages() {}
 
-    private static SubjectMessage subject(Subject s) {
+    private static SubjectMessage subject(DisruptionTarget s) {
         return SubjectMessage.newBuilder().setKind(s.kind().ordinal()).setName(s.name()).setZone(s.zone()).build();
     }
 
-    private static Subject subject(SubjectMessage s) throws Malformed {
-        return new Subject(one(Subject.Kind.values(), s.getKind()), GroupMessages.name(s.getName()), s.getZone());
+    private static DisruptionTarget subject(SubjectMessage s) throws MalformedMessageException {
+        return new DisruptionTarget(one(DisruptionTarget.Kind.values(), s.getKind()), GroupMessages.name(s.getName()),
+                s.getZone());
     }
 
-    static <T> T one(T[] of, int at) throws Malformed {
+    static <T> T one(T[] of, int at) throws MalformedMessageException {
         if (at < 0 || at >= of.length) {
-            throw new Malformed("number " + at + " of " + of.length);
+            throw new MalformedMessageException("number " + at + " of " + of.length);
         }
         return of[at];
     }
 
-    private static BudgetMessage budget(Budget b) {
+    private static BudgetMessage budget(DisruptionBudget b) {
         return BudgetMessage.newBuilder().setName(b.name()).setKind(b.kind().ordinal()).setZone(b.zone())
                 .setMost(b.most()).setShare(b.share()).build();
     }
 
-    private static List<Budget> budgets(List<BudgetMessage> all) throws Malformed {
-        List<Budget> budgets = new ArrayList<>();
+    private static List<DisruptionBudget> budgets(List<BudgetMessage> all) throws MalformedMessageException {
+        List<DisruptionBudget> budgets = new ArrayList<>();
         for (BudgetMessage b : all) {
-            budgets.add(new Budget(b.getName(), one(Subject.Kind.values(), b.getKind()), b.getZone(), b.getMost(),
+            budgets.add(new DisruptionBudget(b.getName(), one(DisruptionTarget.Kind.values(), b.getKind()), b.getZone(),
+                    b.getMost(),
                     b.getShare()));
         }
         return List.copyOf(budgets);
     }
 
-    static OutOpMessage op(OutOp op) {
+    static OutOpMessage op(DisruptionCommand op) {
         OutOpMessage.Builder b = OutOpMessage.newBuilder();
-        if (op instanceof OutOp.Budgets x) {
+        if (op instanceof DisruptionCommand.Budgets x) {
             b.setKind(Kind.BUDGETS).addAllBudgets(x.budgets().stream().map(OutMessages::budget).toList());
-        } else if (op instanceof OutOp.Known x) {
+        } else if (op instanceof DisruptionCommand.Known x) {
             b.setKind(Kind.KNOWN).setSubject(subject(x.subject())).setCapacity(x.capacity());
-        } else if (op instanceof OutOp.Forgotten x) {
+        } else if (op instanceof DisruptionCommand.Forgotten x) {
             b.setKind(Kind.FORGOTTEN).setSubject(subject(x.subject()));
-        } else if (op instanceof OutOp.Ask x) {
+        } else if (op instanceof DisruptionCommand.Ask x) {
             b.setKind(Kind.ASK).setSubject(subject(x.subject())).setWhy(x.why().ordinal()).setRequest(x.request())
                     .setBy(x.by());
-        } else if (op instanceof OutOp.Grant x) {
+        } else if (op instanceof DisruptionCommand.Grant x) {
             b.setKind(Kind.GRANT).setSubject(subject(x.subject())).setRequest(x.request()).setLife(x.life());
-        } else if (op instanceof OutOp.Withdraw x) {
+        } else if (op instanceof DisruptionCommand.Withdraw x) {
             b.setKind(Kind.WITHDRAW).setSubject(subject(x.subject())).setRequest(x.request());
-        } else if (op instanceof OutOp.Leaves x) {
+        } else if (op instanceof DisruptionCommand.Leaves x) {
             b.setKind(Kind.LEAVES).setSubject(subject(x.subject())).setToken(x.token()).setLife(x.life())
                     .setBy(x.by());
-        } else if (op instanceof OutOp.Lost x) {
+        } else if (op instanceof DisruptionCommand.Lost x) {
             b.setKind(Kind.LOST).setSubject(subject(x.subject())).setLife(x.life());
-        } else if (op instanceof OutOp.Returns x) {
+        } else if (op instanceof DisruptionCommand.Returns x) {
             b.setKind(Kind.RETURNS).setSubject(subject(x.subject())).setLife(x.life());
-        } else if (op instanceof OutOp.Steady x) {
+        } else if (op instanceof DisruptionCommand.Steady x) {
             b.setKind(Kind.STEADY).setSubject(subject(x.subject()));
-        } else if (op instanceof OutOp.Rejoins x) {
+        } else if (op instanceof DisruptionCommand.Rejoins x) {
             b.setKind(Kind.REJOINS).setSubject(subject(x.subject()));
-        } else if (op instanceof OutOp.Keeps x) {
+        } else if (op instanceof DisruptionCommand.Keeps x) {
             b.setKind(Kind.KEEPS).setSubject(subject(x.subject())).setRequest(x.request()).setBy(x.by());
-        } else if (op instanceof OutOp.GivenUp x) {
+        } else if (op instanceof DisruptionCommand.GivenUp x) {
             b.setKind(Kind.GIVEN_UP).setSubject(subject(x.subject())).setBy(x.by());
-        } else if (op instanceof OutOp.Halt x) {
+        } else if (op instanceof DisruptionCommand.Halt x) {
             b.setKind(Kind.HALT).setHalted(x.why() != null).setBy(x.why() == null ? "" : x.why());
         }
         return b.build();
     }
 
-    static OutOp op(OutOpMessage m) throws Malformed {
+    static DisruptionCommand op(OutOpMessage m) throws MalformedMessageException {
         return switch (m.getKind()) {
-            case BUDGETS -> new OutOp.Budgets(budgets(m.getBudgetsList()));
-            case KNOWN -> new OutOp.Known(subject(m.getSubject()), m.getCapacity());
-            case FORGOTTEN -> new OutOp.Forgotten(subject(m.getSubject()));
-            case ASK -> new OutOp.Ask(subject(m.getSubject()), one(Out.Why.values(), m.getWhy()), m.getRequest(),
+            case BUDGETS -> new DisruptionCommand.Budgets(budgets(m.getBudgetsList()));
+            case KNOWN -> new DisruptionCommand.Known(subject(m.getSubject()), m.getCapacity());
+            case FORGOTTEN -> new DisruptionCommand.Forgotten(subject(m.getSubject()));
+            case ASK -> new DisruptionCommand.Ask(subject(m.getSubject()), one(Disruption.Why.values(), m.getWhy()),
+                    m.getRequest(),
                     m.getBy());
-            case GRANT -> new OutOp.Grant(subject(m.getSubject()), m.getRequest(), m.getLife());
-            case WITHDRAW -> new OutOp.Withdraw(subject(m.getSubject()), m.getRequest());
-            case LEAVES -> new OutOp.Leaves(subject(m.getSubject()), m.getToken(), m.getLife(), m.getBy());
-            case LOST -> new OutOp.Lost(subject(m.getSubject()), m.getLife());
-            case RETURNS -> new OutOp.Returns(subject(m.getSubject()), m.getLife());
-            case STEADY -> new OutOp.Steady(subject(m.getSubject()));
-            case REJOINS -> new OutOp.Rejoins(subject(m.getSubject()));
-            case KEEPS -> new OutOp.Keeps(subject(m.getSubject()), m.getRequest(), m.getBy());
-            case GIVEN_UP -> new OutOp.GivenUp(subject(m.getSubject()), m.getBy());
-            case HALT -> new OutOp.Halt(m.getHalted() ? m.getBy() : null);
-            case UNKNOWN, UNRECOGNIZED -> throw new Malformed("an operation that this version does not know");
+            case GRANT -> new DisruptionCommand.Grant(subject(m.getSubject()), m.getRequest(), m.getLife());
+            case WITHDRAW -> new DisruptionCommand.Withdraw(subject(m.getSubject()), m.getRequest());
+            case LEAVES -> new DisruptionCommand.Leaves(subject(m.getSubject()), m.getToken(), m.getLife(), m.getBy());
+            case LOST -> new DisruptionCommand.Lost(subject(m.getSubject()), m.getLife());
+            case RETURNS -> new DisruptionCommand.Returns(subject(m.getSubject()), m.getLife());
+            case STEADY -> new DisruptionCommand.Steady(subject(m.getSubject()));
+            case REJOINS -> new DisruptionCommand.Rejoins(subject(m.getSubject()));
+            case KEEPS -> new DisruptionCommand.Keeps(subject(m.getSubject()), m.getRequest(), m.getBy());
+            case GIVEN_UP -> new DisruptionCommand.GivenUp(subject(m.getSubject()), m.getBy());
+            case HALT -> new DisruptionCommand.Halt(m.getHalted() ? m.getBy() : null);
+            case UNKNOWN, UNRECOGNIZED -> throw new MalformedMessageException(
+                    "an operation that this version does not know");
         };
     }
 
-    static OutMessage out(Out o) {
+    static OutMessage out(Disruption o) {
         return OutMessage.newBuilder().setSubject(subject(o.subject())).setWhy(o.why().ordinal())
                 .setPhase(o.phase().ordinal()).setRequest(o.request()).setToken(o.token()).setLife(o.life())
                 .setAsked(o.asked()).setBy(o.by()).build();
     }
 
-    static Out out(OutMessage o) throws Malformed {
-        return new Out(subject(o.getSubject()), one(Out.Why.values(), o.getWhy()), one(Out.Phase.values(),
-                o.getPhase()), o.getRequest(), o.getToken(), o.getLife(), o.getAsked(), o.getBy());
+    static Disruption out(OutMessage o) throws MalformedMessageException {
+        return new Disruption(subject(o.getSubject()), one(Disruption.Why.values(), o.getWhy()),
+                one(Disruption.Phase.values(),
+                        o.getPhase()),
+                o.getRequest(), o.getToken(), o.getLife(), o.getAsked(), o.getBy());
     }
 
-    static OutsCopy copy(OutLedger.Copy c) {
+    static OutsCopy copy(DisruptionStateMachine.Copy c) {
         OutsCopy.Builder b = OutsCopy.newBuilder().setTokens(c.tokens()).setAsked(c.asked())
                 .setIsHalted(c.halted() != null).setHalted(c.halted() == null ? "" : c.halted())
                 .addAllBudgets(c.budgets().stream().map(OutMessages::budget).toList());
@@ -129,16 +135,17 @@
         return b.build();
     }
 
-    static OutLedger.Copy copy(OutsCopy c) throws Malformed {
-        List<Out> outs = new ArrayList<>();
+    static DisruptionStateMachine.Copy copy(OutsCopy c) throws MalformedMessageException {
+        List<Disruption> outs = new ArrayList<>();
         for (OutMessage o : c.getOutsList()) {
             outs.add(out(o));
         }
-        Map<Subject, Double> capacities = new HashMap<>();
+        Map<DisruptionTarget, Double> capacities = new HashMap<>();
         for (CapacityMessage m : c.getCapacitiesList()) {
             capacities.put(subject(m.getSubject()), m.getCapacity());
         }
-        return new OutLedger.Copy(List.copyOf(outs), Map.copyOf(capacities), budgets(c.getBudgetsList()), c.getTokens(),
+        return new DisruptionStateMachine.Copy(List.copyOf(outs), Map.copyOf(capacities), budgets(c.getBudgetsList()),
+                c.getTokens(),
                 c.getAsked(), c.getIsHalted() ? c.getHalted() : null);
     }
 }
--- a/src/main/java/topazladder/net/codec/PeerFrames.java
+++ b/src/main/java/topazladder/net/codec/PeerFrames.java
@@ -105,7 +105,7 @@
         }
 
         /** The next whole frame, or null until more bytes have come. */
-        public Frame next() throws Malformed {
+        public Frame next() throws MalformedMessageException {
             if (unread.size() < 4) {
                 unread.trim();
                 return null;
@@ -113,7 +113,7 @@
             ByteBuffer in = ByteBuffer.wrap(unread.bytes, unread.from, unread.size());
             long length = in.getInt() & 0xffff_ffffL;
             if (length < HEAD + MAC || length > HEAD + LONGEST + MAC) {
-                throw new Malformed("a frame of " + length + " bytes");
+                throw new MalformedMessageException("a frame of " + length + " bytes");
             }
             if (in.remaining() >= 1) {
                 type(in.get(in.position())); // told at once, as the rest may never come
@@ -132,9 +132,9 @@
             return new Frame(type, number, payload, mac);
         }
 
-        private static Type type(byte code) throws Malformed {
+        private static Type type(byte code) throws MalformedMessageException {
             if (code < 0 || code >= Type.values().length) {
-                throw new Malformed("a frame of type " + code);
+                throw new MalformedMessageException("a frame of type " + code);
             }
             return Type.values()[code];
         }
--- a/src/main/java/topazladder/net/codec/PeerMessages.java
+++ b/src/main/java/topazladder/net/codec/PeerMessages.java
@@ -13,7 +13,7 @@
 import topazladder.peer.proto.Chunk;
 import topazladder.peer.proto.Header;
 import topazladder.peer.proto.Later;
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate.Kind;
 
 /** The payloads of the frames: what is asked, and a share as its head and chunks. */
 public final class PeerMessages {
@@ -52,20 +52,20 @@
     }
 
     /** The asker's nonce, which stands before its message; needed to prove the rest. */
-    public static byte[] nonce(byte[] payload) throws Malformed {
+    public static byte[] nonce(byte[] payload) throws MalformedMessageException {
         if (payload.length < PeerFrames.NONCE) {
-            throw new Malformed("a question without a nonce");
+            throw new MalformedMessageException("a question without a nonce");
         }
         return Arrays.copyOf(payload, PeerFrames.NONCE);
     }
 
-    public static Asked asked(byte[] payload) throws Malformed {
+    public static Asked asked(byte[] payload) throws MalformedMessageException {
         try {
             Ask a = Ask.parseFrom(Arrays.copyOfRange(payload, PeerFrames.NONCE, payload.length));
             readable(a.getReadableFrom());
             return new Asked(origin(a.getFrom()));
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed("a question that can't be read: " + e.getMessage());
+            throw new MalformedMessageException("a question that can't be read: " + e.getMessage());
         }
     }
 
@@ -74,16 +74,17 @@
                 .setChunks(chunks).build().toByteArray();
     }
 
-    public static Head head(byte[] payload) throws Malformed {
+    public static Head head(byte[] payload) throws MalformedMessageException {
         try {
             Header h = Header.parseFrom(payload);
             readable(h.getReadableFrom());
             if (h.getChunks() < 0 || h.getChunks() > MOST_CHUNKS) {
-                throw new Malformed("a share of " + Integer.toUnsignedString(h.getChunks()) + " chunks");
+                throw new MalformedMessageException(
+                        "a share of " + Integer.toUnsignedString(h.getChunks()) + " chunks");
             }
             return new Head(origin(h.getFrom()), h.getChunks());
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed("the head of a share that can't be read: " + e.getMessage());
+            throw new MalformedMessageException("the head of a share that can't be read: " + e.getMessage());
         }
     }
 
@@ -106,12 +107,12 @@
     }
 
     /** The facts of one chunk, their ages turned into times of the reader's clock; unknown kinds are passed over. */
-    public static Collection<Fact> chunk(byte[] payload, double now) throws Malformed {
+    public static Collection<Fact> chunk(byte[] payload, double now) throws MalformedMessageException {
         try {
             Chunk chunk = Chunk.parseFrom(payload);
             Origin origin = origin(chunk.getOrigin());
             if (chunk.getFactsCount() > FACTS_A_CHUNK) {
-                throw new Malformed("a chunk of " + chunk.getFactsCount() + " facts");
+                throw new MalformedMessageException("a chunk of " + chunk.getFactsCount() + " facts");
             }
             List<Fact> facts = new ArrayList<>();
             for (topazladder.peer.proto.Fact f : chunk.getFactsList()) {
@@ -123,7 +124,7 @@
             }
             return facts;
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed("a chunk that can't be read: " + e.getMessage());
+            throw new MalformedMessageException("a chunk that can't be read: " + e.getMessage());
         }
     }
 
@@ -132,7 +133,7 @@
                 .toByteArray();
     }
 
-    public static Delay later(byte[] payload) throws Malformed {
+    public static Delay later(byte[] payload) throws MalformedMessageException {
         try {
             Later l = Later.parseFrom(payload);
             int reason = l.getReasonValue();
@@ -141,13 +142,13 @@
             return new Delay(reason >= 0 && reason < all.length ? all[reason] : Delay.Reason.UNREADABLE,
                     in > 0 && in < 3600 ? in : 0);
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed("a delay that can't be read: " + e.getMessage());
+            throw new MalformedMessageException("a delay that can't be read: " + e.getMessage());
         }
     }
 
-    private static void readable(int from) throws Malformed {
+    private static void readable(int from) throws MalformedMessageException {
         if (from > SCHEMA) {
-            throw new Malformed("needs a reader of schema " + from + ", this is " + SCHEMA);
+            throw new MalformedMessageException("needs a reader of schema " + from + ", this is " + SCHEMA);
         }
     }
 
@@ -156,9 +157,9 @@
                 .setCores(o.cores()).setCoreSpeed(o.coreSpeed()).setSettings(o.settings()).build();
     }
 
-    private static Origin origin(topazladder.peer.proto.Origin o) throws Malformed {
+    private static Origin origin(topazladder.peer.proto.Origin o) throws MalformedMessageException {
         if (o.getName().isEmpty() || o.getName().length() > LONGEST_NAME) {
-            throw new Malformed("an origin without a name of at most " + LONGEST_NAME + " letters");
+            throw new MalformedMessageException("an origin without a name of at most " + LONGEST_NAME + " letters");
         }
         return new Origin(o.getName(), o.getIncarnation(), sane(o.getCores()), sane(o.getCoreSpeed()), o.getSettings());
     }
--- a/src/main/java/topazladder/net/codec/ReleaseMessages.java
+++ b/src/main/java/topazladder/net/codec/ReleaseMessages.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Serving;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.LoadReport;
 import topazladder.hall.proto.PlaceMessage;
 import topazladder.hall.proto.PlanMessage;
 import topazladder.hall.proto.ReleaseMessage;
@@ -30,7 +30,7 @@
 
     private static PlanMessage plan(Plan p) {
         PlanMessage.Builder b = PlanMessage.newBuilder().setName(p.name()).setFrom(p.from()).setTo(p.to())
-                .setPayoff(p.judge().payoff()).setBrokenOff(p.judge().brokenOff()).setMemory(p.judge().memory())
+                .setPayoff(p.judge().payoff()).setBrokenOff(p.judge().failed()).setMemory(p.judge().memory())
                 .setError(p.judge().error()).setPatience(p.patience()).setTries(p.tries()).setMostOut(p.mostOut())
                 .setOneWay(p.oneWay());
         p.waves().forEach(w -> b.addWaves(PlanMessage.WaveMessage.newBuilder().setZone(w.zone()).setMost(w.most())
@@ -38,9 +38,9 @@
         return b.build();
     }
 
-    private static Plan plan(PlanMessage m) throws Malformed {
+    private static Plan plan(PlanMessage m) throws MalformedMessageException {
         if (m.getWavesCount() > MOST_WAVES) {
-            throw new Malformed("a plan of " + m.getWavesCount() + " waves");
+            throw new MalformedMessageException("a plan of " + m.getWavesCount() + " waves");
         }
         return new Plan(m.getName(), m.getFrom(), m.getTo(), m.getWavesList().stream().map(w -> new Plan.Wave(
                 w.getZone(), w.getMost(), w.getShare(), w.getSoak())).toList(), new Judge.Terms(m.getPayoff(),
@@ -54,9 +54,9 @@
                 .setStage(p.stage().ordinal()).setAttempt(p.attempt()).build();
     }
 
-    private static List<Place> places(List<PlaceMessage> all) throws Malformed {
+    private static List<Place> places(List<PlaceMessage> all) throws MalformedMessageException {
         if (all.size() > MOST_PLACES) {
-            throw new Malformed("a release of " + all.size() + " places");
+            throw new MalformedMessageException("a release of " + all.size() + " places");
         }
         List<Place> places = new ArrayList<>();
         for (PlaceMessage m : all) {
@@ -77,7 +77,7 @@
         return b.build();
     }
 
-    static Release release(ReleaseMessage m) throws Malformed {
+    static Release release(ReleaseMessage m) throws MalformedMessageException {
         return new Release(m.getId(), plan(m.getPlan()), m.getBack(), OutMessages.one(Release.Phase.values(),
                 m.getPhase()), m.getWhy(), m.getWave(), m.getStarted(), places(m.getPlacesList()),
                 m.getEventsList().stream().map(e -> new Release.Event(e.getAtMillis(), e.getWhat())).toList());
@@ -115,7 +115,7 @@
         return b.setKind(kind).setId(id).setStarted(started);
     }
 
-    static ReleaseOp op(ReleaseOpMessage m) throws Malformed {
+    static ReleaseOp op(ReleaseOpMessage m) throws MalformedMessageException {
         By by = new By(m.getDuty(), m.getToken(), m.getAtMillis());
         long id = m.getId();
         int started = m.getStarted();
@@ -131,20 +131,21 @@
             case HALT -> new ReleaseOp.Halt(by, id, m.getWhy());
             case RESUME -> new ReleaseOp.Resume(by, id);
             case BACK -> new ReleaseOp.Back(by, id);
-            case UNKNOWN, UNRECOGNIZED -> throw new Malformed("a step of a release that this version does not know");
+            case UNKNOWN, UNRECOGNIZED -> throw new MalformedMessageException(
+                    "a step of a release that this version does not know");
         };
     }
 
     // ---- what is said
 
-    static ServingMessage serving(Serving s) {
+    static ServingMessage serving(LoadReport s) {
         return ServingMessage.newBuilder().setVersion(s.version()).setSpan(s.span()).setAsked(s.asked())
-                .setHonoured(s.honoured()).setBrokenOff(s.brokenOff()).setCapacity(s.capacity())
+                .setHonoured(s.served()).setBrokenOff(s.failed()).setCapacity(s.capacity())
                 .setMegabytes(s.megabytes()).build();
     }
 
-    static Serving serving(ServingMessage m) {
-        return new Serving(m.getVersion(), sane(m.getSpan()), sane(m.getAsked()), sane(m.getHonoured()),
+    static LoadReport serving(ServingMessage m) {
+        return new LoadReport(m.getVersion(), sane(m.getSpan()), sane(m.getAsked()), sane(m.getHonoured()),
                 sane(m.getBrokenOff()), sane(m.getCapacity()), sane(m.getMegabytes()));
     }
 
@@ -153,7 +154,7 @@
         return value >= 0 && value < 1e12 ? value : 0;
     }
 
-    static List<ReleaseOp> ops(List<ReleaseOpMessage> all) throws Malformed {
+    static List<ReleaseOp> ops(List<ReleaseOpMessage> all) throws MalformedMessageException {
         List<ReleaseOp> ops = new ArrayList<>();
         for (ReleaseOpMessage m : all) {
             ops.add(op(m));
@@ -173,7 +174,7 @@
         return b.build();
     }
 
-    static List<View.Sight> sights(List<SightMessage> all) throws Malformed {
+    static List<View.Sight> sights(List<SightMessage> all) throws MalformedMessageException {
         List<View.Sight> sights = new ArrayList<>();
         for (SightMessage m : all) {
             sights.add(new View.Sight(GroupMessages.name(m.getName()), m.getZone(),
--- a/src/main/java/topazladder/net/codec/RuntimeLines.java
+++ b/src/main/java/topazladder/net/codec/RuntimeLines.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import topazladder.net.codec.LineReader.Line;
-import topazladder.ticket.Ending;
+import topazladder.request.Outcome;
 
 /** The commands to the runtime, and its notices. */
 public final class RuntimeLines {
@@ -15,7 +15,7 @@
     public record Ready(boolean loaded, double secondsAgo) implements Notice {
     }
 
-    public record Ended(long number, String ref, Ending how, double elapsed, byte[] result) implements Notice {
+    public record Ended(long number, String ref, Outcome how, double elapsed, byte[] result) implements Notice {
     }
 
     public record Wants(long number, String ref, byte[] body) implements Notice {
@@ -43,13 +43,13 @@
         });
     }
 
-    public static Notice notice(Line line) throws Malformed {
+    public static Notice notice(Line line) throws MalformedMessageException {
         String[] w = line.words();
         switch (w[0]) {
             case "ready" :
                 need(w, 3);
                 if (!w[1].equals("EMPTY") && !w[1].equals("LOADED")) {
-                    throw new Malformed("ready in no known state: " + w[1]);
+                    throw new MalformedMessageException("ready in no known state: " + w[1]);
                 }
                 return new Ready(w[1].equals("LOADED"), LineReader.number(w[2]) / 1000);
             case "end" :
@@ -76,7 +76,7 @@
                 need(w, 2);
                 return new Info(LineReader.whole(w[1], Long.MAX_VALUE), String.join(" ", w));
             default :
-                throw new Malformed("no notice of the runtime: " + w[0]);
+                throw new MalformedMessageException("no notice of the runtime: " + w[0]);
         }
     }
 
@@ -84,8 +84,8 @@
         return line("sync " + lastRead);
     }
 
-    public static byte[] start(String ref, String offering, byte[] body) {
-        return line("start " + ref + " " + offering + " " + body.length, body);
+    public static byte[] start(String ref, String requestClass, byte[] body) {
+        return line("start " + ref + " " + requestClass + " " + body.length, body);
     }
 
     public static byte[] give(String ref, byte[] reply) {
@@ -117,19 +117,19 @@
         return all;
     }
 
-    private static void need(String[] words, int count) throws Malformed {
+    private static void need(String[] words, int count) throws MalformedMessageException {
         if (words.length < count) {
-            throw new Malformed(words[0] + " with too few words");
+            throw new MalformedMessageException(words[0] + " with too few words");
         }
     }
 
-    private static Ending ending(String word) throws Malformed {
+    private static Outcome ending(String word) throws MalformedMessageException {
         return switch (word) {
-            case "PASS" -> Ending.OK;
-            case "FAIL" -> Ending.FAILED;
-            case "KILLED" -> Ending.STOPPED;
-            case "NOOP" -> Ending.MOOT;
-            default -> throw new Malformed("a run that ended as " + word);
+            case "PASS" -> Outcome.SUCCEEDED;
+            case "FAIL" -> Outcome.FAILED;
+            case "KILLED" -> Outcome.CANCELLED;
+            case "NOOP" -> Outcome.NOT_STARTED;
+            default -> throw new MalformedMessageException("a run that ended as " + word);
         };
     }
 }
--- a/src/main/java/topazladder/net/hall/FleetClient.java
+++ b/src/main/java/topazladder/net/hall/FleetClient.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 import topazladder.hall.Saying.Command;
 
--- a/src/main/java/topazladder/net/hall/Founding.java
+++ b/src/main/java/topazladder/net/hall/Founding.java
@@ -2,10 +2,10 @@
 
 import java.io.IOException;
 import java.util.List;
-import topazladder.config.BadTerms;
-import topazladder.config.HallSettings;
-import topazladder.group.Endpoint;
-import topazladder.group.VoterStore;
+import topazladder.config.ClusterSettings;
+import topazladder.config.InvalidSettingsException;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.consensus.VoterStore;
 
 /**
  * Makes a voter's folder, once and by hand: only so is a folder that was lost told from one that never was. A voter
@@ -20,22 +20,23 @@
      * Voters of one     forming do not speak with those of another, and tokens go on far above those of the one before
      * @return what was done, in words
      */
-    public static String found(String name, HallSettings settings, long formed) {
+    public static String found(String name, ClusterSettings settings, long formed) {
         if (!settings.voters().contains(name) || settings.folder() == null) {
-            throw new BadTerms(name + " should be one of hall.voters, with a hall.folder");
+            throw new InvalidSettingsException(name + " should be one of hall.voters, with a hall.folder");
         }
         try (SqliteStore store = new SqliteStore(settings.folder())) {
             VoterStore.Founding before = store.founding();
             if (before != null && before.formed() >= formed) {
-                throw new BadTerms("the folder is that of " + before.here() + " already, formed " + before.formed()
-                        + "; to form the group anew give --formed " + (before.formed() + 1)
-                        + " or more, the same to all its voters, once all of the old group are ended");
+                throw new InvalidSettingsException(
+                        "the folder is that of " + before.here() + " already, formed " + before.formed()
+                                + "; to form the group anew give --formed " + (before.formed() + 1)
+                                + " or more, the same to all its voters, once all of the old group are ended");
             }
-            List<Endpoint> first = settings.voters().stream().map(v -> new Endpoint(v, 0)).toList();
-            store.found(new VoterStore.Founding(new Endpoint(name, 0), first, formed));
+            List<VoterEndpoint> first = settings.voters().stream().map(v -> new VoterEndpoint(v, 0)).toList();
+            store.found(new VoterStore.Founding(new VoterEndpoint(name, 0), first, formed));
             return "founded: " + name + " votes with " + first + ", formed " + formed;
         } catch (IOException e) {
-            throw new BadTerms("hall.folder: " + e.getMessage());
+            throw new InvalidSettingsException("hall.folder: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/topazladder/net/hall/Greetings.java
+++ b/src/main/java/topazladder/net/hall/Greetings.java
@@ -5,7 +5,7 @@
 import java.util.Arrays;
 import topazladder.hall.proto.Greeting;
 import topazladder.net.codec.HallMessages;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 
 /** The payload of the first frame on a link between members: the caller's nonce, then who it is. */
@@ -26,23 +26,23 @@
         return ByteBuffer.allocate(nonce.length + greeting.length).put(nonce).put(greeting).array();
     }
 
-    static byte[] nonce(byte[] payload) throws Malformed {
+    static byte[] nonce(byte[] payload) throws MalformedMessageException {
         if (payload.length < PeerFrames.NONCE) {
-            throw new Malformed("a greeting of " + payload.length + " bytes");
+            throw new MalformedMessageException("a greeting of " + payload.length + " bytes");
         }
         return Arrays.copyOf(payload, PeerFrames.NONCE);
     }
 
-    static Who who(byte[] payload) throws Malformed {
+    static Who who(byte[] payload) throws MalformedMessageException {
         try {
             Greeting g = Greeting.parseFrom(ByteBuffer.wrap(payload, PeerFrames.NONCE,
                     payload.length - PeerFrames.NONCE));
             if (g.getName().isEmpty() || g.getName().length() > LONGEST_NAME) {
-                throw new Malformed("a greeting by a name of " + g.getName().length() + " characters");
+                throw new MalformedMessageException("a greeting by a name of " + g.getName().length() + " characters");
             }
             return new Who(g.getName(), g.getLife());
         } catch (InvalidProtocolBufferException e) {
-            throw new Malformed("no greeting");
+            throw new MalformedMessageException("no greeting");
         }
     }
 }
--- a/src/main/java/topazladder/net/hall/GroupThread.java
+++ b/src/main/java/topazladder/net/hall/GroupThread.java
@@ -9,7 +9,7 @@
 
 /**
  * The one thread that owns the group's state. It is not the event loop: a voter's store waits for its disk, and no
- * ticket may wait for that. What goes between the two is handed over as a task.
+ * request may wait for that. What goes between the two is handed over as a task.
  */
 final class GroupThread implements Timers {
     private static final Logger LOG = LoggerFactory.getLogger(GroupThread.class);
--- a/src/main/java/topazladder/net/hall/HallDoor.java
+++ b/src/main/java/topazladder/net/hall/HallDoor.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import topazladder.hall.Saying;
 import topazladder.net.codec.HallMessages;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Frame;
 import topazladder.net.codec.PeerFrames.Seal;
@@ -59,7 +59,8 @@
     }
 
     /** A connection on which a member greeted rightly; {@code reader} has what came behind the greeting. */
-    public void take(NetSocket socket, Seal seal, byte[] greeting, PeerFrames.Reader reader) throws Malformed {
+    public void take(NetSocket socket, Seal seal, byte[] greeting, PeerFrames.Reader reader)
+            throws MalformedMessageException {
         String from = Greetings.who(greeting).name();
         Session s = new Session(socket, seal, from, reader, Greetings.OPERATOR.equals(from) ? new LinkTraffic()
                 : traffic);
@@ -135,15 +136,16 @@
                     }
                     take(f);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 refused.run();
                 end();
             }
         }
 
-        private void take(Frame f) throws Malformed {
+        private void take(Frame f) throws MalformedMessageException {
             if (f.number() != next || !seal.holds(f) || f.type() != Type.SAY && f.type() != Type.SAY_PART) {
-                throw new Malformed("frame " + f.number() + " of type " + f.type() + " in place of " + next);
+                throw new MalformedMessageException(
+                        "frame " + f.number() + " of type " + f.type() + " in place of " + next);
             }
             next++;
             traffic.received(PeerFrames.sizeOnWire(f.payload().length));
@@ -151,7 +153,7 @@
             sessions.remove(this);
             sessions.add(this);
             if (parts.size() + f.payload().length > LONGEST) {
-                throw new Malformed("a message of more than " + LONGEST + " bytes");
+                throw new MalformedMessageException("a message of more than " + LONGEST + " bytes");
             }
             if (f.type() == Type.SAY_PART) {
                 parts.writeBytes(f.payload());
--- a/src/main/java/topazladder/net/hall/HallLinks.java
+++ b/src/main/java/topazladder/net/hall/HallLinks.java
@@ -15,10 +15,10 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 import topazladder.net.codec.HallMessages;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Frame;
 import topazladder.net.codec.PeerFrames.Seal;
@@ -180,16 +180,16 @@
                 for (Frame f = reader.next(); f != null && links.get(to) == this; f = reader.next()) {
                     take(f);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 end();
             }
         }
 
-        private void take(Frame f) throws Malformed {
+        private void take(Frame f) throws MalformedMessageException {
             traffic.received(PeerFrames.sizeOnWire(f.payload().length));
             if (theirNonce == null) {
                 if (f.type() != Type.HELLO || f.payload().length != PeerFrames.NONCE) {
-                    throw new Malformed("no greeting");
+                    throw new MalformedMessageException("no greeting");
                 }
                 theirNonce = f.payload();
                 seal = new Seal(keys.get().get(0), theirNonce, nonce);
@@ -200,19 +200,19 @@
                 return;
             }
             if (!seal.holds(f)) {
-                throw new Malformed("sealed by another key, or changed on the way");
+                throw new MalformedMessageException("sealed by another key, or changed on the way");
             }
             switch (f.type()) {
                 case HEARD -> {
                     if (f.number() < heard || f.number() > said) {
-                        throw new Malformed("word of a frame that was not said");
+                        throw new MalformedMessageException("word of a frame that was not said");
                     }
                     heard = f.number();
                     unheardSince = System.nanoTime();
                 }
                 case TOLD -> {
                     if (f.number() >>> 8 != toldNext++ || parts.size() > HallDoor.LONGEST / PeerFrames.LONGEST) {
-                        throw new Malformed("a part out of its place");
+                        throw new MalformedMessageException("a part out of its place");
                     }
                     parts.add(f.payload());
                     if ((f.number() & 0xff) == 0) {
@@ -225,7 +225,7 @@
                         }
                     }
                 }
-                default -> throw new Malformed("a " + f.type() + " from who was spoken to");
+                default -> throw new MalformedMessageException("a " + f.type() + " from who was spoken to");
             }
         }
 
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -22,50 +22,50 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.below.Use;
-import topazladder.config.BadTerms;
-import topazladder.config.HallSettings;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.drain.Budget;
-import topazladder.drain.Meter;
-import topazladder.drain.Out;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits;
-import topazladder.drain.Subject;
-import topazladder.duty.DutyState;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Holder;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
-import topazladder.duty.Work;
-import topazladder.group.Endpoint;
-import topazladder.group.Seat;
+import topazladder.config.ClusterSettings;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.consensus.ConsensusReplica;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.disruption.ThroughputMeter;
 import topazladder.hall.ConductorNode;
 import topazladder.hall.HallTerms;
 import topazladder.hall.MemberNode;
 import topazladder.hall.Saying;
 import topazladder.hall.Saying.Command;
 import topazladder.hall.VoterNode;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseHolder;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseState;
+import topazladder.lease.LeasedTask;
+import topazladder.lease.MemberIdentity;
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
-import topazladder.net.IndexChoice;
+import topazladder.net.DependencyEndpointChoice;
 import topazladder.net.codec.HallMessages;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.release.Conductor;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Instance.Phase;
-import topazladder.service.Part;
-import topazladder.service.Reach;
+import topazladder.service.DependencyCircuitBreaker;
+import topazladder.service.InstanceExtension;
+import topazladder.service.InstanceLifecycle.Phase;
 import topazladder.service.Timers;
 
 /**
  * A member of a hall on sockets: who is there and what it holds on the event loop, its vote on a thread of its own.
- * Tickets know nothing of it: with the group gone, the instance serves as it would without.
+ * Requests know nothing of it: with the group gone, the instance serves as it would without.
  */
-public final class HallNode implements Part {
+public final class HallNode implements InstanceExtension {
     private static final Logger LOG = LoggerFactory.getLogger(HallNode.class);
     private static final long WELL_MS = 200;
     private static final long LOOK_MS = 250;
@@ -81,20 +81,20 @@
 
     private final Vertx vertx;
     private final Context loop;
-    private final HallSettings settings;
+    private final ClusterSettings settings;
     private final Supplier<Phase> phase;
     private final Counters counters;
-    private final Reach reach;
+    private final DependencyCircuitBreaker reach;
     private final DoubleConsumer drain;
-    private final Supplier<Meter.Counted> counted;
-    private final Meter meter;
+    private final Supplier<ThroughputMeter.Counted> counted;
+    private final ThroughputMeter meter;
     private final String name;
     private final HallClock clock;
     private final MemberNode member;
     private final LinkTraffic traffic = new LinkTraffic();
     private final HallLinks links;
     private final HallDoor door;
-    private final Map<String, Work> works = new LinkedHashMap<>();
+    private final Map<String, LeasedTask> works = new LinkedHashMap<>();
     private final Map<Long, HallDoor.Back> commands = new HashMap<>(); // bounded, each for a few seconds
     /**
      * Where they hear who have asked and may not be known otherwise yet: a hall that joins asks before it is told of.
@@ -126,9 +126,10 @@
      * @param queue the link to a queue by its broker and name, for the duty to consume it
      * @param index where the service below is now
      */
-    public HallNode(Vertx vertx, ServiceTerms terms, OwnSettings own, Supplier<Phase> phase, Counters counters,
-            Supplier<List<byte[]>> keys, DoubleConsumer drain, Supplier<Meter.Counted> counted,
-            Function<HallSettings.Consume, Work> queue, Supplier<Address> index, Reach reach) {
+    public HallNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, Supplier<Phase> phase, Counters counters,
+            Supplier<List<byte[]>> keys, DoubleConsumer drain, Supplier<ThroughputMeter.Counted> counted,
+            Function<ClusterSettings.Consume, LeasedTask> queue, Supplier<Address> index,
+            DependencyCircuitBreaker reach) {
         this.vertx = vertx;
         this.phase = phase;
         this.counters = counters;
@@ -137,29 +138,29 @@
         this.counted = counted;
         loop = vertx.getOrCreateContext();
         settings = own.members();
-        meter = new Meter(settings.version());
+        meter = new ThroughputMeter(settings.version());
         routes = settings.routes();
         name = terms.name();
         // Grows from process to process of the name; a time of day that was set back costs until it is made up for.
         long life = System.currentTimeMillis() << 16 | ProcessHandle.current().pid() & 0xffff;
         chance = new SplittableRandom(terms.seed() ^ life);
         clock = new HallClock(HallNode::monotonic, () -> System.currentTimeMillis() / 1e3, settings.clockRate());
-        Member here = new Member(name, life);
+        MemberIdentity here = new MemberIdentity(name, life);
         Timers clockTimers = (seconds, what) -> vertx.setTimer(Math.max(1,
                 (long) Math.ceil(seconds / settings.clockRate() * 1000)), id -> what.run());
         hall = terms(name, own);
-        member = new MemberNode(hall, new Holder(here), clockTimers, clock, chance.split(), new World());
+        member = new MemberNode(hall, new LeaseHolder(here), clockTimers, clock, chance.split(), new World());
         links = new HallLinks(vertx, new Greetings.Who(name, life), keys, (from, what) -> {}, traffic);
         door = new HallDoor(vertx, this::heard, () -> counters.add(Count.MEMBERS_REFUSED), traffic);
-        for (HallSettings.Duty d : settings.duties()) {
+        for (ClusterSettings.Duty d : settings.duties()) {
             works.put(d.name(), work(d, here, queue, index));
         }
         use = settings.below() == null ? null : new Use(new Use.Terms(settings.below().servers().stream()
-                .map(HallSettings.Below.Server::name).toList(), settings.below().alone()), chance.split());
+                .map(ClusterSettings.Below.Server::name).toList(), settings.below().alone()), chance.split());
         member.below(use);
         if (hall.votes()) {
             if (settings.folder() == null) {
-                throw new BadTerms("hall.folder is missing, and this member votes");
+                throw new InvalidSettingsException("hall.folder is missing, and this member votes");
             }
             thread = new GroupThread(name, settings.clockRate());
         } else {
@@ -177,10 +178,10 @@
         return System.nanoTime() / 1e9;
     }
 
-    static HallTerms terms(String name, OwnSettings own) {
-        HallSettings s = own.members();
+    static HallTerms terms(String name, ExtensionSettings own) {
+        ClusterSettings s = own.members();
         return new HallTerms(name, text(s.advertise()), own.hall(), s.seeds().stream().map(HallNode::text).toList(),
-                s.voters(), s.heartbeat(), s.duties().stream().map(d -> new DutyTerms(d.name(), d.lease(),
+                s.voters(), s.heartbeat(), s.duties().stream().map(d -> new LeaseSettings(d.name(), d.lease(),
                         d.mostLosses())).toList(),
                 !s.holdsNone(), new Membership.Terms(s.period(), 3, 3600),
                 s.budgets(), HallMessages.SCHEMA);
@@ -190,7 +191,7 @@
         return a.host() + ":" + a.port();
     }
 
-    /** On the group's thread. A folder that can't be opened costs a vote, and no ticket: it is tried again. */
+    /** On the group's thread. A folder that can't be opened costs a vote, and no request: it is tried again. */
     private void openVoter() {
         try {
             voter = voter(new SqliteStore(settings.folder()));
@@ -212,24 +213,25 @@
 
             @Override public void failed(Throwable why) {
                 LOG.error("{} does not vote for now: {}", name, why.toString());
-                loop.runOnContext(v -> counters.add(Count.SEATS_LOST));
+                loop.runOnContext(v -> counters.add(Count.REPLICAS_LOST));
             }
         });
     }
 
-    private Work work(HallSettings.Duty d, Member here, Function<HallSettings.Consume, Work> queue,
+    private LeasedTask work(ClusterSettings.Duty d, MemberIdentity here,
+            Function<ClusterSettings.Consume, LeasedTask> queue,
             Supplier<Address> index) {
-        if (d.what()instanceof HallSettings.Touch t) {
+        if (d.what()instanceof ClusterSettings.Touch t) {
             return new TouchWork(vertx, d.name(), here.toString(), t);
-        } else if (d.what()instanceof HallSettings.Probe p) {
+        } else if (d.what()instanceof ClusterSettings.Probe p) {
             return new ProbeWork(vertx, index, p, (well, token) -> found(new Saying.Found("index", well, 0, token)));
         }
-        if (d.what() instanceof HallSettings.Conduct) {
+        if (d.what() instanceof ClusterSettings.Conduct) {
             conductor = new ConductorNode(here, d.name(), (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)),
                     id -> what.run()), clock, System::currentTimeMillis, member, by -> new Conductor(name, by));
             return new ConductWork(conductor);
         }
-        return queue.apply((HallSettings.Consume) d.what());
+        return queue.apply((ClusterSettings.Consume) d.what());
     }
 
     /** On the group's thread. */
@@ -245,7 +247,7 @@
     }
 
     /** The servers of the index to choose from; null where the settings name none. */
-    public IndexChoice choice() {
+    public DependencyEndpointChoice choice() {
         return use == null ? null : new PoolChoice(settings.below(), use, clock, member::noticed);
     }
 
@@ -269,7 +271,7 @@
         if (thread != null) {
             thread.execute(this::openVoter);
             repeat(LOOK_MS, () -> {
-                Map<Subject, Permits.Seen> looks = member.looks();
+                Map<DisruptionTarget, DisruptionController.Seen> looks = member.looks();
                 thread.execute(() -> withVoter(v -> v.seen(looks)));
             });
         }
@@ -279,7 +281,7 @@
         timers.add(vertx.setPeriodic(1, everyMs, id -> what.run()));
     }
 
-    @Override public void reload(OwnSettings other) {
+    @Override public void reload(ExtensionSettings other) {
         if (other.members() == null) {
             LOG.warn("the hall can't be left without a restart");
             return;
@@ -351,7 +353,7 @@
 
     /** A connection on which a member greeted rightly. */
     public void take(NetSocket socket, PeerFrames.Seal seal, byte[] greeting, PeerFrames.Reader reader)
-            throws Malformed {
+            throws MalformedMessageException {
         counters.add(Count.MEMBERS_TAKEN);
         door.take(socket, seal, greeting, reader);
     }
@@ -372,7 +374,7 @@
             }
             try {
                 at = Address.of("address", text);
-            } catch (BadTerms e) {
+            } catch (InvalidSettingsException e) {
                 return;
             }
         }
@@ -422,7 +424,7 @@
         lastFoundAt = at;
         lastFoundWell = f.well();
         if (reach != null) {
-            reach.told(now, f.well(), f.age(), f.token());
+            reach.onProbeResult(now, f.well(), f.age(), f.token());
         }
         List<String> others = new ArrayList<>(member.there());
         others.remove(name);
@@ -444,93 +446,95 @@
             return;
         }
         thread.execute(() -> {
-            Seat seat = voter == null ? null : voter.seat();
-            if (seat == null || !seat.leading()) {
-                Endpoint leader = seat == null ? null : seat.leader();
+            ConsensusReplica replica = voter == null ? null : voter.replica();
+            if (replica == null || !replica.leading()) {
+                VoterEndpoint leader = replica == null ? null : replica.leader();
                 loop.runOnContext(v -> forward(o, answer, leader == null ? member.leader() : leader.name()));
                 return;
             }
-            lead(seat, o, text -> loop.runOnContext(v -> answer.tell(text)));
+            lead(replica, o, text -> loop.runOnContext(v -> answer.tell(text)));
         });
     }
 
     /** On the group's thread, at the leader. */
-    private void lead(Seat seat, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
+    private void lead(ConsensusReplica replica, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
         Command c = o.command();
         if (c.kind() == Command.Kind.DUTIES) {
-            then.accept(new Saying.Told(o.number(), true, duties(seat).encode()));
+            then.accept(new Saying.Told(o.number(), true, duties(replica).encode()));
             return;
         }
         if (c.kind() == Command.Kind.OUTS) {
-            then.accept(new Saying.Told(o.number(), true, outs(seat).put("below", new JsonObject(new LinkedHashMap<>(
+            then.accept(new Saying.Told(o.number(), true, outs(replica).put("below", new JsonObject(new LinkedHashMap<>(
                     voter.verdicts().looks()))).encode()));
             return;
         }
         if (c.kind().ordinal() >= Command.Kind.RELEASE_START.ordinal()) {
-            new ReleaseOrders(seat, voter.doing()).take(c, System.currentTimeMillis(),
+            new ReleaseOrders(replica, voter.doing()).take(c, System.currentTimeMillis(),
                     (done, text) -> then.accept(new Saying.Told(o.number(), done, text)));
             return;
         }
         if (c.kind().ordinal() > Command.Kind.OUTS.ordinal()) {
             boolean below = c.text().startsWith(BELOW);
-            Subject s = below ? new Subject(Subject.Kind.BELOW, c.text().substring(BELOW.length()), "")
-                    : seat.instance(c.text());
-            Out out = seat.outs().get(s);
+            DisruptionTarget s =
+                    below ? new DisruptionTarget(DisruptionTarget.Kind.BELOW, c.text().substring(BELOW.length()), "")
+                            : replica.instance(c.text());
+            Disruption out = replica.outs().get(s);
             boolean isOut = below && out != null && out.takesPlace();
-            OutOp op = switch (c.kind()) {
-                case DRAIN -> isOut ? new OutOp.Keeps(s, "operator", "an operator")
-                        : new OutOp.Ask(s, Out.Why.OPERATOR, "operator", "an operator");
-                case UNDRAIN -> isOut ? new OutOp.Rejoins(s)
-                        : new OutOp.Withdraw(s, out == null ? "" : out.request());
-                case GIVE_UP -> new OutOp.GivenUp(s, "an operator");
-                case HOLD_DRAINS -> new OutOp.Halt(c.text().isEmpty() ? "by an operator" : c.text());
-                default -> new OutOp.Halt(null);
+            DisruptionCommand op = switch (c.kind()) {
+                case DRAIN -> isOut ? new DisruptionCommand.Keeps(s, "operator", "an operator")
+                        : new DisruptionCommand.Ask(s, Disruption.Why.OPERATOR, "operator", "an operator");
+                case UNDRAIN -> isOut ? new DisruptionCommand.Rejoins(s)
+                        : new DisruptionCommand.Withdraw(s, out == null ? "" : out.request());
+                case GIVE_UP -> new DisruptionCommand.GivenUp(s, "an operator");
+                case HOLD_DRAINS -> new DisruptionCommand.Halt(c.text().isEmpty() ? "by an operator" : c.text());
+                default -> new DisruptionCommand.Halt(null);
             };
-            if (op instanceof OutOp.Ask && !seat.outs().capacities().containsKey(s)) {
+            if (op instanceof DisruptionCommand.Ask && !replica.outs().capacities().containsKey(s)) {
                 then.accept(new Saying.Told(o.number(), false, "there is no "
                         + (below ? c.text() + ", or nobody has called it yet" : "member " + c.text())));
                 return;
             }
-            seat.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
+            replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
                     outcome.done() ? "done" : outcome.why())));
             return;
         }
-        Op op = switch (c.kind()) {
-            case HAND_OVER -> new Op.HandOver(c.duty(), c.text());
-            case HALT -> new Op.Halt(c.duty(), c.text().isEmpty() ? "by an operator" : c.text());
-            case RESUME -> new Op.Resume(c.duty());
+        LeaseCommand op = switch (c.kind()) {
+            case HAND_OVER -> new LeaseCommand.HandOver(c.duty(), c.text());
+            case HALT -> new LeaseCommand.Halt(c.duty(), c.text().isEmpty() ? "by an operator" : c.text());
+            case RESUME -> new LeaseCommand.Resume(c.duty());
             default -> throw new IllegalStateException("no command to the leader: " + c.kind());
         };
-        seat.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
+        replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
                 outcome.done() ? "done" : outcome.why())));
     }
 
-    private static JsonObject outs(Seat seat) {
+    private static JsonObject outs(ConsensusReplica replica) {
         JsonArray all = new JsonArray();
-        for (Out o : seat.outs().all()) {
+        for (Disruption o : replica.outs().all()) {
             all.add(new JsonObject().put("name", o.subject().toString()).put("zone", o.subject().zone())
                     .put("why", o.why().name()).put("phase", o.phase().name()).put("token", o.token())
                     .put("asked", o.asked()).put("by", o.by())
-                    .put("waits", o.phase() == Out.Phase.ASKED ? seat.permits().blocked().get(o.subject()) : null));
+                    .put("waits",
+                            o.phase() == Disruption.Phase.ASKED ? replica.permits().blocked().get(o.subject()) : null));
         }
         JsonArray budgets = new JsonArray();
-        for (Budget b : seat.outs().budgets()) {
+        for (DisruptionBudget b : replica.outs().budgets()) {
             budgets.add(new JsonObject().put("name", b.name()).put("most", b.most()).put("share", b.share())
-                    .put("zone", b.zone()).put("out", seat.outs().taken().stream().filter(b::covers).count()));
+                    .put("zone", b.zone()).put("out", replica.outs().taken().stream().filter(b::covers).count()));
         }
-        return new JsonObject().put("leader", seat.here().name()).put("halted", seat.outs().halted())
+        return new JsonObject().put("leader", replica.here().name()).put("halted", replica.outs().halted())
                 .put("outs", all).put("budgets", budgets);
     }
 
-    private static JsonObject duties(Seat seat) {
+    private static JsonObject duties(ConsensusReplica replica) {
         JsonArray all = new JsonArray();
-        for (DutyState s : seat.ledger().all()) {
+        for (LeaseState s : replica.ledger().all()) {
             all.add(new JsonObject().put("name", s.terms().name()).put("token", s.token())
                     .put("holder", s.holder() == null ? null : s.holder().name())
                     .put("lease", s.terms().lease()).put("halted", s.halted()).put("wanted", s.wanted())
                     .put("losses", s.losses().size()));
         }
-        return new JsonObject().put("leader", seat.here().name()).put("term", seat.term()).put("duties", all);
+        return new JsonObject().put("leader", replica.here().name()).put("term", replica.term()).put("duties", all);
     }
 
     /**
@@ -577,14 +581,14 @@
             return;
         }
         thread.execute(() -> {
-            Seat seat = voter == null ? null : voter.seat();
+            ConsensusReplica replica = voter == null ? null : voter.replica();
             JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
-            if (seat != null) {
+            if (replica != null) {
                 JsonArray voting = new JsonArray();
-                seat.voting().forEach(e -> voting.add(e.toString()));
-                group.put("here", seat.here().toString()).put("voters", voting).put("term", seat.term())
-                        .put("leading", seat.leading()).put("committed", seat.committed())
-                        .put("leader", seat.leader() == null ? null : seat.leader().name());
+                replica.voting().forEach(e -> voting.add(e.toString()));
+                group.put("here", replica.here().toString()).put("voters", voting).put("term", replica.term())
+                        .put("leading", replica.leading()).put("committed", replica.committed())
+                        .put("leader", replica.leader() == null ? null : replica.leader().name());
             }
             loop.runOnContext(v -> then.accept(json.put("group", group)));
         });
@@ -597,7 +601,7 @@
 
         @Override public void start(String duty, long token) {
             counters.add(Count.DUTIES_TAKEN);
-            Work work = works.get(duty);
+            LeasedTask work = works.get(duty);
             if (work == null) {
                 member.stopped(duty, token, "this member's settings have no such duty");
                 return;
--- a/src/main/java/topazladder/net/hall/PoolChoice.java
+++ b/src/main/java/topazladder/net/hall/PoolChoice.java
@@ -4,12 +4,12 @@
 import java.util.function.DoubleSupplier;
 import topazladder.below.How;
 import topazladder.below.Use;
-import topazladder.config.HallSettings.Below;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.net.IndexChoice;
+import topazladder.config.ClusterSettings.Below;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.net.DependencyEndpointChoice;
 
 /** The servers of the settings, used as the hall has agreed; what calls find is told to the leader. */
-final class PoolChoice implements IndexChoice {
+final class PoolChoice implements DependencyEndpointChoice {
     private final List<Address> addresses;
     private final Use use;
     private final DoubleSupplier clock;
--- a/src/main/java/topazladder/net/hall/ProbeWork.java
+++ b/src/main/java/topazladder/net/hall/ProbeWork.java
@@ -6,12 +6,12 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import topazladder.config.HallSettings.Probe;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.duty.Work;
+import topazladder.config.ClusterSettings.Probe;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.lease.LeasedTask;
 
 /** Looks every so often whether the service below can be reached, for all members, and says what it found. */
-final class ProbeWork implements Work {
+final class ProbeWork implements LeasedTask {
     private static final int CONNECT_MS = 500;
 
     /** Whoever tells the others. */
--- a/src/main/java/topazladder/net/hall/ReleaseOrders.java
+++ b/src/main/java/topazladder/net/hall/ReleaseOrders.java
@@ -3,9 +3,9 @@
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.util.function.BiConsumer;
-import topazladder.config.BadTerms;
-import topazladder.config.PlanFile;
-import topazladder.group.Seat;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.RolloutPlanFile;
+import topazladder.consensus.ConsensusReplica;
 import topazladder.hall.ReleaseStart;
 import topazladder.hall.Saying.Command;
 import topazladder.release.Place;
@@ -18,17 +18,17 @@
 
 /** Operators' words on releases, at the group's leader. */
 final class ReleaseOrders {
-    private final Seat seat;
+    private final ConsensusReplica replica;
     private final String doing;
 
     /** @param doing what the conductor says that it does */
-    ReleaseOrders(Seat seat, String doing) {
-        this.seat = seat;
+    ReleaseOrders(ConsensusReplica replica, String doing) {
+        this.replica = replica;
         this.doing = doing;
     }
 
     void take(Command c, long now, BiConsumer<Boolean, String> then) {
-        Release r = seat.releases().release();
+        Release r = replica.releases().release();
         long id = r == null ? 0 : r.id();
         By by = By.operator(now);
         switch (c.kind()) {
@@ -42,18 +42,18 @@
     }
 
     private void propose(ReleaseOp op, BiConsumer<Boolean, String> then) {
-        seat.propose(op, (ReleaseLedger.Outcome o) -> then.accept(o.done(), o.done() ? "done" : o.why()));
+        replica.propose(op, (ReleaseLedger.Outcome o) -> then.accept(o.done(), o.done() ? "done" : o.why()));
     }
 
     private void start(String text, By by, BiConsumer<Boolean, String> then) {
         Plan plan;
         try {
-            plan = PlanFile.of(text);
-        } catch (BadTerms e) {
+            plan = RolloutPlanFile.of(text);
+        } catch (InvalidSettingsException e) {
             then.accept(false, e.getMessage());
             return;
         }
-        ReleaseStart.Decision decision = ReleaseStart.decide(seat, plan, by);
+        ReleaseStart.Decision decision = ReleaseStart.decide(replica, plan, by);
         if (decision.refused()) {
             then.accept(false, decision.refusal());
         } else {
@@ -62,12 +62,12 @@
     }
 
     private JsonObject status() {
-        Release r = seat.releases().release();
-        JsonObject o = new JsonObject().put("leader", seat.here().name()).put("doing", doing);
+        Release r = replica.releases().release();
+        JsonObject o = new JsonObject().put("leader", replica.here().name()).put("doing", doing);
         if (r == null) {
             return o.put("phase", "NONE");
         }
-        View v = seat.view();
+        View v = replica.view();
         JsonArray places = new JsonArray();
         for (Place p : r.places()) {
             View.Sight s = v.members().stream().filter(m -> m.name().equals(p.name())).findFirst().orElse(null);
--- a/src/main/java/topazladder/net/hall/SqliteStore.java
+++ b/src/main/java/topazladder/net/hall/SqliteStore.java
@@ -25,14 +25,14 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import org.sqlite.util.OSInfo;
-import topazladder.group.Endpoint;
-import topazladder.group.Kept;
-import topazladder.group.VoterStore;
+import topazladder.consensus.PersistedRaftState;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.consensus.VoterStore;
 import topazladder.hall.proto.ChunkMessage;
 import topazladder.hall.proto.EntryMessage;
 import topazladder.hall.proto.MembersView;
 import topazladder.net.codec.GroupMessages;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 
 /**
  * A voter's folder, as one SQLite database: a transaction is open from flush to flush, and a flush returns once it is
@@ -99,13 +99,13 @@
     }
 
     private interface Sql<T> {
-        T run() throws SQLException, Malformed, InvalidProtocolBufferException;
+        T run() throws SQLException, MalformedMessageException, InvalidProtocolBufferException;
     }
 
     private <T> T sql(Sql<T> what) throws IOException {
         try {
             return what.run();
-        } catch (SQLException | Malformed | InvalidProtocolBufferException e) {
+        } catch (SQLException | MalformedMessageException | InvalidProtocolBufferException e) {
             throw new IOException("the voter's store: " + e.getMessage(), e);
         }
     }
@@ -184,8 +184,8 @@
                 return null;
             }
             MembersView first = MembersView.parseFrom(word("first"));
-            List<Endpoint> all = first.getMembersList().stream().map(Endpoint::of).toList();
-            return new Founding(Endpoint.of(new String(here, java.nio.charset.StandardCharsets.UTF_8)), all,
+            List<VoterEndpoint> all = first.getMembersList().stream().map(VoterEndpoint::of).toList();
+            return new Founding(VoterEndpoint.of(new String(here, java.nio.charset.StandardCharsets.UTF_8)), all,
                     first.getLogIndex());
         } catch (IOException e) {
             throw new IllegalStateException("the voter's store can't be read", e);
@@ -199,7 +199,7 @@
         run("delete from chunk");
         word("here", f.here().toString().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         word("first", MembersView.newBuilder().setLogIndex(f.formed())
-                .addAllMembers(f.first().stream().map(Endpoint::toString).toList()).build().toByteArray());
+                .addAllMembers(f.first().stream().map(VoterEndpoint::toString).toList()).build().toByteArray());
         flush();
     }
 
@@ -251,21 +251,21 @@
     @Override public RestoredRaftState restored() {
         try {
             rollBack();
-            Kept kept = new Kept();
+            PersistedRaftState kept = new PersistedRaftState();
             byte[] endpoint = word("endpoint");
             byte[] members = word("members");
             byte[] term = word("term");
             return sql(() -> {
                 if (endpoint != null) {
                     MembersView e = MembersView.parseFrom(endpoint);
-                    kept.endpoint(Endpoint.of(e.getMembers(0)), e.getLogIndex() == 1);
+                    kept.endpoint(VoterEndpoint.of(e.getMembers(0)), e.getLogIndex() == 1);
                 }
                 if (members != null) {
                     kept.members(GroupMessages.view(MembersView.parseFrom(members)));
                 }
                 if (term != null) {
                     MembersView t = MembersView.parseFrom(term);
-                    RaftEndpoint voted = t.getMembersCount() == 0 ? null : Endpoint.of(t.getMembers(0));
+                    RaftEndpoint voted = t.getMembersCount() == 0 ? null : VoterEndpoint.of(t.getMembers(0));
                     kept.term(MODEL.createRaftTermPersistentStateBuilder().setTerm((int) t.getLogIndex())
                             .setVotedFor(voted).build());
                 }
--- a/src/main/java/topazladder/net/hall/TouchWork.java
+++ b/src/main/java/topazladder/net/hall/TouchWork.java
@@ -8,15 +8,15 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import topazladder.config.HallSettings.Touch;
-import topazladder.duty.Work;
+import topazladder.config.ClusterSettings.Touch;
+import topazladder.lease.LeasedTask;
 
 /**
  * Tells a service every so often who holds a duty and under which token: a line {@code touch DUTY TOKEN HOLDER}. A
  * service that keeps the highest token it has seen, and refuses a lower one, is fenced against a holder that has lost
  * the duty and does not know.
  */
-final class TouchWork implements Work {
+final class TouchWork implements LeasedTask {
     private static final int CONNECT_MS = 500;
 
     private final Vertx vertx;
--- a/src/main/java/topazladder/net/peer/PeerAsker.java
+++ b/src/main/java/topazladder/net/peer/PeerAsker.java
@@ -11,10 +11,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.knowledge.Fact;
 import topazladder.knowledge.Origin;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Frame;
 import topazladder.net.codec.PeerFrames.Seal;
@@ -122,15 +122,15 @@
                 for (Frame f = reader.next(); f != null && wanted(); f = reader.next()) {
                     take(f);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 fail(e.getMessage());
             }
         }
 
-        private void take(Frame f) throws Malformed {
+        private void take(Frame f) throws MalformedMessageException {
             if (theirNonce == null) {
                 if (f.type() != Type.HELLO || f.payload().length != PeerFrames.NONCE) {
-                    throw new Malformed("no greeting");
+                    throw new MalformedMessageException("no greeting");
                 }
                 theirNonce = f.payload();
                 // During a change both sides may know two keys; the first is the one that is to stay.
@@ -139,7 +139,7 @@
                 return;
             }
             if (!seal.holds(f)) {
-                throw new Malformed("sealed by another key, or changed on the way");
+                throw new MalformedMessageException("sealed by another key, or changed on the way");
             }
             switch (f.type()) {
                 case LATER -> {
@@ -149,31 +149,32 @@
                 }
                 case HEADER -> {
                     if (chunks >= 0) {
-                        throw new Malformed("a second head");
+                        throw new MalformedMessageException("a second head");
                     }
                     PeerMessages.Head head = PeerMessages.head(f.payload());
                     if (head.from().name().equals(here.name()) && head.from().incarnation() == here.incarnation()) {
-                        throw new Malformed("it is this instance itself");
+                        throw new MalformedMessageException("it is this instance itself");
                     }
                     chunks = head.chunks();
                     listener.heard(number, List.of());
                 }
                 case CHUNK -> {
                     if (f.number() != came || came >= chunks) {
-                        throw new Malformed("chunk " + f.number() + " in place of " + came + " of " + chunks);
+                        throw new MalformedMessageException(
+                                "chunk " + f.number() + " in place of " + came + " of " + chunks);
                     }
                     came++;
                     listener.heard(number, PeerMessages.chunk(f.payload(), PeerNode.seconds()));
                 }
                 case END -> {
                     if (came != chunks) {
-                        throw new Malformed("an end after " + came + " of " + chunks + " chunks");
+                        throw new MalformedMessageException("an end after " + came + " of " + chunks + " chunks");
                     }
                     open.remove(number);
                     close();
                     listener.whole(number);
                 }
-                default -> throw new Malformed("a " + f.type() + " from who was asked");
+                default -> throw new MalformedMessageException("a " + f.type() + " from who was asked");
             }
         }
     }
--- a/src/main/java/topazladder/net/peer/PeerNode.java
+++ b/src/main/java/topazladder/net/peer/PeerNode.java
@@ -10,11 +10,11 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.config.OwnSettings;
-import topazladder.config.OwnSettings.Peering;
-import topazladder.config.ServiceTerms;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.config.Terms;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettings.Peering;
+import topazladder.config.ServiceSettings;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.config.SettingsReader;
 import topazladder.knowledge.Fact;
 import topazladder.knowledge.Learning;
 import topazladder.knowledge.Origin;
@@ -28,21 +28,21 @@
 import topazladder.peering.Asking.Wake;
 import topazladder.peering.Candidate;
 import topazladder.peering.Giving;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.RequestClass;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
-import topazladder.service.Instance;
-import topazladder.service.Part;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Offering;
+import topazladder.service.InstanceExtension;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
 
 /** Learning from running instances: asks at the start, and gives while it serves. */
-public final class PeerNode implements Part, PeerAsker.Listener {
+public final class PeerNode implements InstanceExtension, PeerAsker.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(PeerNode.class);
 
     private final Vertx vertx;
-    private final Exchange exchange;
-    private final Instance instance;
+    private final RequestDispatcher dispatcher;
+    private final InstanceLifecycle instance;
     private final Counters counters;
     private final Peering settings;
     private final Learning learning;
@@ -56,10 +56,11 @@
     private boolean closed;
 
     /** @param hall the member of a hall that speaks over the same link, or null */
-    public PeerNode(Vertx vertx, ServiceTerms terms, OwnSettings own, Exchange exchange, Instance instance,
+    public PeerNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, RequestDispatcher dispatcher,
+            InstanceLifecycle instance,
             Counters counters, Supplier<HallNode> hall) {
         this.vertx = vertx;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
         this.instance = instance;
         this.counters = counters;
         settings = own.peering();
@@ -73,7 +74,7 @@
                 new Bounds(settings.hedgeAfter(), settings.tryFor(), settings.tries()),
                 new SplittableRandom(terms.seed() ^ incarnation));
         asker = new PeerAsker(vertx, here, settings.tryFor(), () -> keys, this);
-        server = settings.listen() == null ? null : new PeerServer(vertx, learning, exchange::learned,
+        server = settings.listen() == null ? null : new PeerServer(vertx, learning, dispatcher::learnedEstimates,
                 instance::phase, counters,
                 new Giving(settings.sharesPerSecond(), settings.loopShare()), () -> keys,
                 own.members() == null ? null
@@ -86,12 +87,13 @@
     }
 
     /** The same wherever the same work is done with the same limits. */
-    static long digest(Terms terms) {
+    static long digest(SettingsReader terms) {
         HashStream64 hash = Hashing.komihash5_0().hashStream();
         hash.putString(String.valueOf(terms.map().get("below")));
-        for (Offering o : terms.offerings()) {
-            hash.putString(o.name()).putInt(o.repeats().ordinal()).putDouble(o.softLimit()).putDouble(o.outerLimit())
-                    .putDouble(o.payoff()).putBoolean(o.calls()).putDouble(o.poorerShare());
+        for (RequestClass o : terms.requestClasses()) {
+            hash.putString(o.name()).putInt(o.idempotency().ordinal()).putDouble(o.latencyObjectiveSeconds())
+                    .putDouble(o.deadlineSeconds())
+                    .putDouble(o.priorityWeight()).putBoolean(o.callsDependency()).putDouble(o.degradedValueShare());
         }
         return hash.getAsLong();
     }
@@ -119,13 +121,13 @@
         began = seconds();
         List<Step> steps = asking.start(began, peers);
         if (asking.phase() == Phase.ASKING) {
-            instance.hold(settings.waitAtMost());
+            instance.delayServing(settings.waitAtMost());
         }
         carryOut(steps);
     }
 
     /** Keys and peers are those of now; where it listens needs a restart. */
-    @Override public void reload(OwnSettings own) {
+    @Override public void reload(ExtensionSettings own) {
         if (own.peering() == null) {
             LOG.warn("peering can't be switched off without a restart");
             return;
@@ -171,13 +173,13 @@
     /** What came is used as far as it came; what comes once the module has started is told it then. */
     private void over() {
         vertx.cancelTimer(wake);
-        List<Learned> fresh = learning.forTheModule();
-        exchange.learn(fresh);
+        List<LearnedEstimate> fresh = learning.forTheModule();
+        dispatcher.applyEstimates(fresh);
         if (!fresh.isEmpty() || asking.phase() == Phase.GIVEN_UP) {
             LOG.info("asking peers is over: {} in {} s, {} facts taken", asking,
                     Math.round((seconds() - began) * 1000) / 1e3, fresh.size());
         }
-        instance.release();
+        instance.resumeServing();
     }
 
     @Override public void heard(int number, Collection<Fact> facts) {
--- a/src/main/java/topazladder/net/peer/PeerServer.java
+++ b/src/main/java/topazladder/net/peer/PeerServer.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Supplier;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.knowledge.Learning;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Frame;
 import topazladder.net.codec.PeerFrames.Seal;
@@ -24,10 +24,10 @@
 import topazladder.net.codec.PeerMessages.Delay.Reason;
 import topazladder.peering.Giving;
 import topazladder.peering.Giving.Turn;
+import topazladder.request.LearnedEstimate;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Instance.Phase;
-import topazladder.ticket.Learned;
+import topazladder.service.InstanceLifecycle.Phase;
 
 /** Listens for instances that ask what this one knows: one question a connection, then it is closed. */
 public final class PeerServer {
@@ -42,7 +42,7 @@
 
     private final Vertx vertx;
     private final Learning learning;
-    private final Supplier<List<Learned>> own;
+    private final Supplier<List<LearnedEstimate>> own;
     private final Supplier<Phase> phase;
     private final Counters counters;
     private final Giving giving;
@@ -56,14 +56,15 @@
     /** A member of the hall has greeted rightly: the connection is its own from here on. */
     public interface Greeted {
 
-        void take(NetSocket socket, Seal seal, byte[] greeting, PeerFrames.Reader reader) throws Malformed;
+        void take(NetSocket socket, Seal seal, byte[] greeting, PeerFrames.Reader reader)
+                throws MalformedMessageException;
     }
 
     /**
      * @param own what this instance has learned by itself; nothing while it is cold
      * @param members null where this instance is of no hall
      */
-    public PeerServer(Vertx vertx, Learning learning, Supplier<List<Learned>> own, Supplier<Phase> phase,
+    public PeerServer(Vertx vertx, Learning learning, Supplier<List<LearnedEstimate>> own, Supplier<Phase> phase,
             Counters counters,
             Giving giving, Supplier<List<byte[]>> keys, Greeted members) {
         this.members = members;
@@ -127,12 +128,12 @@
                     return;
                 }
                 if (f.type() != Type.ASK && (f.type() != Type.MEMBER || members == null)) {
-                    throw new Malformed("no question");
+                    throw new MalformedMessageException("no question");
                 }
                 byte[] theirs = PeerMessages.nonce(f.payload());
                 Seal seal = PeerFrames.opened(f, keys.get(), nonce, theirs);
                 if (seal == null) {
-                    throw new Malformed("sealed by no key of ours, or for another connection");
+                    throw new MalformedMessageException("sealed by no key of ours, or for another connection");
                 }
                 over = true;
                 vertx.cancelTimer(timer);
@@ -142,7 +143,7 @@
                 } else {
                     answer(seal, f.payload());
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 refuse();
             }
         }
@@ -155,7 +156,7 @@
                     put(seal, new Delay(phase.get() == Phase.DRAINING ? Reason.DRAINING : Reason.KNOWS_NOTHING, 0));
                     return;
                 }
-                List<Learned> known = own.get();
+                List<LearnedEstimate> known = own.get();
                 if (known.isEmpty()) {
                     put(seal, new Delay(Reason.KNOWS_NOTHING, 0)); // as cold as whoever asks
                     return;
@@ -176,7 +177,7 @@
                 double took = PeerNode.seconds() - now;
                 giving.took(now + took, took);
                 part();
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 put(seal, new Delay(Reason.UNREADABLE, 0));
             }
         }
--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -5,9 +5,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import topazladder.drain.Out;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Serving;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.LoadReport;
 import topazladder.release.Place.Stage;
 import topazladder.release.Release.Phase;
 import topazladder.release.View.Sight;
@@ -168,7 +168,7 @@
 
     /** On the way back also one that is not steady again: it may be B that keeps it from that. */
     private static boolean mayBeAsked(Release r, Sight s) {
-        return s.out() == null || r.back() && s.out().phase() == Out.Phase.RETURNING;
+        return s.out() == null || r.back() && s.out().phase() == Disruption.Phase.RETURNING;
     }
 
     protected boolean isMoved(Release r, Sight s) {
@@ -207,14 +207,14 @@
         lastLook = now;
         List<Judge.Look> looks = new ArrayList<>();
         for (Sight s : v.members()) {
-            Serving served = s.serving();
+            LoadReport served = s.serving();
             // Whoever drains or warms is no measure of its version.
             if (served != null && served.span() > 0 && served.asked() > 0 && s.out() == null
                     && s.look() == Look.STEADY) {
                 boolean b = served.version().equals(r.plan().to());
                 if (b || served.version().equals(r.plan().from())) {
                     looks.add(new Judge.Look(s.name(), s.zone(), b, served.share(),
-                            served.brokenOff() / Math.max(1e-9, served.asked()), served.megabytes()));
+                            served.failed() / Math.max(1e-9, served.asked()), served.megabytes()));
                 }
             }
         }
@@ -231,8 +231,8 @@
             Sight s = v.of(p.name());
             // Also one that went before the release was turned, and has not come back since.
             boolean away = s == null ? p.stage() == Stage.ASKED : s.out() != null && s.out().takesPlace()
-                    && s.out().phase() != Out.Phase.GRANTED
-                    && (p.stage() == Stage.ASKED || s.out().why() == Out.Why.RELEASE);
+                    && s.out().phase() != Disruption.Phase.GRANTED
+                    && (p.stage() == Stage.ASKED || s.out().why() == Disruption.Why.RELEASE);
             if (!away) {
                 awaySince.remove(p.name());
             } else {
@@ -265,7 +265,7 @@
             }
         }
         long others = v.members().stream().filter(s -> s.out() != null && s.out().takesPlace()
-                && s.out().why() != Out.Why.RELEASE).count();
+                && s.out().why() != Disruption.Why.RELEASE).count();
         if (others > r.plan().mostOut()) {
             return others + " are out for other reasons";
         }
--- a/src/main/java/topazladder/release/Judge.java
+++ b/src/main/java/topazladder/release/Judge.java
@@ -26,16 +26,16 @@
      * What B may be worse in.
      *
      * @param payoff part of what is asked that it may honour less
-     * @param brokenOff part of what is asked that it may break off more
+     * @param failed part of what is asked that it may break off more
      * @param memory times A's that it may hold
      * @param error chance that a B which is as good is called worse, over the whole release
      */
-    public record Terms(double payoff, double brokenOff, double memory, double error) {
+    public record Terms(double payoff, double failed, double memory, double error) {
         public static final Terms USUAL = new Terms(0.02, 0.01, 1.5, 0.01);
     }
 
     /** One instance at one look. */
-    public record Look(String name, String zone, boolean moved, double share, double brokenOff, double megabytes) {
+    public record Look(String name, String zone, boolean moved, double share, double failed, double megabytes) {
     }
 
     /** What came of looks so far. */
@@ -72,7 +72,7 @@
 
     private final Terms terms;
     private final Map<String, Series> payoff = new TreeMap<>(); // by zone, and of all
-    private final Series brokenOff = new Series();
+    private final Series failed = new Series();
     private final Series memory = new Series();
     private final Map<String, Series> ofA = new HashMap<>(); // by instance
     private String why = "";
@@ -90,7 +90,7 @@
         }
         a.forEach(l -> ofA.computeIfAbsent(l.name(), n -> new Series()).add(l.share()));
         payoff.computeIfAbsent(ALL, z -> new Series()).add(mean(b, Look::share) - mean(a, Look::share));
-        brokenOff.add(mean(b, Look::brokenOff) - mean(a, Look::brokenOff));
+        failed.add(mean(b, Look::failed) - mean(a, Look::failed));
         memory.add(mean(b, Look::megabytes) / Math.max(1, mean(a, Look::megabytes)) - 1);
         List<String> zones = b.stream().map(Look::zone).filter(z -> !z.isEmpty()).distinct().toList();
         for (String z : zones) {
@@ -133,8 +133,8 @@
                 return Verdict.WORSE;
             }
         }
-        if (brokenOff.mean - brokenOff.radius(error) > terms.brokenOff()) {
-            why = String.format(Locale.ROOT, "it breaks off %.1f%% more", 100 * brokenOff.mean);
+        if (failed.mean - failed.radius(error) > terms.failed()) {
+            why = String.format(Locale.ROOT, "it breaks off %.1f%% more", 100 * failed.mean);
             return Verdict.WORSE;
         }
         if (memory.mean - memory.radius(error) > terms.memory() - 1) {
@@ -143,7 +143,7 @@
         }
         Series all = payoff.get(ALL);
         return all == null || all.n < LEAST_LOOKS ? Verdict.UNKNOWN
-                : all.mean > -terms.payoff() && brokenOff.mean < terms.brokenOff() ? Verdict.WELL : Verdict.UNKNOWN;
+                : all.mean > -terms.payoff() && failed.mean < terms.failed() ? Verdict.WELL : Verdict.UNKNOWN;
     }
 
     public String why() {
--- a/src/main/java/topazladder/release/ReleaseLedger.java
+++ b/src/main/java/topazladder/release/ReleaseLedger.java
@@ -1,12 +1,12 @@
 package topazladder.release;
 
 import java.util.List;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Subject;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyState;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.lease.LeaseState;
+import topazladder.lease.LeaseStateMachine;
 import topazladder.release.Place.Stage;
 import topazladder.release.Release.Phase;
 
@@ -17,11 +17,11 @@
  * given leave for it.
  */
 public class ReleaseLedger {
-    private final DutyLedger duties;
-    private final OutLedger outs;
+    private final LeaseStateMachine duties;
+    private final DisruptionStateMachine outs;
     private Release release;
 
-    public ReleaseLedger(DutyLedger duties, OutLedger outs) {
+    public ReleaseLedger(LeaseStateMachine duties, DisruptionStateMachine outs) {
         this.duties = duties;
         this.outs = outs;
     }
@@ -45,7 +45,7 @@
     }
 
     protected String notTheConductor(ReleaseOp.By by) {
-        DutyState duty = duties.get(by.duty());
+        LeaseState duty = duties.get(by.duty());
         return duty != null && duty.held() && duty.token() == by.token() ? null
                 : "whoever proposes it does not conduct under " + by.token();
     }
@@ -87,7 +87,7 @@
     }
 
     private String conductor(ReleaseOp.By by) {
-        DutyState duty = duties.get(by.duty());
+        LeaseState duty = duties.get(by.duty());
         return duty == null || !duty.held() ? "" : duty.holder().name();
     }
 
@@ -109,8 +109,8 @@
         } else if (p.wave() > release.wave()) {
             return "its wave has not begun";
         }
-        Out out = outs.get(subject(p));
-        if (out != null && out.takesPlace() && !(release.back() && out.phase() == Out.Phase.RETURNING)) {
+        Disruption out = outs.get(subject(p));
+        if (out != null && out.takesPlace() && !(release.back() && out.phase() == Disruption.Phase.RETURNING)) {
             return "it is out already";
         }
         return p.votes() && release.places().stream().anyMatch(o -> o.votes() && o.stage() == Stage.ASKED)
@@ -124,7 +124,7 @@
                     s.places(), List.of()).told(at, "starts: " + s.plan().from() + " to " + s.plan().to());
         } else if (op instanceof ReleaseOp.Ask a) {
             Place p = release.place(a.place()).at(Stage.ASKED, a.attempt());
-            outs.apply(new OutOp.Ask(subject(p), Out.Why.RELEASE, release.request(p), "release "
+            outs.apply(new DisruptionCommand.Ask(subject(p), Disruption.Why.RELEASE, release.request(p), "release "
                     + release.plan().name()));
             release = release.with(p).told(at, p.name() + " is asked for");
         } else if (op instanceof ReleaseOp.Missed m) {
@@ -154,10 +154,10 @@
     /** Whoever has leave and has not gone stays; whoever has gone comes back by itself. */
     protected void withdraw() {
         for (Place p : release.places()) {
-            Out out = outs.get(subject(p));
+            Disruption out = outs.get(subject(p));
             if (p.stage() == Stage.ASKED && (out == null
-                    || out.request().equals(release.request(p)) && out.why() == Out.Why.RELEASE
-                            && outs.apply(new OutOp.Withdraw(subject(p), out.request())).done())) {
+                    || out.request().equals(release.request(p)) && out.why() == Disruption.Why.RELEASE
+                            && outs.apply(new DisruptionCommand.Withdraw(subject(p), out.request())).done())) {
                 release = release.with(p.at(Stage.LEFT, p.attempt()));
             }
         }
@@ -165,12 +165,12 @@
 
     /** Whoever was asked for and is not out any more, but was not moved either, may be asked for again. */
     public boolean cameBack(Place p) {
-        Out out = outs.get(subject(p));
+        Disruption out = outs.get(subject(p));
         return p.stage() == Stage.ASKED && (out == null || !out.request().equals(release.request(p)));
     }
 
-    private static Subject subject(Place p) {
-        return new Subject(Subject.Kind.INSTANCE, p.name(), p.zone());
+    private static DisruptionTarget subject(Place p) {
+        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, p.name(), p.zone());
     }
 
     /** The version in which an instance that goes now should come back; empty where the release has no part in it. */
--- a/src/main/java/topazladder/release/View.java
+++ b/src/main/java/topazladder/release/View.java
@@ -1,9 +1,9 @@
 package topazladder.release;
 
 import java.util.List;
-import topazladder.drain.Out;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Serving;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.LoadReport;
 
 /**
  * What a conductor goes by, as the group's leader has it.
@@ -26,7 +26,8 @@
      * @param waits why it is not let go, or null
      * @param serving what it said last; null where it said nothing in this life
      */
-    public record Sight(String name, String zone, Look look, long life, Out out, String waits, Serving serving) {
+    public record Sight(String name, String zone, Look look, long life, Disruption out, String waits,
+            LoadReport serving) {
 
         /** Whether it serves as it should, in that version. */
         boolean runs(String version) {
