--- a/src/main/java/topazladder/ticket/Ruling.java
+++ b/src/main/java/topazladder/request/Decision.java
@@ -1,14 +1,14 @@
-package topazladder.ticket;
+package topazladder.request;
 
 /**
  * One decision. What a field means depends on {@link What}; the others are empty.
  *
- * @param ticket the ticket ruled on, or null
+ * @param request the request ruled on, or null
  * @param number seconds, or the level
  * @param yes for DEFER: not to be tried elsewhere; for HEALTH: good
  * @param text for NOTE
  */
-public record Ruling(What what, Ticket ticket, double number, boolean yes, String text) {
+public record Decision(What what, Request request, double number, boolean yes, String text) {
 
     public enum What {
         START,
@@ -37,27 +37,27 @@
         NOTE
     }
 
-    public static Ruling of(What what, Ticket ticket) {
-        return new Ruling(what, ticket, 0, false, "");
+    public static Decision of(What what, Request request) {
+        return new Decision(what, request, 0, false, "");
     }
 
-    public static Ruling of(What what, Ticket ticket, double number) {
-        return new Ruling(what, ticket, number, false, "");
+    public static Decision of(What what, Request request, double number) {
+        return new Decision(what, request, number, false, "");
     }
 
-    public static Ruling of(What what, double number) {
-        return new Ruling(what, null, number, false, "");
+    public static Decision of(What what, double number) {
+        return new Decision(what, null, number, false, "");
     }
 
-    public static Ruling defer(Ticket ticket, double stayAway, boolean notElsewhere) {
-        return new Ruling(What.DEFER, ticket, stayAway, notElsewhere, "");
+    public static Decision defer(Request request, double stayAway, boolean notElsewhere) {
+        return new Decision(What.DEFER, request, stayAway, notElsewhere, "");
     }
 
-    public static Ruling health(boolean good) {
-        return new Ruling(What.HEALTH, null, 0, good, "");
+    public static Decision health(boolean good) {
+        return new Decision(What.HEALTH, null, 0, good, "");
     }
 
-    public static Ruling note(String text) {
-        return new Ruling(What.NOTE, null, 0, false, text);
+    public static Decision note(String text) {
+        return new Decision(What.NOTE, null, 0, false, text);
     }
 }
--- a/src/main/java/topazladder/ticket/Ending.java
+++ b/src/main/java/topazladder/request/Outcome.java
@@ -1,31 +1,31 @@
-package topazladder.ticket;
+package topazladder.request;
 
 /** How a run or a call ended. */
-public enum Ending {
-    OK(false),
+public enum Outcome {
+    SUCCEEDED(false),
     /** It failed, and may have had its effect. */
     FAILED(false),
     /** The call was turned away unseen. */
-    DEFERRED(true),
+    REJECTED(true),
     /** The call was given up on; it may have had its effect. */
-    ABANDONED(false),
+    TIMED_OUT(false),
     /** What lies below could not be reached. */
-    UNREACHED(true),
+    UNREACHABLE(true),
     /** The call broke off; it may have had its effect. */
-    BROKEN_OFF(false),
+    CONNECTION_LOST(false),
     /** The run was stopped, or ended because nobody waits for it any more. */
-    STOPPED(false),
-    /** Nothing was started: the ticket was over. */
-    MOOT(true);
+    CANCELLED(false),
+    /** Nothing was started: the request was over. */
+    NOT_STARTED(true);
 
-    private final boolean neverRan;
+    private final boolean provesNoEffect;
 
-    Ending(boolean neverRan) {
-        this.neverRan = neverRan;
+    Outcome(boolean provesNoEffect) {
+        this.provesNoEffect = provesNoEffect;
     }
 
     /** Whether this proves that nothing was done, so that a call with an effect may be made again. */
-    public boolean neverRan() {
-        return neverRan;
+    public boolean provesNoEffect() {
+        return provesNoEffect;
     }
 }
--- a/src/main/java/topazladder/rig/AmqpRig.java
+++ b/src/main/java/topazladder/rig/AmqpRig.java
@@ -28,11 +28,11 @@
 import topazladder.broker.Ledger;
 import topazladder.broker.Message.Props;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 
 /**
- * What a delivery costs a real process beside what a caller's ticket costs it: tickets whose runs end at once, so that
- * all time is the program's own. A run of many also shows whether memory stays.
+ * What a delivery costs a real process beside what a caller's request costs it: requests whose runs end at once, so
+ * that all time is the program's own. A run of many also shows whether memory stays.
  */
 public final class AmqpRig {
     private static final int AT_ONCE = 128;
@@ -41,15 +41,17 @@
     /**
      * What one way in cost.
      *
-     * @param perCoreSecond tickets for each second of a core that the process used
+     * @param perCoreSecond requests for each second of a core that the process used
      * @param bytesEach allocated for each, by what the collector found
      * @param residentMb at the quarters of the run
      */
-    public record Cost(int tickets, double seconds, double perCoreSecond, double bytesEach, double[] residentMb) {
+    public record Cost(int requests, double seconds, double perCoreSecond, double bytesEach, double[] residentMb) {
 
+        /** One row of the experiment's table in Markdown. */
         public String row(String name) {
-            return String.format(Locale.ROOT, "| %s | %d | %.0f | %.0f | %.0f | %.0f %.0f %.0f %.0f |%n", name, tickets,
-                    tickets / seconds, perCoreSecond, bytesEach, residentMb[0], residentMb[1], residentMb[2],
+            return String.format(Locale.ROOT, "| %s | %d | %.0f | %.0f | %.0f | %.0f %.0f %.0f %.0f |%n", name,
+                    requests,
+                    requests / seconds, perCoreSecond, bytesEach, residentMb[0], residentMb[1], residentMb[2],
                     residentMb[3]);
         }
     }
@@ -117,7 +119,7 @@
                     }
                 }
                 socket.write(out);
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 socket.close();
             }
         });
@@ -174,7 +176,7 @@
         return measure(process, count, () -> notices);
     }
 
-    /** The same number of tickets by the callers' protocol, on eight connections, as many open at once. */
+    /** The same number of requests by the callers' protocol, on eight connections, as many open at once. */
     private Cost ask(int count) throws Exception {
         Process process = start();
         NetClient client = vertx.createNetClient();
@@ -196,19 +198,19 @@
                     boolean answer = unread[0].getByte(from + 4) == 17;
                     from += 4 + unread[0].getInt(from);
                     if (answer && asked[0] < count) {
-                        s.write(ticket(++stream[0], ++asked[0]));
+                        s.write(request(++stream[0], ++asked[0]));
                     }
                 }
                 unread[0] = unread[0].getBuffer(from, unread[0].length());
             });
             s.closeHandler(v -> vertx.setTimer(20, id -> connect(client, asked, count)));
             for (int i = 0; i < AT_ONCE / 8; i++) {
-                s.write(ticket(++stream[0], ++asked[0]));
+                s.write(request(++stream[0], ++asked[0]));
             }
         }, e -> vertx.setTimer(20, id -> connect(client, asked, count)));
     }
 
-    private static Buffer ticket(int stream, long ref) {
+    private static Buffer request(int stream, long ref) {
         String[] pairs = {"service", "read", "ref", String.format("%016x", ref), "since",
                 String.valueOf(System.currentTimeMillis()), "sender", "4", "room", "2.2", "class_rank", "0.5"};
         Buffer fields = Buffer.buffer();
@@ -239,10 +241,10 @@
                 await(done, first + (count - first) * quarter / 4 - 200);
                 resident[quarter - 1] = resident(process.pid());
             }
-            long tickets = done.soFar() - first;
+            long requests = done.soFar() - first;
             double seconds = System.nanoTime() / 1e9 - begun;
             double cpu = process.info().totalCpuDuration().orElse(Duration.ZERO).minus(used).toMillis() / 1000.0;
-            return new Cost((int) tickets, seconds, tickets / cpu, allocated(pauses) / tickets, resident);
+            return new Cost((int) requests, seconds, requests / cpu, allocated(pauses) / requests, resident);
         } finally {
             process.destroy();
             if (!process.waitFor(5, TimeUnit.SECONDS)) {
--- a/src/main/java/topazladder/rig/HallRig.java
+++ b/src/main/java/topazladder/rig/HallRig.java
@@ -155,7 +155,7 @@
      * member told.
      *
      * @param at seconds since the rig began
-     * @param asked payoff of all tickets so far, and earned
+     * @param asked payoff of all requests so far, and earned
      * @param level that callers heard last, in the mean
      * @param up processes that run and do not stand still
      * @param held duties whose effects came within the last half second
@@ -329,9 +329,9 @@
         processes.stall(i, on);
     }
 
-    /** What became of all tickets so far: sent, answered, late, dropped by drains, excused. */
-    public Map<String, Long> tickets() throws Exception {
-        return onLoop(() -> load.tickets().counts());
+    /** What became of all requests so far: sent, answered, late, dropped by drains, excused. */
+    public Map<String, Long> requests() throws Exception {
+        return onLoop(() -> load.requests().counts());
     }
 
     public void kill(int i) throws Exception {
@@ -471,7 +471,7 @@
         return onLoop(() -> {
             List<String> breaks = new ArrayList<>(c.breaks());
             breaks.addAll(u.breaks());
-            breaks.addAll(load.tickets().breaks());
+            breaks.addAll(load.requests().breaks());
             if (supervisor != null) {
                 breaks.addAll(supervisor.breaks());
             }
--- a/src/main/java/topazladder/rig/HollowMembers.java
+++ b/src/main/java/topazladder/rig/HollowMembers.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.config.SettingsFile;
-import topazladder.drain.Meter;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.ServiceSettings;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.disruption.ThroughputMeter;
 import topazladder.knowledge.Learning;
 import topazladder.knowledge.Origin;
 import topazladder.membership.Standing;
@@ -22,8 +22,8 @@
 import topazladder.net.peer.PeerServer;
 import topazladder.peering.Giving;
 import topazladder.service.Counters;
-import topazladder.service.Instance.Phase;
-import topazladder.service.Reach;
+import topazladder.service.DependencyCircuitBreaker;
+import topazladder.service.InstanceLifecycle.Phase;
 
 /**
  * Hollow members of a cluster in this process: the program's own membership, lease and link code on real sockets on
@@ -46,8 +46,8 @@
     /** One member; all but the fields that are set here is its loop's. */
     private final class Hollow {
         private final Vertx vertx;
-        private final ServiceTerms terms;
-        private final OwnSettings own;
+        private final ServiceSettings terms;
+        private final ExtensionSettings own;
         private HallNode node; // null while it is down
         private PeerServer server;
         private LinkTraffic.Totals before = LinkTraffic.Totals.NONE; // of its earlier lives
@@ -55,15 +55,16 @@
         Hollow(int number, int port) {
             vertx = loops.get(number % LOOPS);
             JsonObject config = Programs.config(plan.prefix() + number, port, port, port, 9, CORES, 1);
-            terms = ServiceTerms.of(config.encode(), Map.of());
-            own = SettingsFile.of(plan.settings(port), plan.folder());
+            terms = ServiceSettings.of(config.encode(), Map.of());
+            own = ExtensionSettingsFile.of(plan.settings(port), plan.folder());
         }
 
         private void start() {
             Counters counters = new Counters();
             node = new HallNode(vertx, terms, own, () -> Phase.SERVING, counters, () -> List.of(key),
-                    notice -> restart(Math.round(notice * 1000)), () -> new Meter.Counted(0, 0, 0), queue -> null,
-                    () -> null, new Reach(new SplittableRandom(1)));
+                    notice -> restart(Math.round(notice * 1000)), () -> new ThroughputMeter.Counted(0, 0, 0),
+                    queue -> null,
+                    () -> null, new DependencyCircuitBreaker(new SplittableRandom(1)));
             server = new PeerServer(vertx, new Learning(new Origin(terms.name(), 1, CORES, 1, 0),
                     () -> System.nanoTime() / 1e9, List.of()), List::of, () -> Phase.SERVING, counters,
                     new Giving(1, 0.01), () -> List.of(key), node::take);
--- a/src/main/java/topazladder/rig/LiveCallers.java
+++ b/src/main/java/topazladder/rig/LiveCallers.java
@@ -18,7 +18,7 @@
 import java.util.random.RandomGenerator;
 import topazladder.emulator.Traffic;
 import topazladder.emulator.Traffic.Wanted;
-import topazladder.faults.TicketLedger;
+import topazladder.faults.RequestLedger;
 import topazladder.service.Timers;
 
 /** The callers of one instance, on a few connections; what that one defers they try at another, once. */
@@ -28,7 +28,7 @@
     private static final double HEEDED = 1;
 
     /** What is asked of one try, and what an answer says. */
-    private record Tried(Wanted wanted, String fingerprint, double first, boolean laterTry, LiveCallers of) {
+    private record Tried(Wanted wanted, String fingerprint, double first, boolean retry, LiveCallers of) {
     }
 
     /** One that waits for its answer; due counts from its sending. */
@@ -57,7 +57,7 @@
     private long marks;
     private int turn;
     private boolean over;
-    private TicketLedger tickets; // null where nobody counts
+    private RequestLedger requests; // null where nobody counts
     private int instance;
     private double allAsked;
     private double allEarned;
@@ -95,13 +95,13 @@
         timers.in(traffic.gap(rate), this::next);
     }
 
-    /** Each ticket and answer is written down, as that instance's. */
-    void tellAll(TicketLedger ledger, int as) {
-        tickets = ledger;
+    /** Each request and answer is written down, as that instance's. */
+    void tellAll(RequestLedger ledger, int as) {
+        requests = ledger;
         instance = as;
     }
 
-    /** Looks for tickets whose time is over. */
+    /** Looks for requests whose time is over. */
     void sweep() {
         lines.forEach(Line::sweep);
     }
@@ -148,14 +148,14 @@
         }
         Wanted w = traffic.next();
         double now = clock.getAsDouble();
-        allAsked += w.kind().offering().payoff();
+        allAsked += w.kind().requestClass().priorityWeight();
         int i = at(now);
         if (i >= 0) {
-            asked[i] += w.kind().offering().payoff();
+            asked[i] += w.kind().requestClass().priorityWeight();
         }
         boolean heeds = habits.nextDouble() < heed;
         if (!heeds || now - heardAt > HEEDED * scale || w.rank() >= level) {
-            String fingerprint = w.kind().offering().window() > 0
+            String fingerprint = w.kind().requestClass().idempotencyWindowSeconds() > 0
                     ? String.format("%08x%024x", name.hashCode(), ++marks) : null;
             send(this, new Tried(w, fingerprint, now, false, this));
         }
@@ -179,16 +179,16 @@
         level = Double.parseDouble(fields.getOrDefault("pressure", "0"));
         heardAt = clock.getAsDouble();
         double took = heardAt - t.first();
-        if (code == 0 && took <= t.wanted().kind().offering().softLimit()) {
+        if (code == 0 && took <= t.wanted().kind().requestClass().latencyObjectiveSeconds()) {
             boolean poorer = new String(body, StandardCharsets.US_ASCII).startsWith("poorer");
             int i = t.of().at(t.first());
-            double payoff = t.wanted().kind().offering().payoff()
-                    * (poorer ? t.wanted().kind().offering().poorerShare() : 1);
+            double payoff = t.wanted().kind().requestClass().priorityWeight()
+                    * (poorer ? t.wanted().kind().requestClass().degradedValueShare() : 1);
             t.of().allEarned += payoff;
             if (i >= 0) {
                 t.of().earned[i] += payoff;
             }
-        } else if (code == 1 && !t.laterTry() && !fields.containsKey("nowhere") && habits.nextDouble() < retry) {
+        } else if (code == 1 && !t.retry() && !fields.containsKey("nowhere") && habits.nextDouble() < retry) {
             List<LiveCallers> others = all.stream().filter(o -> o != this && !o.over).toList();
             if (!others.isEmpty()) {
                 LiveCallers next = others.get(habits.nextInt(others.size()));
@@ -224,8 +224,8 @@
                 s.handler(more -> reader.read(more, this::take));
                 s.closeHandler(v -> {
                     socket = null;
-                    if (tickets != null) {
-                        tickets.closed(instance, open.size());
+                    if (requests != null) {
+                        requests.closed(instance, open.size());
                     }
                     // Nothing can come for them any more, whatever their time is.
                     open.clear();
@@ -256,36 +256,36 @@
         }
 
         void send(Tried t) {
-            double limit = t.wanted().kind().offering().outerLimit();
+            double limit = t.wanted().kind().requestClass().deadlineSeconds();
             open.put(++stream, new Open(t, clock.getAsDouble() + limit));
-            if (tickets != null) {
-                tickets.sent();
+            if (requests != null) {
+                requests.sent();
             }
             byte[] body = t.fingerprint() == null ? t.wanted().work().body()
                     : (new String(t.wanted().work().body(), StandardCharsets.US_ASCII) + ' ' + t.fingerprint())
                             .getBytes(StandardCharsets.US_ASCII);
-            socket.write(CallerFrames.request(stream, body, "service", t.wanted().kind().offering().name(),
+            socket.write(CallerFrames.request(stream, body, "service", t.wanted().kind().requestClass().name(),
                     "ref", String.format("%08x%08x", name.hashCode(), ++refs),
                     "since", String.valueOf(System.currentTimeMillis()), "sender", "4", "room", "10",
                     "class_rank", String.format(Locale.ROOT, "%.4f", Math.min(0.9999, t.wanted().rank())),
-                    "dup", t.laterTry() ? "1" : null, "replay", t.fingerprint()));
+                    "dup", t.retry() ? "1" : null, "replay", t.fingerprint()));
         }
 
         private void note(int of, Open answeredNow) {
-            if (tickets != null && answeredNow != null) {
-                tickets.answered(instance, clock.getAsDouble(), answeredNow.due());
-            } else if (tickets != null && !late.remove(of)) {
-                tickets.strange(instance, clock.getAsDouble(), of + " of " + stream + " on a connection of "
+            if (requests != null && answeredNow != null) {
+                requests.answered(instance, clock.getAsDouble(), answeredNow.due());
+            } else if (requests != null && !late.remove(of)) {
+                requests.strange(instance, clock.getAsDouble(), of + " of " + stream + " on a connection of "
                         + Math.round((clock.getAsDouble() - since) * 1000) + " ms, " + open.keySet());
             }
         }
 
         void sweep() {
-            double now = clock.getAsDouble() - 2 * TicketLedger.slack();
+            double now = clock.getAsDouble() - 2 * RequestLedger.slack();
             open.entrySet().removeIf(e -> {
                 boolean gone = e.getValue().due() < now;
                 if (gone) {
-                    tickets.unanswered(instance, e.getValue().due());
+                    requests.unanswered(instance, e.getValue().due());
                     late.add(e.getKey());
                 }
                 return gone;
--- a/src/main/java/topazladder/rig/LiveIndex.java
+++ b/src/main/java/topazladder/rig/LiveIndex.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import topazladder.emulator.Below;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 
 /** The emulator's dependency behind the index's protocol, one for all instances. */
 final class LiveIndex {
@@ -45,7 +45,7 @@
                         });
                     }
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 socket.close();
             }
         });
--- a/src/main/java/topazladder/rig/LiveRuntime.java
+++ b/src/main/java/topazladder/rig/LiveRuntime.java
@@ -12,9 +12,9 @@
 import java.util.function.DoubleSupplier;
 import topazladder.emulator.Runtime;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
+import topazladder.request.Outcome;
 import topazladder.service.Timers;
-import topazladder.ticket.Ending;
 
 /** The emulator's runtime behind the protocol of a real one, for one process at a time. */
 final class LiveRuntime implements Runtime.Listener {
@@ -64,7 +64,7 @@
         waiting = () -> {};
     }
 
-    /** Told of each run of a fingerprinted ticket, by its fingerprint and its own name. */
+    /** Told of each run of a fingerprinted request, by its fingerprint and its own name. */
     void whenRan(BiConsumer<String, String> what) {
         ran = what;
     }
@@ -77,7 +77,7 @@
         server.close();
     }
 
-    /** Reading a ticket takes the cores as its run does. */
+    /** Reading a request takes the cores as its run does. */
     void read(double work, Runnable then) {
         if (runtime == null) {
             then.run();
@@ -99,7 +99,7 @@
                 for (LineReader.Line l = reader.next(); l != null; l = reader.next()) {
                     take(socket, l);
                 }
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 socket.close();
             }
         });
@@ -154,9 +154,10 @@
         }
     }
 
-    @Override public void ended(String ref, Ending how, double elapsed, byte[] result) {
+    @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
         watch.ended(ref);
-        notice("end " + ++number + " " + ref + (how == Ending.OK ? " PASS " : " FAIL ") + Math.round(elapsed * 1000),
+        notice("end " + ++number + " " + ref + (how == Outcome.SUCCEEDED ? " PASS " : " FAIL ")
+                + Math.round(elapsed * 1000),
                 result);
     }
 
--- a/src/main/java/topazladder/rig/PeerRig.java
+++ b/src/main/java/topazladder/rig/PeerRig.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
 import java.util.function.Supplier;
-import topazladder.config.ServiceTerms;
+import topazladder.config.ServiceSettings;
 import topazladder.emulator.Below;
 import topazladder.emulator.PeerTrial;
 import topazladder.emulator.PeerTrial.Condition;
@@ -24,8 +24,8 @@
 
 /**
  * Real processes of the program on loopback, all round them played by the emulator's parts in real time: two that are
- * warm, then two that return cold at the same moment with tickets of the same kind, one told by a warm one and one not.
- * All times are a quarter of the operators' brief, so that a pair takes half a minute.
+ * warm, then two that return cold at the same moment with requests of the same kind, one told by a warm one and one
+ * not. All times are a quarter of the operators' brief, so that a pair takes half a minute.
  */
 public final class PeerRig {
     private static final double SCALE = 0.25;
@@ -89,14 +89,14 @@
             LiveIndex live = onLoop(() -> new LiveIndex(vertx, below, index));
             List<Traffic.Kind> kinds = null;
             double meanRun = 0.3 * SCALE;
-            // Both that return get tickets of the same seed: what one is asked the other is asked as well.
+            // Both that return get requests of the same seed: what one is asked the other is asked as well.
             long coldSeed = chance.nextLong();
             for (int i = 0; i < INSTANCES; i++) {
                 int n = i;
                 String name = List.of("warm0", "warm1", "told", "alone").get(i);
                 JsonObject config = Programs.config(name, ports[3 * i], ports[3 * i + 1], index, control, CORES, SCALE);
                 programs.configure(name, config);
-                kinds = PeerTrial.kinds(ServiceTerms.of(config.encode(), Map.of()).terms(), SCALE);
+                kinds = PeerTrial.kinds(ServiceSettings.of(config.encode(), Map.of()).terms(), SCALE);
                 List<Traffic.Kind> mix = kinds;
                 machines.add(onLoop(() -> new LiveRuntime(vertx, clock, timers, ports[3 * n + 1])));
                 long mine = i < 2 ? chance.nextLong() : coldSeed;
--- a/src/main/java/topazladder/rig/Programs.java
+++ b/src/main/java/topazladder/rig/Programs.java
@@ -133,9 +133,9 @@
         long soft = (long) (1.8e9 * scale);
         long outer = (long) (4.6e9 * scale);
         JsonArray classes = new JsonArray()
-                .add(offering("stock-check", "safe", soft, outer, 1))
-                .add(offering("price-push", "safe", soft, outer, 2))
-                .add(offering("order-place", "keyed", soft, outer, 10).put("WindowNs", 13_671_000_000L));
+                .add(requestClass("stock-check", "safe", soft, outer, 1))
+                .add(requestClass("price-push", "safe", soft, outer, 2))
+                .add(requestClass("order-place", "keyed", soft, outer, 10).put("WindowNs", 13_671_000_000L));
         return new JsonObject().put("name", name).put("listen", "127.0.0.1:" + port)
                 .put("runtime", "127.0.0.1:" + runtime).put("index", "127.0.0.1:" + index)
                 .put("control", "127.0.0.1:" + control).put("seed", "1").put("stop_ms", 2000)
@@ -154,7 +154,7 @@
                                 .put("WarmAfterNs", (long) (16e9 * scale))));
     }
 
-    private static JsonObject offering(String name, String repeats, long soft, long outer, double payoff) {
+    private static JsonObject requestClass(String name, String repeats, long soft, long outer, double payoff) {
         return new JsonObject().put("Name", name).put("Idempotency", repeats).put("TargetNs", soft)
                 .put("DeadlineNs", outer).put("Importance", payoff);
     }
--- a/src/main/java/topazladder/rig/RigLoad.java
+++ b/src/main/java/topazladder/rig/RigLoad.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.DoubleSupplier;
-import topazladder.config.ServiceTerms;
+import topazladder.config.ServiceSettings;
 import topazladder.emulator.Below;
 import topazladder.emulator.PeerTrial;
 import topazladder.emulator.Runtime;
 import topazladder.emulator.Traffic;
-import topazladder.faults.TicketLedger;
+import topazladder.faults.RequestLedger;
 import topazladder.service.Timers;
 
 /**
  * What stands round a rig's processes: the runtime of each, its callers where there is load, the index of all, and the
- * ledger of what became of each ticket. All of it is the event loop's.
+ * ledger of what became of each request. All of it is the event loop's.
  */
 final class RigLoad {
     static final double CORES = 6;
@@ -25,14 +25,14 @@
     private static final double RETRY = 0.5;
     private static final double READING = 0.01;
     private static final long SWEEP_MS = 500;
-    /** Longest that a ticket may take, in seconds of the operators' brief. */
+    /** Longest that a request may take, in seconds of the operators' brief. */
     private static final double LONGEST = 4.6;
 
     private final Vertx vertx;
     private final RigPlan plan;
     private final RigPorts ports;
     private final DoubleSupplier sinceStart;
-    private final TicketLedger tickets;
+    private final RequestLedger requests;
     private final List<LiveRuntime> runtimes = new ArrayList<>();
     private final List<LiveCallers> callers = new ArrayList<>();
     private LiveIndex index;
@@ -43,26 +43,26 @@
         this.plan = plan;
         this.ports = ports;
         this.sinceStart = sinceStart;
-        tickets = new TicketLedger(plan.count());
+        requests = new RequestLedger(plan.count());
     }
 
-    /** Payoff of all tickets so far, what of it was earned, and the mean level that callers heard last. */
+    /** Payoff of all requests so far, what of it was earned, and the mean level that callers heard last. */
     record Served(double asked, double earned, double level) {
     }
 
-    /** Tells the ledger of tickets what becomes of processes; from any thread. */
+    /** Tells the ledger of requests what becomes of processes; from any thread. */
     RigProcesses.Listener listener() {
         return new RigProcesses.Listener() {
             @Override public void stalled(int process, boolean still) {
-                vertx.runOnContext(v -> tickets.stands(process, System.nanoTime() / 1e9, still));
+                vertx.runOnContext(v -> requests.stands(process, System.nanoTime() / 1e9, still));
             }
 
             @Override public void ended(int process, boolean inOrder) {
-                vertx.runOnContext(v -> tickets.ended(process, inOrder));
+                vertx.runOnContext(v -> requests.ended(process, inOrder));
             }
 
             @Override public void forgot(int process) {
-                vertx.runOnContext(v -> tickets.forgets(process));
+                vertx.runOnContext(v -> requests.forgets(process));
             }
         };
     }
@@ -87,13 +87,13 @@
     private void openRuntime(int process) {
         LiveRuntime runtime = new LiveRuntime(vertx, clock(), timers(), ports.runtime(process));
         runtime.up(new Runtime.Shape(CORES, 1, 1, 1, 2), false);
-        runtime.whenRan((fingerprint, ref) -> tickets.ran(process, sinceStart.getAsDouble(), fingerprint, ref));
+        runtime.whenRan((fingerprint, ref) -> requests.ran(process, sinceStart.getAsDouble(), fingerprint, ref));
         runtimes.add(runtime);
     }
 
     /** Callers for one process, who wait until {@link #begin}. */
     void addCallers(int process, JsonObject config, long seed) throws Exception {
-        List<Traffic.Kind> kinds = PeerTrial.kinds(ServiceTerms.of(config.encode(), Map.of()).terms(), plan.scale());
+        List<Traffic.Kind> kinds = PeerTrial.kinds(ServiceSettings.of(config.encode(), Map.of()).terms(), plan.scale());
         double rate = plan.load() * CORES / (RUN * plan.scale());
         callers.add(OnLoop.get(vertx, () -> new LiveCallers(vertx, clock(), timers(), RigSettings.name(process),
                 ports.callers(process), runtimes.get(process), callers, kinds, rate, new double[] {HEED, RETRY},
@@ -103,7 +103,7 @@
     void begin() throws Exception {
         OnLoop.get(vertx, () -> {
             for (int i = 0; i < callers.size(); i++) {
-                callers.get(i).tellAll(tickets, i + plan.unloaded());
+                callers.get(i).tellAll(requests, i + plan.unloaded());
                 callers.get(i).begin();
             }
             return vertx.setPeriodic(SWEEP_MS, id -> callers.forEach(LiveCallers::sweep));
@@ -147,8 +147,8 @@
     }
 
     /** To be asked on the loop. */
-    TicketLedger tickets() {
-        return tickets;
+    RequestLedger requests() {
+        return requests;
     }
 
     /** To be called on the loop. */
--- a/src/main/java/topazladder/rig/RigProcesses.java
+++ b/src/main/java/topazladder/rig/RigProcesses.java
@@ -7,8 +7,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.config.SettingsFile;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 import topazladder.hall.Saying.Command.Kind;
 import topazladder.net.hall.FleetClient;
@@ -98,7 +98,8 @@
     }
 
     void found(int i, long formed) {
-        Founding.found(RigSettings.name(i), SettingsFile.of(settings.of(i, version(i)), folder).members(), formed);
+        Founding.found(RigSettings.name(i), ExtensionSettingsFile.of(settings.of(i, version(i)), folder).members(),
+                formed);
     }
 
     synchronized void start(int i) throws IOException {
--- a/src/main/java/topazladder/service/Caller.java
+++ b/src/main/java/topazladder/service/Caller.java
@@ -1,12 +1,12 @@
 package topazladder.service;
 
-/** Whoever waits for one ticket or one check. */
+/** Whoever waits for one request or one check. */
 public interface Caller {
 
-    void answer(Answer answer);
+    void answer(Response answer);
 
     /** The answer to what nobody can decide on or run, which a caller that keeps to the protocol never sends. */
-    void unusable(Answer answer);
+    void unusable(Response answer);
 
     /** The answer to a check. */
     void health(boolean good, Double level);
--- a/src/main/java/topazladder/service/Reach.java
+++ b/src/main/java/topazladder/service/DependencyCircuitBreaker.java
@@ -9,7 +9,7 @@
  *
  * <p>What one is told never keeps it from trying for good: without a word for a while it goes by its own tries again.
  */
-public final class Reach {
+public final class DependencyCircuitBreaker {
     /** Refusals in a row after which it is held for dead. */
     private static final int REFUSALS = 5;
     /** Seconds without a word of the prober after which this one tries by itself, and between two such tries. */
@@ -20,17 +20,17 @@
     /** What is older says nothing. */
     private static final double STALE = 10;
 
-    public enum State { WELL, HELD_FOR_DEAD, COMING_BACK }
+    public enum State { CLOSED, OPEN, RECOVERING }
 
     private final RandomGenerator chance;
-    private State state = State.WELL;
+    private State state = State.CLOSED;
     private int refused;
     private double toldAt = Double.NEGATIVE_INFINITY;
     private double backAt;
     private double lastAlone = Double.NEGATIVE_INFINITY;
     private long token;
 
-    public Reach(RandomGenerator chance) {
+    public DependencyCircuitBreaker(RandomGenerator chance) {
         this.chance = chance;
     }
 
@@ -39,26 +39,26 @@
     }
 
     /** Whether to try now; where not, the call ends as one that could not be made. */
-    public boolean mayTry(double now) {
-        if (state == State.COMING_BACK && now >= backAt) {
-            state = State.WELL;
+    public boolean isCallPermitted(double now) {
+        if (state == State.RECOVERING && now >= backAt) {
+            state = State.CLOSED;
             refused = 0;
         }
-        if (state == State.HELD_FOR_DEAD && now - toldAt > ALONE_AFTER && now - lastAlone >= ALONE_EVERY) {
+        if (state == State.OPEN && now - toldAt > ALONE_AFTER && now - lastAlone >= ALONE_EVERY) {
             lastAlone = now;
             return true;
         }
-        return state == State.WELL;
+        return state == State.CLOSED;
     }
 
-    public void reached() {
+    public void onSuccess() {
         refused = 0;
-        state = State.WELL;
+        state = State.CLOSED;
     }
 
-    public void refused(double now) {
-        if (++refused >= REFUSALS && state == State.WELL) {
-            state = State.HELD_FOR_DEAD;
+    public void onConnectionRefused(double now) {
+        if (++refused >= REFUSALS && state == State.CLOSED) {
+            state = State.OPEN;
             lastAlone = now;
             // From here on the prober's word is waited for, for a while.
             toldAt = Math.max(toldAt, now);
@@ -71,17 +71,17 @@
      * @param age seconds since it looked
      * @param under the prober's token: one of an earlier prober says nothing against a later one's
      */
-    public void told(double now, boolean well, double age, long under) {
+    public void onProbeResult(double now, boolean well, double age, long under) {
         if (age > STALE || under < token) {
             return;
         }
         token = under;
         toldAt = Math.max(toldAt, now - age);
-        if (well && state == State.HELD_FOR_DEAD) {
-            state = State.COMING_BACK;
+        if (well && state == State.OPEN) {
+            state = State.RECOVERING;
             backAt = now + chance.nextDouble(SPREAD);
-        } else if (!well && state == State.COMING_BACK) {
-            state = State.HELD_FOR_DEAD;
+        } else if (!well && state == State.RECOVERING) {
+            state = State.OPEN;
         }
     }
 }
--- a/src/main/java/topazladder/service/IndexPort.java
+++ b/src/main/java/topazladder/service/DependencyPort.java
@@ -1,7 +1,7 @@
 package topazladder.service;
 
 /** Makes the calls of runs to what lies below. */
-public interface IndexPort {
+public interface DependencyPort {
 
     /**
      * The end is told to the exchange, by the end of the patience.
--- a/src/main/java/topazladder/service/Fingerprints.java
+++ b/src/main/java/topazladder/service/IdempotencyStore.java
@@ -9,20 +9,20 @@
 import java.util.Map;
 
 /** The fingerprints that the module ruled to remember, with what became of the run. */
-final class Fingerprints {
-    /** Of the heap, which is small on a day of 32 MB: the rest is for the tickets in hand and their connections. */
+final class IdempotencyStore {
+    /** Of the heap, which is small on a day of 32 MB: the rest is for the requests in hand and their connections. */
     private static final double SHARE = 0.2;
     private static final long ENOUGH_BYTES = 8 << 20;
 
-    /** One remembered ticket: whichever try has the entry, and the result of the run once that is over. */
+    /** One remembered request: whichever try has the entry, and the result of the run once that is over. */
     static final class Kept {
         final String fingerprint;
         final byte[] digest;
-        InHand holder; // null once the run is over: its body and its caller's connection are not kept
+        InFlightRequest holder; // null once the run is over: its body and its caller's connection are not kept
         double until;
         boolean over;
         byte[] result; // null if the run came to nothing, or was let go
-        final List<InHand> joined = new ArrayList<>(0); // wait for the end of the run; emptied by it
+        final List<InFlightRequest> joined = new ArrayList<>(0); // wait for the end of the run; emptied by it
 
         Kept(String fingerprint, byte[] digest) {
             this.fingerprint = fingerprint;
@@ -36,12 +36,12 @@
     private final long most;
     private long bytes;
 
-    Fingerprints() {
+    IdempotencyStore() {
         this(Runtime.getRuntime().maxMemory());
     }
 
     /** @param heap bytes; results past a share of it are not kept, and their repeats are broken off */
-    Fingerprints(long heap) {
+    IdempotencyStore(long heap) {
         most = Math.min(ENOUGH_BYTES, (long) (SHARE * heap));
         try {
             hash = MessageDigest.getInstance("SHA-256");
@@ -50,9 +50,9 @@
         }
     }
 
-    /** The same for all tries of one ticket, and no other: kept in place of the body. */
-    byte[] digest(Arrival a) {
-        hash.update(a.offering().getBytes(StandardCharsets.UTF_8));
+    /** The same for all tries of one request, and no other: kept in place of the body. */
+    byte[] digest(IncomingRequest a) {
+        hash.update(a.requestClass().getBytes(StandardCharsets.UTF_8));
         hash.update((byte) 0);
         return hash.digest(a.body());
     }
@@ -63,7 +63,7 @@
         return kept == null || since > kept.until ? null : kept;
     }
 
-    void remember(InHand holder, double until) {
+    void remember(InFlightRequest holder, double until) {
         String fingerprint = holder.arrival.fingerprint();
         if (fingerprint == null) {
             return;
@@ -80,7 +80,7 @@
         entries.put(fingerprint, holder.kept);
     }
 
-    void forget(InHand holder) {
+    void forget(InFlightRequest holder) {
         Kept kept = holder.kept;
         if (kept != null && kept.holder == holder && entries.remove(kept.fingerprint, kept)) {
             bytes -= size(kept);
--- a/src/main/java/topazladder/service/InHand.java
+++ b/src/main/java/topazladder/service/InFlightRequest.java
@@ -1,13 +1,13 @@
 package topazladder.service;
 
-import topazladder.service.Fingerprints.Kept;
-import topazladder.ticket.Ticket;
+import topazladder.request.Request;
+import topazladder.service.IdempotencyStore.Kept;
 
-/** One ticket between its arrival and the end of all that is done for it. */
-public final class InHand {
-    final Arrival arrival;
+/** One request between its arrival and the end of all that is done for it. */
+public final class InFlightRequest {
+    final IncomingRequest arrival;
     final Caller caller;
-    final Ticket ticket;
+    final Request request;
     final byte[] digest; // of what all tries of it carry, or null where it has no fingerprint
     Kept kept; // its fingerprint, while that is remembered
     boolean started;
@@ -17,10 +17,10 @@
     boolean calling;
     double calledAt;
 
-    InHand(Arrival arrival, Caller caller, Ticket ticket, Kept kept, byte[] digest) {
+    InFlightRequest(IncomingRequest arrival, Caller caller, Request request, Kept kept, byte[] digest) {
         this.arrival = arrival;
         this.caller = caller;
-        this.ticket = ticket;
+        this.request = request;
         this.kept = kept;
         this.digest = digest;
     }
--- a/src/main/java/topazladder/service/Part.java
+++ b/src/main/java/topazladder/service/InstanceExtension.java
@@ -1,15 +1,15 @@
 package topazladder.service;
 
-import topazladder.config.OwnSettings;
+import topazladder.config.ExtensionSettings;
 
 /** A part of a service instance that its own settings switch on; all calls come on the one event loop. */
-public interface Part {
+public interface InstanceExtension {
 
     /** The callers' side listens, and the runtime is not asked for yet. */
     void open();
 
     /** Settings that were read anew. */
-    void reload(OwnSettings settings);
+    void reload(ExtensionSettings settings);
 
     /** The notice to leave: nothing new is begun. */
     default void leave() {}
--- a/src/main/java/topazladder/service/Instance.java
+++ b/src/main/java/topazladder/service/InstanceLifecycle.java
@@ -6,8 +6,8 @@
 import org.slf4j.LoggerFactory;
 
 /** One real service instance from its start to its exit. */
-public final class Instance {
-    private static final Logger LOG = LoggerFactory.getLogger(Instance.class);
+public final class InstanceLifecycle {
+    private static final Logger LOG = LoggerFactory.getLogger(InstanceLifecycle.class);
     /** Kept of the time before the kill, so that the last answers are out and the process is over by then. */
     private static final double CLEARING = 0.2;
 
@@ -17,7 +17,7 @@
     private final long seed;
     private final double stopAfter;
     private final DoubleSupplier clock;
-    private final Exchange exchange;
+    private final RequestDispatcher dispatcher;
     private final Callers callers;
     private final Timers timers;
     private final Runnable exit;
@@ -29,13 +29,13 @@
     private double heldUntil;
     private Runnable waiting = () -> {};
 
-    public Instance(String name, long seed, double stopAfter, DoubleSupplier clock,
-            Exchange exchange, Callers callers, Timers timers, Runnable exit) {
+    public InstanceLifecycle(String name, long seed, double stopAfter, DoubleSupplier clock,
+            RequestDispatcher dispatcher, Callers callers, Timers timers, Runnable exit) {
         this.name = name;
         this.seed = seed;
         this.stopAfter = stopAfter;
         this.clock = clock;
-        this.exchange = exchange;
+        this.dispatcher = dispatcher;
         this.callers = callers;
         this.timers = timers;
         this.exit = exit;
@@ -47,24 +47,24 @@
 
     /** Whether it is to be reported as ready. */
     public boolean ready() {
-        return phase == Phase.SERVING && !leaves && exchange.good();
+        return phase == Phase.SERVING && !leaves && dispatcher.isHealthy();
     }
 
-    public void listening() {
+    public void listenersOpened() {
         if (phase == Phase.STARTING) {
             enter(Phase.AWAITING_RUNTIME);
         }
     }
 
     /** Told again whenever the link is taken anew, which changes nothing. */
-    public void runtimeUp(boolean cold) {
+    public void runtimeConnected(boolean cold) {
         if (phase == Phase.AWAITING_RUNTIME) {
             double left = heldUntil - clock.getAsDouble();
             if (left > 0) {
                 // At most so long: a clock that is set back meanwhile must not keep all callers out.
                 timers.in(Math.min(left, held), () -> {
                     held = 0;
-                    release();
+                    resumeServing();
                 });
                 waiting = () -> serve(cold);
             } else {
@@ -76,17 +76,17 @@
     private void serve(boolean cold) {
         if (phase == Phase.AWAITING_RUNTIME) {
             enter(Phase.SERVING);
-            exchange.open(seed, cold);
+            dispatcher.open(seed, cold);
         }
     }
 
     /** Serving does not begin for so many seconds from now, unless it is released before. */
-    public void hold(double seconds) {
+    public void delayServing(double seconds) {
         held = seconds;
         heldUntil = clock.getAsDouble() + seconds;
     }
 
-    public void release() {
+    public void resumeServing() {
         heldUntil = 0;
         Runnable next = waiting;
         waiting = () -> {};
@@ -94,16 +94,16 @@
     }
 
     /** It will leave soon: reported as not ready, so that callers go elsewhere before they have to. */
-    public void announce() {
+    public void announceShutdown() {
         leaves = true;
     }
 
     /** A second notice changes nothing: the kill follows the first. */
-    public void leave() {
+    public void shutdown() {
         if (phase == Phase.SERVING) {
             enter(Phase.DRAINING);
             killAt = clock.getAsDouble() + stopAfter;
-            exchange.leave(Math.max(0, stopAfter - 2 * CLEARING));
+            dispatcher.drain(Math.max(0, stopAfter - 2 * CLEARING));
             clear();
         } else if (phase == Phase.AWAITING_RUNTIME) {
             // Nothing ran and nothing is owed, but whoever is connected may be writing: told before it is closed.
@@ -115,14 +115,14 @@
         }
     }
 
-    /** New tickets are taken as long as the module has time for them; then all that was read is answered. */
+    /** New requests are taken as long as the module has time for them; then all that was read is answered. */
     private void clear() {
         double left = killAt - clock.getAsDouble();
         if (!lastCall && left <= 3 * CLEARING) {
             lastCall = true;
             callers.lastCall();
         }
-        if (lastCall && exchange.owed() == 0 && callers.connections() == 0 || left <= CLEARING / 2) {
+        if (lastCall && dispatcher.unansweredRequests() == 0 && callers.connections() == 0 || left <= CLEARING / 2) {
             stop();
         } else if (phase == Phase.DRAINING) {
             timers.in(CLEARING / 10, this::clear);
--- a/src/main/java/topazladder/service/Exchange.java
+++ b/src/main/java/topazladder/service/RequestDispatcher.java
@@ -14,64 +14,66 @@
 import java.util.stream.Stream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.Brain;
-import topazladder.config.Terms;
-import topazladder.service.Answer.How;
+import topazladder.admission.AdmissionController;
+import topazladder.config.SettingsReader;
+import topazladder.request.Decision;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.Outcome;
+import topazladder.request.Request;
+import topazladder.request.RequestClass;
+import topazladder.request.RequestClass.Repeats;
+import topazladder.request.Tenant;
 import topazladder.service.Counters.Count;
-import topazladder.service.Fingerprints.Kept;
-import topazladder.ticket.Customer;
-import topazladder.ticket.Ending;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Offering;
-import topazladder.ticket.Offering.Repeats;
-import topazladder.ticket.Ruling;
-import topazladder.ticket.Ticket;
+import topazladder.service.IdempotencyStore.Kept;
+import topazladder.service.Response.How;
 
 /**
- * Where the callers' side and the side of runtime and index meet, and nowhere else: it holds the tickets in
- * hand, tells the module each happening and carries out its rulings. It decides nothing itself.
+ * Where the callers' side and the side of runtime and index meet, and nowhere else: it holds the requests in
+ * hand, tells the module each happening and carries out its decisions. It decides nothing itself.
  */
-public final class Exchange {
-    private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
+public final class RequestDispatcher {
+    private static final Logger LOG = LoggerFactory.getLogger(RequestDispatcher.class);
     private static final byte[] NOTHING = {};
-    /** Seconds by which a caller's clock may be ahead: it may be set while a ticket is on its way. */
+    /** Seconds by which a caller's clock may be ahead: it may be set while a request is on its way. */
     private static final double MOST_AHEAD = 1;
 
     private final DoubleSupplier clock;
-    private final Terms terms;
+    private final SettingsReader terms;
     private final RuntimePort runtime;
-    private final IndexPort index;
+    private final DependencyPort index;
     private final Callers callers;
     private final Timers timers;
     private final Counters counters;
-    private final Map<String, Offering> offerings = new HashMap<>();
-    private final Map<String, Customer> customers = new HashMap<>();
+    private final Map<String, RequestClass> requestClasses = new HashMap<>();
+    private final Map<String, Tenant> tenants = new HashMap<>();
     private final double longestLimit;
-    private final Fingerprints fingerprints = new Fingerprints();
+    private final IdempotencyStore fingerprints = new IdempotencyStore();
     /** All that the module has in hand; emptied after each happening of what it has let go. */
-    private final Map<String, InHand> byRef = new HashMap<>();
-    private final Map<Ticket, InHand> byTicket = new HashMap<>();
-    private final List<InHand> touched = new ArrayList<>(); // emptied after each happening
-    private final Deque<Function<Brain, List<Ruling>>> happenings = new ArrayDeque<>(); // emptied at once
+    private final Map<String, InFlightRequest> byRef = new HashMap<>();
+    private final Map<Request, InFlightRequest> byRequest = new HashMap<>();
+    private final List<InFlightRequest> touched = new ArrayList<>(); // emptied after each happening
+    // emptied at once
+    private final Deque<Function<AdmissionController, List<Decision>>> happenings = new ArrayDeque<>();
     private boolean telling;
     /** Checks that wait for the runtime's word; emptied by it, or as their callers' connections close. */
     private final Map<Long, Caller> checks = new LinkedHashMap<>();
     private long lastCheck;
-    private Brain brain;
+    private AdmissionController admissionController;
     private double zero;
     private double latest;
     private Double level;
     private Boolean health; // null until the module rules on it
     private Map<String, Double> gauges = Map.of();
     private boolean gaugesAwaited;
-    private List<Learned> early = List.of(); // learned before the module started; emptied as it does
+    private List<LearnedEstimate> early = List.of(); // learned before the module started; emptied as it does
     private double wakePeriod;
     private boolean awake; // no timer is set
     private int owed;
     private double payoffAsked;
-    private double payoffHonoured;
+    private double payoffServed;
 
-    public Exchange(DoubleSupplier clock, Terms terms, RuntimePort runtime, IndexPort index, Callers callers,
+    public RequestDispatcher(DoubleSupplier clock, SettingsReader terms, RuntimePort runtime, DependencyPort index,
+            Callers callers,
             Timers timers, Counters counters) {
         this.clock = clock;
         this.terms = terms;
@@ -80,9 +82,9 @@
         this.callers = callers;
         this.timers = timers;
         this.counters = counters;
-        terms.offerings().forEach(o -> offerings.put(o.name(), o));
-        terms.customers().forEach(c -> customers.put(c.name(), c));
-        longestLimit = terms.offerings().stream().mapToDouble(Offering::outerLimit).max().orElse(0);
+        terms.requestClasses().forEach(o -> requestClasses.put(o.name(), o));
+        terms.tenants().forEach(c -> tenants.put(c.name(), c));
+        longestLimit = terms.requestClasses().stream().mapToDouble(RequestClass::deadlineSeconds).max().orElse(0);
     }
 
     /**
@@ -93,16 +95,16 @@
     void open(long seed, boolean cold) {
         Map<String, Object> handed = new LinkedHashMap<>(terms.map());
         handed.put("cold", cold);
-        brain = new Brain(new SplittableRandom(seed), handed);
+        admissionController = new AdmissionController(new SplittableRandom(seed), handed);
         zero = clock.getAsDouble();
         tell(b -> b.start(now()));
-        learn(early);
+        applyEstimates(early);
         early = List.of();
     }
 
     /** What others learned, weighed for this machine; before the module has started it is kept for it. */
-    public void learn(List<Learned> facts) {
-        if (brain == null) {
+    public void applyEstimates(List<LearnedEstimate> facts) {
+        if (admissionController == null) {
             early = Stream.concat(early.stream(), facts.stream()).toList();
         } else if (!facts.isEmpty()) {
             counters.add(Count.FACTS_LEARNED, facts.size());
@@ -111,21 +113,21 @@
     }
 
     /** What the module has learned and would hold on another machine; nothing before it has started. */
-    public List<Learned> learned() {
-        return brain == null ? List.of() : brain.learned(now());
+    public List<LearnedEstimate> learnedEstimates() {
+        return admissionController == null ? List.of() : admissionController.learnedEstimates(now());
     }
 
-    /** Payoff of all tickets that were read, and of those that were honoured, since the start. */
+    /** Payoff of all requests that were read, and of those that were served, since the start. */
     public double[] payoff() {
-        return new double[] {payoffAsked, payoffHonoured};
+        return new double[] {payoffAsked, payoffServed};
     }
 
-    /** Tickets that were read and are not answered yet. */
-    int owed() {
+    /** Requests that were read and are not answered yet. */
+    int unansweredRequests() {
         return owed;
     }
 
-    boolean good() {
+    boolean isHealthy() {
         return Boolean.TRUE.equals(health);
     }
 
@@ -137,67 +139,67 @@
 
     // ---- The callers' side
 
-    /** Returns null if the ticket was answered at once because it can't be decided on. */
-    public InHand arrive(Arrival a, Caller caller) {
-        if (brain == null) {
+    /** Returns null if the request was answered at once because it can't be decided on. */
+    public InFlightRequest dispatch(IncomingRequest a, Caller caller) {
+        if (admissionController == null) {
             // Before the runtime is up nothing can have run, so that the caller may go elsewhere.
-            counters.add(Count.TICKETS_TAKEN_IN);
-            counters.add(Count.DEFERRED);
-            caller.answer(new Answer(How.DEFERRED, level, 0, false, NOTHING));
+            counters.add(Count.REQUESTS_TAKEN_IN);
+            counters.add(Count.REJECTED);
+            caller.answer(new Response(How.REJECTED, level, 0, false, NOTHING));
             return null;
         }
-        Offering offering = offerings.get(a.offering());
-        Customer customer = a.customer() == null ? null : customers.get(a.customer());
-        boolean fingerprinted = offering != null && offering.repeats() == Repeats.FINGERPRINTED;
+        RequestClass requestClass = requestClasses.get(a.requestClass());
+        Tenant tenant = a.tenant() == null ? null : tenants.get(a.tenant());
+        boolean fingerprinted = requestClass != null && requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
         double waited = clock.getAsDouble() - a.since();
-        if (offering == null || customer == null && !customers.isEmpty() || byRef.containsKey(a.ref())
+        if (requestClass == null || tenant == null && !tenants.isEmpty() || byRef.containsKey(a.ref())
                 || fingerprinted != (a.fingerprint() != null) || !possible(waited)) {
-            unusable(caller);
+            answerUnusable(caller);
             return null;
         }
         byte[] digest = fingerprinted ? fingerprints.digest(a) : null;
         Kept kept = fingerprinted ? fingerprints.find(a.fingerprint(), a.since()) : null;
         if (kept != null && !Arrays.equals(kept.digest, digest)) {
-            // No try of that ticket: its result belongs to another body, and run, the ticket would run twice.
-            unusable(caller);
+            // No try of that request: its result belongs to another body, and run, the request would run twice.
+            answerUnusable(caller);
             return null;
         }
-        boolean inHand = kept != null && kept.holder != null && byTicket.containsKey(kept.holder.ticket);
-        Ticket ticket = new Ticket(offering, customer, a.rank(), a.footprint(),
-                Math.max(0, waited), Math.min(a.patience(), offering.outerLimit()), a.laterTry(), kept != null,
-                inHand ? kept.holder.ticket : null);
-        counters.add(Count.TICKETS_TAKEN_IN);
-        InHand h = new InHand(a, caller, ticket, kept, digest);
+        boolean inFlight = kept != null && kept.holder != null && byRequest.containsKey(kept.holder.request);
+        Request request = new Request(requestClass, tenant, a.rank(), a.footprint(),
+                Math.max(0, waited), Math.min(a.patience(), requestClass.deadlineSeconds()), a.retry(), kept != null,
+                inFlight ? kept.holder.request : null);
+        counters.add(Count.REQUESTS_TAKEN_IN);
+        InFlightRequest h = new InFlightRequest(a, caller, request, kept, digest);
         byRef.put(a.ref(), h);
-        byTicket.put(ticket, h);
+        byRequest.put(request, h);
         touched.add(h);
         owed++;
-        payoffAsked += offering.payoff();
-        if (a.laterTry()) {
-            counters.add(Count.TICKETS_LATER_TRIES);
+        payoffAsked += requestClass.priorityWeight();
+        if (a.retry()) {
+            counters.add(Count.REQUESTS_RETRIES);
         }
         if (kept != null) {
-            counters.add(Count.TICKETS_REPEATED);
+            counters.add(Count.REQUESTS_REPEATED);
         }
-        tell(b -> b.arrive(now(), ticket));
+        tell(b -> b.requestArrived(now(), request));
         return h;
     }
 
-    /** A ticket in a sound frame that no decision can be made on: one answer, and it never reaches the module. */
-    public void unusable(Caller caller) {
-        counters.add(Count.TICKETS_UNUSABLE);
-        caller.unusable(Answer.UNUSABLE);
+    /** A request in a sound frame that no decision can be made on: one answer, and it never reaches the module. */
+    public void answerUnusable(Caller caller) {
+        counters.add(Count.REQUESTS_UNUSABLE);
+        caller.unusable(Response.UNUSABLE);
     }
 
     /**
-     * Whether a ticket can have waited so long: all share one clock, and a pause or a crowd before the door lasts less
+     * Whether a request can have waited so long: all share one clock, and a pause or a crowd before the door lasts less
      * than two outer limits. Believed, one time of years would count as the wait of all.
      */
     private boolean possible(double waited) {
         return waited > -MOST_AHEAD && waited < 2 * longestLimit;
     }
 
-    public void callerGone(InHand h) {
+    public void callerDisconnected(InFlightRequest h) {
         if (byRef.get(h.arrival.ref()) != h || h.answered) {
             return;
         }
@@ -205,49 +207,49 @@
         h.answered = true;
         owed--;
         touched.add(h);
-        tell(b -> b.callerGone(now(), h.ticket));
+        tell(b -> b.callerDisconnected(now(), h.request));
     }
 
     /**
-     * Takes back a ticket whose run has not begun, so that it may go elsewhere. False where it ran, or waits for what
+     * Takes back a request whose run has not begun, so that it may go elsewhere. False where it ran, or waits for what
      * another try here comes to: elsewhere it could be a second run.
      */
-    public boolean withdraw(InHand h) {
+    public boolean cancelIfNotStarted(InFlightRequest h) {
         if (byRef.get(h.arrival.ref()) != h || h.answered || h.started || h.kept != null && h.kept.holder != h) {
             return false;
         }
-        callerGone(h);
+        callerDisconnected(h);
         return true;
     }
 
     /** Whether some try of it is known here that came within its window. */
-    public boolean remembers(String fingerprint, double since) {
+    public boolean knowsIdempotencyKey(String fingerprint, double since) {
         return fingerprints.find(fingerprint, since) != null;
     }
 
     /** The posted level, or 0 while none is. */
-    public double level() {
+    public double admissionLevel() {
         return level == null ? 0 : level;
     }
 
     /** Answered from store once the module has ruled so; before, a deep check goes to the runtime. */
-    public void check(Caller caller, boolean deep) {
+    public void healthCheck(Caller caller, boolean deep) {
         counters.add(Count.CHECKS_TAKEN_IN);
         if (health == null && deep) {
             checks.put(++lastCheck, caller);
             runtime.askWhetherWorkGetsDone(lastCheck);
         } else {
-            caller.health(good(), level);
+            caller.health(isHealthy(), level);
         }
     }
 
-    public void checkGone(Caller caller) {
+    public void healthCheckAbandoned(Caller caller) {
         checks.values().remove(caller);
     }
 
     // ---- The runtime's side
 
-    public void gaugesRead(double[] values) {
+    public void gaugesReceived(double[] values) {
         counters.add(Count.GAUGES_READ);
         Map<String, Double> read = new LinkedHashMap<>();
         for (int i = 0; i < values.length && i < terms.gauges().size(); i++) {
@@ -268,106 +270,106 @@
         asked.forEach(c -> c.health(false, level));
     }
 
-    /** After a lost link nothing shows whether the runtime read the start of this ticket. */
-    public void startInDoubt(String ref) {
-        InHand h = byRef.get(ref);
+    /** After a lost link nothing shows whether the runtime read the start of this request. */
+    public void startUncertain(String ref) {
+        InFlightRequest h = byRef.get(ref);
         if (h != null) {
             counters.add(Count.STARTS_IN_DOUBT);
             touched.add(h);
-            tell(b -> b.startInDoubt(now(), h.ticket));
+            tell(b -> b.startUncertain(now(), h.request));
         }
     }
 
-    public void verdict(long tag, boolean passed) {
+    public void healthCheckCompleted(long tag, boolean passed) {
         Caller caller = checks.remove(tag);
         if (caller != null) {
             caller.health(passed, level);
         }
     }
 
-    public void callWanted(String ref, long notice, byte[] body) {
-        InHand h = byRef.get(ref);
+    public void dependencyCallRequested(String ref, long notice, byte[] body) {
+        InFlightRequest h = byRef.get(ref);
         if (h != null) {
             counters.add(Count.CALLS_WANTED);
             h.wantedBy = notice;
             h.wanted = body;
             touched.add(h);
-            tell(b -> b.callWanted(now(), h.ticket));
+            tell(b -> b.dependencyCallRequested(now(), h.request));
         }
     }
 
     /** A result is passed on before the module hears of it: the answer is owed whatever it rules next. */
-    public void runEnded(String ref, Ending ending, double elapsed, byte[] result) {
-        InHand h = byRef.get(ref);
+    public void runEnded(String ref, Outcome ending, double elapsed, byte[] result) {
+        InFlightRequest h = byRef.get(ref);
         if (h == null) {
             return;
         }
         counters.add(switch (ending) {
-            case OK -> Count.RUNS_PASSED;
+            case SUCCEEDED -> Count.RUNS_PASSED;
             case FAILED -> Count.RUNS_FAILED;
-            case MOOT -> Count.RUNS_NOT_STARTED;
+            case NOT_STARTED -> Count.RUNS_NOT_STARTED;
             default -> Count.RUNS_KILLED;
         });
         if (h.calling) {
             h.calling = false;
             index.giveUp(ref);
         }
-        byte[] passed = ending == Ending.OK ? result : null;
+        byte[] passed = ending == Outcome.SUCCEEDED ? result : null;
         end(h, passed);
         touched.add(h);
-        tell(b -> b.runEnded(now(), h.ticket, ending, elapsed));
+        tell(b -> b.runEnded(now(), h.request, ending, elapsed));
         Kept kept = h.kept;
         if (kept != null && kept.holder == h) {
             fingerprints.runOver(kept, passed);
             // Owed to those that wait even where it is not kept: let go for want of room, or its place taken.
-            for (InHand j : List.copyOf(kept.joined)) {
+            for (InFlightRequest j : List.copyOf(kept.joined)) {
                 endJoined(j, passed);
             }
             kept.joined.clear();
         }
     }
 
-    /** The runtime knows no such ticket: it never ran, and a caller that keeps to the protocol did not send it. */
+    /** The runtime knows no such request: it never ran, and a caller that keeps to the protocol did not send it. */
     public void notStarted(String ref) {
         counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
-        InHand h = byRef.get(ref);
+        InFlightRequest h = byRef.get(ref);
         if (h != null && !h.answered) {
             h.answered = true;
             owed--;
-            counters.add(Count.BROKEN_OFF);
-            h.caller.unusable(new Answer(How.BROKEN_OFF, level, 0, false, NOTHING));
+            counters.add(Count.FAILED);
+            h.caller.unusable(new Response(How.FAILED, level, 0, false, NOTHING));
         }
-        runEnded(ref, Ending.MOOT, 0, null);
+        runEnded(ref, Outcome.NOT_STARTED, 0, null);
     }
 
     // ---- The index's side
 
-    public void callEnded(String ref, Ending ending, byte[] reply) {
-        InHand h = byRef.get(ref);
+    public void dependencyCallEnded(String ref, Outcome ending, byte[] reply) {
+        InFlightRequest h = byRef.get(ref);
         if (h == null || !h.calling) {
             return;
         }
         h.calling = false;
-        counters.add(ending == Ending.OK ? Count.CALLS_WELL
-                : ending.neverRan() ? Count.CALLS_TURNED_AWAY : Count.CALLS_FAILED);
-        if (ending == Ending.OK) {
+        counters.add(ending == Outcome.SUCCEEDED ? Count.CALLS_WELL
+                : ending.provesNoEffect() ? Count.CALLS_TURNED_AWAY : Count.CALLS_FAILED);
+        if (ending == Outcome.SUCCEEDED) {
             runtime.give(ref, reply);
         }
         double elapsed = clock.getAsDouble() - h.calledAt;
         touched.add(h);
-        tell(b -> b.callEnded(now(), h.ticket, ending, elapsed));
+        tell(b -> b.dependencyCallEnded(now(), h.request, ending, elapsed));
     }
 
     // ---- The instance's side
 
-    void leave(double secondsToStop) {
-        tell(b -> b.leave(now(), secondsToStop));
+    void drain(double secondsToStop) {
+        tell(b -> b.drain(now(), secondsToStop));
     }
 
     // ---- What the module ruled
 
-    /** One happening at a time: what a ruling leads to at once is told when all rulings are carried out. */
-    private void tell(Function<Brain, List<Ruling>> happening) {
+    /** One happening at a time: what a decision leads to at once is told when all decisions are carried out. */
+    private void tell(Function<AdmissionController, List<Decision>> happening) {
         happenings.add(happening);
         if (telling) {
             return;
@@ -375,13 +377,13 @@
         telling = true;
         try {
             for (var next = happenings.poll(); next != null; next = happenings.poll()) {
-                List<Ruling> rulings = List.of();
+                List<Decision> decisions = List.of();
                 try {
-                    rulings = next.apply(brain);
+                    decisions = next.apply(admissionController);
                 } catch (RuntimeException e) {
                     fault(e);
                 }
-                for (Ruling r : rulings) {
+                for (Decision r : decisions) {
                     try {
                         carryOut(r);
                     } catch (RuntimeException e) {
@@ -392,24 +394,24 @@
         } finally {
             telling = false;
         }
-        for (InHand h : List.copyOf(touched)) {
-            if (!brain.inHand(h.ticket) && byRef.remove(h.arrival.ref(), h)) {
+        for (InFlightRequest h : List.copyOf(touched)) {
+            if (!admissionController.isInFlight(h.request) && byRef.remove(h.arrival.ref(), h)) {
                 // All are answered by now, but for one that a fault took out of the module's hands.
-                answer(h, How.BROKEN_OFF, 0, false, NOTHING);
-                byTicket.remove(h.ticket);
+                answer(h, How.FAILED, 0, false, NOTHING);
+                byRequest.remove(h.request);
             }
         }
         touched.clear();
     }
 
-    /** One ticket's fault must not end the process that all others are in, nor cost them what was ruled on them. */
+    /** One request's fault must not end the process that all others are in, nor cost them what was ruled on them. */
     private void fault(RuntimeException e) {
         counters.add(Count.FAULTS);
         LOG.error("a fault of the program", e);
     }
 
-    private void carryOut(Ruling r) {
-        InHand h = r.ticket() == null ? null : byTicket.get(r.ticket());
+    private void carryOut(Decision r) {
+        InFlightRequest h = r.request() == null ? null : byRequest.get(r.request());
         if (h != null) {
             touched.add(h);
         }
@@ -417,10 +419,10 @@
             case START -> {
                 counters.add(h.started ? Count.RUNS_STARTED_AGAIN : Count.RUNS_STARTED);
                 h.started = true;
-                runtime.start(h.arrival.ref(), h.arrival.offering(), h.arrival.body());
+                runtime.start(h.arrival.ref(), h.arrival.requestClass(), h.arrival.body());
             }
-            case DEFER -> answer(h, How.DEFERRED, r.number(), r.yes(), NOTHING);
-            case BREAK_OFF -> answer(h, How.BROKEN_OFF, 0, false, NOTHING);
+            case DEFER -> answer(h, How.REJECTED, r.number(), r.yes(), NOTHING);
+            case BREAK_OFF -> answer(h, How.FAILED, 0, false, NOTHING);
             case JOIN -> join(h);
             // Counted from its arrival where that is later: the caller's clock may be ahead of this one.
             case REMEMBER -> fingerprints.remember(h,
@@ -430,7 +432,8 @@
                 counters.add(Count.CALLS_MADE);
                 h.calling = true;
                 h.calledAt = clock.getAsDouble();
-                index.call(h.arrival.ref(), r.number(), h.ticket.offering().repeats() == Repeats.RETRIABLE, h.wanted);
+                index.call(h.arrival.ref(), r.number(), h.request.requestClass().idempotency() == Repeats.RETRY_SAFE,
+                        h.wanted);
             }
             case DO_WITHOUT -> {
                 counters.add(Count.CALLS_LEFT_OUT);
@@ -454,7 +457,7 @@
         }
     }
 
-    private void answer(InHand h, How how, double stayAway, boolean notElsewhere, byte[] body) {
+    private void answer(InFlightRequest h, How how, double stayAway, boolean notElsewhere, byte[] body) {
         if (h.calling) {
             // Nobody waits any more, so that what lies below need not work on.
             h.calling = false;
@@ -465,42 +468,42 @@
         }
         h.answered = true;
         owed--;
-        if (how == How.HONOURED) {
-            payoffHonoured += h.ticket.offering().payoff();
+        if (how == How.SERVED) {
+            payoffServed += h.request.requestClass().priorityWeight();
         }
         counters.add(switch (how) {
-            case HONOURED -> Count.HONOURED;
-            case DEFERRED -> Count.DEFERRED;
-            case BROKEN_OFF -> Count.BROKEN_OFF;
+            case SERVED -> Count.SERVED;
+            case REJECTED -> Count.REJECTED;
+            case FAILED -> Count.FAILED;
         });
-        h.caller.answer(new Answer(how, level, stayAway, notElsewhere, body));
+        h.caller.answer(new Response(how, level, stayAway, notElsewhere, body));
     }
 
-    private void end(InHand h, byte[] result) {
+    private void end(InFlightRequest h, byte[] result) {
         if (h.answered && result != null) {
             counters.add(Count.ANSWERS_NOBODY_WAITED_FOR);
         }
-        answer(h, result != null ? How.HONOURED : How.BROKEN_OFF, 0, false, result != null ? result : NOTHING);
+        answer(h, result != null ? How.SERVED : How.FAILED, 0, false, result != null ? result : NOTHING);
     }
 
-    private void join(InHand h) {
+    private void join(InFlightRequest h) {
         counters.add(Count.JOINED);
         if (h.kept == null) {
             endJoined(h, null);
-        } else if (h.kept.over || !byTicket.containsKey(h.kept.holder.ticket)) {
+        } else if (h.kept.over || !byRequest.containsKey(h.kept.holder.request)) {
             endJoined(h, h.kept.result); // without the second, it would wait for a run that is not
         } else {
             h.kept.joined.add(h);
         }
     }
 
-    private void endJoined(InHand h, byte[] result) {
+    private void endJoined(InFlightRequest h, byte[] result) {
         double since = h.arrival.since();
         if (!h.answered) {
             end(h, result);
         }
         touched.add(h);
-        tell(b -> b.runEnded(now(), h.ticket, result != null ? Ending.OK : Ending.FAILED,
+        tell(b -> b.runEnded(now(), h.request, result != null ? Outcome.SUCCEEDED : Outcome.FAILED,
                 clock.getAsDouble() - since));
     }
 
@@ -524,9 +527,9 @@
     private void timer() {
         gaugesAwaited = false;
         awake = true;
-        tell(b -> b.timer(now(), gauges));
+        tell(b -> b.tick(now(), gauges));
         if (awake && !telling) {
-            wakeIn(wakePeriod); // after a fault: without timers no ticket would be answered by its due time any more
+            wakeIn(wakePeriod); // after a fault: without timers no request would be answered by its due time any more
         }
     }
 
--- a/src/main/java/topazladder/service/RuntimePort.java
+++ b/src/main/java/topazladder/service/RuntimePort.java
@@ -3,7 +3,7 @@
 /** Does the work, on the cores. Commands given while it can't be reached are kept for it. */
 public interface RuntimePort {
 
-    void start(String ref, String offering, byte[] body);
+    void start(String ref, String requestClass, byte[] body);
 
     /** The reply to the call that a run waits for. */
     void give(String ref, byte[] reply);
--- a/src/main/java/topazladder/wire/Door.java
+++ b/src/main/java/topazladder/wire/Door.java
@@ -6,25 +6,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import topazladder.Brain;
-import topazladder.config.BadTerms;
-import topazladder.config.Terms;
-import topazladder.ticket.Ending;
-import topazladder.ticket.Ruling;
-import topazladder.ticket.Ticket;
+import topazladder.admission.AdmissionController;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.SettingsReader;
+import topazladder.request.Decision;
+import topazladder.request.Outcome;
+import topazladder.request.Request;
 
-/** One server's door to its Brain: ids to objects, nanoseconds to seconds, and back. */
+/** One server's door to its Admission controller: ids to objects, nanoseconds to seconds, and back. */
 final class Door {
     private final int instance;
     private final long born;
     private final Reply reply;
-    /** Emptied at the end of each batch of what the Brain no longer has in hand. */
-    private final Map<Long, Ticket> tickets = new HashMap<>();
-    private final Map<Ticket, Long> ids = new HashMap<>();
+    /** Emptied at the end of each batch of what the Admission controller no longer has in hand. */
+    private final Map<Long, Request> requests = new HashMap<>();
+    private final Map<Request, Long> ids = new HashMap<>();
     /** Touched in this batch, so perhaps over; emptied at the end of each. */
-    private final List<Ticket> touched = new ArrayList<>();
-    private Terms terms;
-    private Brain brain;
+    private final List<Request> touched = new ArrayList<>();
+    private SettingsReader terms;
+    private AdmissionController admissionController;
     private boolean failed;
 
     Door(int instance, long born, Reply reply) {
@@ -40,7 +40,7 @@
         }
         try {
             step.run();
-        } catch (MalformedWire | BadTerms e) {
+        } catch (MalformedWireException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
             failed = true;
@@ -50,58 +50,58 @@
     }
 
     void start(long seed, String text) {
-        terms = Terms.ofLines(text);
-        brain = new Brain(new SplittableRandom(seed), terms.map());
-        rule(brain.start(0));
+        terms = SettingsReader.ofLines(text);
+        admissionController = new AdmissionController(new SplittableRandom(seed), terms.map());
+        rule(admissionController.start(0));
     }
 
     void arrive(long clock, WireHost.Arrival a) {
-        if (a.offering() >= terms.offerings().size()) {
-            throw new MalformedWire("ticket " + a.id() + " is of an unknown class: " + a.offering());
+        if (a.requestClass() >= terms.requestClasses().size()) {
+            throw new MalformedWireException("ticket " + a.id() + " is of an unknown class: " + a.requestClass());
         }
-        if (!terms.customers().isEmpty() && a.customer() >= terms.customers().size()) {
-            throw new MalformedWire("ticket " + a.id() + " is of an unknown tenant: " + a.customer());
+        if (!terms.tenants().isEmpty() && a.tenant() >= terms.tenants().size()) {
+            throw new MalformedWireException("ticket " + a.id() + " is of an unknown tenant: " + a.tenant());
         }
         if (!(a.footprint() >= 0) || !(a.rank() >= 0 && a.rank() <= 1) || a.waited() < 0 || a.left() < 0) {
-            throw new MalformedWire("ticket " + a.id() + " has an impossible field");
+            throw new MalformedWireException("ticket " + a.id() + " has an impossible field");
         }
-        Ticket ticket = new Ticket(terms.offerings().get(a.offering()),
-                terms.customers().isEmpty() ? null : terms.customers().get(a.customer()),
+        Request request = new Request(terms.requestClasses().get(a.requestClass()),
+                terms.tenants().isEmpty() ? null : terms.tenants().get(a.tenant()),
                 a.rank(), a.footprint(), a.waited() / 1e9, a.left() / 1e9, (a.bits() & 2) != 0,
-                a.original() != 0, tickets.get(a.original()));
-        tickets.put(a.id(), ticket);
-        ids.put(ticket, a.id());
-        touched.add(ticket);
-        rule(brain.arrive(seconds(clock), ticket));
+                a.original() != 0, requests.get(a.original()));
+        requests.put(a.id(), request);
+        ids.put(request, a.id());
+        touched.add(request);
+        rule(admissionController.requestArrived(seconds(clock), request));
     }
 
     void callWanted(long clock, long id) {
-        Ticket ticket = tickets.get(id);
-        if (ticket != null) {
-            rule(brain.callWanted(seconds(clock), ticket));
+        Request request = requests.get(id);
+        if (request != null) {
+            rule(admissionController.dependencyCallRequested(seconds(clock), request));
         }
     }
 
-    void callEnded(long clock, long id, Ending ending, long elapsed) {
-        Ticket ticket = tickets.get(id);
-        if (ticket != null) {
-            rule(brain.callEnded(seconds(clock), ticket, ending, elapsed / 1e9));
+    void callEnded(long clock, long id, Outcome ending, long elapsed) {
+        Request request = requests.get(id);
+        if (request != null) {
+            rule(admissionController.dependencyCallEnded(seconds(clock), request, ending, elapsed / 1e9));
         }
     }
 
-    void runEnded(long clock, long id, Ending ending, long elapsed) {
-        Ticket ticket = tickets.get(id);
-        if (ticket != null) {
-            touched.add(ticket);
-            rule(brain.runEnded(seconds(clock), ticket, ending, elapsed / 1e9));
+    void runEnded(long clock, long id, Outcome ending, long elapsed) {
+        Request request = requests.get(id);
+        if (request != null) {
+            touched.add(request);
+            rule(admissionController.runEnded(seconds(clock), request, ending, elapsed / 1e9));
         }
     }
 
     void callerGone(long clock, long id) {
-        Ticket ticket = tickets.get(id);
-        if (ticket != null) {
-            touched.add(ticket);
-            rule(brain.callerGone(seconds(clock), ticket));
+        Request request = requests.get(id);
+        if (request != null) {
+            touched.add(request);
+            rule(admissionController.callerDisconnected(seconds(clock), request));
         }
     }
 
@@ -110,28 +110,28 @@
         for (int i = 0; i < readings.length && i < terms.gauges().size(); i++) {
             gauges.put(terms.gauges().get(i), (double) readings[i]);
         }
-        rule(brain.timer(seconds(clock), gauges));
+        rule(admissionController.tick(seconds(clock), gauges));
     }
 
     void leave(long clock, long left) {
-        rule(brain.leave(seconds(clock), left / 1e9));
+        rule(admissionController.drain(seconds(clock), left / 1e9));
     }
 
     void sweep() {
-        for (Ticket ticket : touched) {
-            if (failed || !brain.inHand(ticket)) {
-                tickets.remove(ids.remove(ticket));
+        for (Request request : touched) {
+            if (failed || !admissionController.isInFlight(request)) {
+                requests.remove(ids.remove(request));
             }
         }
         touched.clear();
     }
 
-    private void rule(List<Ruling> rulings) {
-        for (Ruling r : rulings) {
+    private void rule(List<Decision> decisions) {
+        for (Decision r : decisions) {
             long id = 0;
-            if (r.ticket() != null) {
-                id = ids.get(r.ticket());
-                touched.add(r.ticket());
+            if (r.request() != null) {
+                id = ids.get(r.request());
+                touched.add(r.request());
             }
             reply.add(instance, r, id);
         }
--- a/src/main/java/topazladder/wire/MalformedWire.java
+++ b/src/main/java/topazladder/wire/MalformedWireException.java
@@ -1,10 +1,10 @@
 package topazladder.wire;
 
 /** What came in is no message of this wire. */
-public final class MalformedWire extends RuntimeException {
+public final class MalformedWireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    MalformedWire(String message) {
+    MalformedWireException(String message) {
         super(message);
     }
 }
--- a/src/main/java/topazladder/wire/Reply.java
+++ b/src/main/java/topazladder/wire/Reply.java
@@ -6,7 +6,7 @@
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
-import topazladder.ticket.Ruling;
+import topazladder.request.Decision;
 
 /** One reply under construction. */
 final class Reply {
@@ -26,7 +26,7 @@
         out.write(buffer.array(), 0, buffer.position());
     }
 
-    void add(int instance, Ruling r, long id) {
+    void add(int instance, Decision r, long id) {
         switch (r.what()) {
             case START -> record(328, instance).putLong(id);
             case DEFER -> record(322, instance).putLong(id).putLong(ns(r.number())).put(bit(r.yes()));
--- a/src/main/java/topazladder/wire/WireHost.java
+++ b/src/main/java/topazladder/wire/WireHost.java
@@ -13,7 +13,7 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import topazladder.ticket.Ending;
+import topazladder.request.Outcome;
 
 /** Reads batches of events, lets each server's door decide, and writes one reply per batch. */
 public final class WireHost {
@@ -51,13 +51,13 @@
             in.readFully(rest);
             long length = first | (rest[0] & 0xffL) << 8 | (rest[1] & 0xffL) << 16 | (rest[2] & 0xffL) << 24;
             if (length > LONGEST) {
-                throw new MalformedWire("a batch of " + length + " bytes is past belief");
+                throw new MalformedWireException("a batch of " + length + " bytes is past belief");
             }
             byte[] frame = new byte[(int) length + 8];
             in.readFully(frame);
             return ByteBuffer.wrap(frame).order(ByteOrder.LITTLE_ENDIAN);
         } catch (EOFException e) {
-            throw new MalformedWire("input ends inside a batch");
+            throw new MalformedWireException("input ends inside a batch");
         }
     }
 
@@ -71,7 +71,7 @@
                     touched.put(door, true);
                 }
             } catch (BufferUnderflowException e) {
-                throw new MalformedWire("a record at byte " + at + " of a batch is cut short");
+                throw new MalformedWireException("a record at byte " + at + " of a batch is cut short");
             }
         }
         touched.keySet().forEach(Door::sweep);
@@ -89,11 +89,11 @@
             return door;
         }
         if (code < 256 || code > 264) {
-            throw new MalformedWire("unknown record code " + code);
+            throw new MalformedWireException("unknown record code " + code);
         }
         Door door = doors.get(instance);
         if (door == null) {
-            throw new MalformedWire("record " + code + " for a server that was not started: " + instance);
+            throw new MalformedWireException("record " + code + " for a server that was not started: " + instance);
         }
         switch (code) {
             case 257 -> {
@@ -105,7 +105,7 @@
             case 258 -> {
                 long id = b.getLong();
                 long elapsed = b.getLong();
-                Ending ending = ending(b.getShort() & 0xffff);
+                Outcome ending = ending(b.getShort() & 0xffff);
                 door.guarded(() -> door.runEnded(clock, id, ending, elapsed));
             }
             case 259 -> {
@@ -114,7 +114,7 @@
             }
             case 260 -> {
                 long id = b.getLong();
-                Ending ending = ending(b.getShort() & 0xffff);
+                Outcome ending = ending(b.getShort() & 0xffff);
                 long elapsed = b.getLong();
                 door.guarded(() -> door.callEnded(clock, id, ending, elapsed));
             }
@@ -151,22 +151,22 @@
         return new String(bytes, StandardCharsets.UTF_8);
     }
 
-    private static Ending ending(int code) {
+    private static Outcome ending(int code) {
         return switch (code) {
-            case 0 -> Ending.OK;
-            case 5 -> Ending.FAILED;
-            case 11 -> Ending.DEFERRED;
-            case 110 -> Ending.ABANDONED;
-            case 111 -> Ending.UNREACHED;
-            case 104 -> Ending.BROKEN_OFF;
-            case 125 -> Ending.STOPPED;
-            case 114 -> Ending.MOOT;
-            default -> throw new MalformedWire("unknown ending " + code);
+            case 0 -> Outcome.SUCCEEDED;
+            case 5 -> Outcome.FAILED;
+            case 11 -> Outcome.REJECTED;
+            case 110 -> Outcome.TIMED_OUT;
+            case 111 -> Outcome.UNREACHABLE;
+            case 104 -> Outcome.CONNECTION_LOST;
+            case 125 -> Outcome.CANCELLED;
+            case 114 -> Outcome.NOT_STARTED;
+            default -> throw new MalformedWireException("unknown ending " + code);
         };
     }
 
-    /** A ticket as it lies on the wire, its fields in the wire's order. */
-    record Arrival(long id, int offering, int customer, long subject, long left, long estimate,
+    /** A request as it lies on the wire, its fields in the wire's order. */
+    record Arrival(long id, int requestClass, int tenant, long subject, long left, long estimate,
             float footprint, float rank, int bits, int caller, long waited, long original) {
     }
 }
--- a/src/test/java/topazladder/BrainTest.java
+++ b/src/test/java/topazladder/AdmissionControllerTest.java
@@ -6,21 +6,21 @@
 import static topazladder.Desk.READ;
 
 import org.junit.jupiter.api.Test;
-import topazladder.ticket.Ending;
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate.Kind;
+import topazladder.request.Outcome;
 
 /** Each test plays a short scene and compares what was decided with a trace kept for readers. */
-class BrainTest {
+class AdmissionControllerTest {
 
     @Test
-            void heldTicketIsAnsweredOnceItCanNoLongerPay() {
+            void heldRequestIsAnsweredOnceItCanNoLongerPay() {
         new Desk().open().arrive("a", READ).arrive("b", READ)
-                .until(3).runEnds("a", Ending.OK).until(6).matches("answers");
+                .until(3).runEnds("a", Outcome.SUCCEEDED).until(6).matches("answers");
     }
 
     @Test
-            void runningTicketIsAnsweredAtItsDueTimeAlthoughItRunsOn() {
-        new Desk().open().arrive("a", PLACE).until(6).runEnds("a", Ending.STOPPED).arrive("b", READ)
+            void runningRequestIsAnsweredAtItsDueTimeAlthoughItRunsOn() {
+        new Desk().open().arrive("a", PLACE).until(6).runEnds("a", Outcome.CANCELLED).arrive("b", READ)
                 .matches("running-past-due");
     }
 
@@ -33,21 +33,22 @@
     @Test
             void heldCopiesOfAFingerprintRunOnce() {
         new Desk().open().arrive("x", PLACE).arrive("a", PLACE).arrive("a2", PLACE, 0.3, 0, "a")
-                .at(0.4).runEnds("x", Ending.OK).at(0.8).runEnds("a", Ending.OK).at(0.9).runEnds("a2", Ending.OK)
+                .at(0.4).runEnds("x", Outcome.SUCCEEDED).at(0.8).runEnds("a", Outcome.SUCCEEDED).at(0.9)
+                .runEnds("a2", Outcome.SUCCEEDED)
                 .at(2).arrive("a3", PLACE, 0.3, 0, "a").matches("repeats");
     }
 
     @Test
-            void repeatOfATicketThatNeverRanTakesItsPlace() {
+            void repeatOfARequestThatNeverRanTakesItsPlace() {
         new Desk().open().arrive("x", READ).arrive("a", PLACE).arrive("a2", PLACE, 0.3, 0, "a")
-                .callerGone("a").at(0.4).runEnds("x", Ending.OK).matches("heir");
+                .callerGone("a").at(0.4).runEnds("x", Outcome.SUCCEEDED).matches("heir");
     }
 
     @Test
             void callWithAnEffectIsMadeAgainOnlyIfTheLastNeverRan() {
-        new Desk().open().arrive("a", ISSUE).at(0.2).wantsCall("a").callEnds("a", Ending.DEFERRED)
-                .until(0.6).callEnds("a", Ending.ABANDONED).runEnds("a", Ending.STOPPED)
-                .arrive("b", READ).wantsCall("b").callEnds("b", Ending.FAILED).matches("calls");
+        new Desk().open().arrive("a", ISSUE).at(0.2).wantsCall("a").callEnds("a", Outcome.REJECTED)
+                .until(0.6).callEnds("a", Outcome.TIMED_OUT).runEnds("a", Outcome.CANCELLED)
+                .arrive("b", READ).wantsCall("b").callEnds("b", Outcome.FAILED).matches("calls");
     }
 
     @Test
@@ -64,10 +65,10 @@
         Desk desk = new Desk().open();
         desk.quietly(d -> {
             for (int i = 0; i < 16; i++) {
-                d.at(i * 0.1).arrive("p" + i, Desk.PLACE).runEnds("p" + i, Ending.OK);
+                d.at(i * 0.1).arrive("p" + i, Desk.PLACE).runEnds("p" + i, Outcome.SUCCEEDED);
             }
         });
-        desk.at(1.7).arrive("a", Desk.PLACE).runEnds("a", Ending.OK).arrive("b", Desk.PLACE)
+        desk.at(1.7).arrive("a", Desk.PLACE).runEnds("a", Outcome.SUCCEEDED).arrive("b", Desk.PLACE)
                 .until(13.5).arrive("c", Desk.PLACE).matches("remembered-after-the-run");
     }
 
@@ -95,7 +96,7 @@
     }
 
     @Test
-            void deferredTicketsAreNotToWalkOnWhereAllHaveWalkedBefore() {
+            void rejectedRequestsAreNotToWalkOnWhereAllHaveWalkedBefore() {
         new Desk().open().arrive("x", PLACE).arrive("a", READ, 0.2, 2.5, null)
                 .arrive("b", READ, 0.2, 2.5, "gone").arrive("c", READ, 0.2, 2.5, null).matches("walking-on");
     }
@@ -104,18 +105,20 @@
             void spoiltCallIsMadeAgainOnceWhereThatMayBeDoneAndWaitedForNoLongerThanFourTimesTheUsual() {
         Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
         for (int i = 0; i < 40; i++) {
-            desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Ending.OK, 0.1)
-                    .runEnds("w", Ending.OK));
+            desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 0.1)
+                    .runEnds("w", Outcome.SUCCEEDED));
         }
-        desk.arrive("a", READ).wantsCall("a").callEnds("a", Ending.BROKEN_OFF).callEnds("a", Ending.BROKEN_OFF)
-                .arrive("b", ISSUE).wantsCall("b").callEnds("b", Ending.BROKEN_OFF).matches("spoilt");
+        desk.arrive("a", READ).wantsCall("a").callEnds("a", Outcome.CONNECTION_LOST)
+                .callEnds("a", Outcome.CONNECTION_LOST)
+                .arrive("b", ISSUE).wantsCall("b").callEnds("b", Outcome.CONNECTION_LOST).matches("spoilt");
     }
 
     @Test
             void callThatCanNotBeLeftOutIsMadeHoweverSlowTheLastWere() {
         Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
         for (int i = 0; i < 4; i++) {
-            desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Ending.OK, 3).runEnds("w", Ending.OK));
+            desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 3).runEnds("w",
+                    Outcome.SUCCEEDED));
         }
         desk.arrive("a", ISSUE).wantsCall("a").arrive("b", READ).wantsCall("b").matches("slow-calls");
     }
@@ -125,19 +128,19 @@
         Desk desk = new Desk().with("below", "common").with("calls-share", 1.0).with("calls-span", 5.0)
                 .with("cores", 4.0).with("memory", 10000.0).open();
         for (int i = 0; i < 45; i++) {
-            desk.at(i * 0.2).quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Ending.OK, 0.05)
-                    .runEnds("w", Ending.OK));
+            desk.at(i * 0.2).quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 0.05)
+                    .runEnds("w", Outcome.SUCCEEDED));
         }
         for (int i = 0; i < 8; i++) {
-            desk.at(9 + i * 0.1).quietly(d -> d.arrive("s", READ).wantsCall("s").callEnds("s", Ending.OK, 0.9)
-                    .runEnds("s", Ending.OK));
+            desk.at(9 + i * 0.1).quietly(d -> d.arrive("s", READ).wantsCall("s").callEnds("s", Outcome.SUCCEEDED, 0.9)
+                    .runEnds("s", Outcome.SUCCEEDED));
         }
         desk.at(10).arrive("a", READ).arrive("b", ISSUE).arrive("c", READ).wantsCall("a").wantsCall("b")
                 .wantsCall("c").until(12.5).matches("pace");
     }
 
     @Test
-            void ticketsParkedForACallCountInTheCrowdThatMayComeBack() {
+            void requestsParkedForACallCountInTheCrowdThatMayComeBack() {
         Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
                 .with("warm-after", 16.0).with("below", "common").with("calls-share", 0.1).open();
         for (int i = 0; i < 3; i++) {
@@ -150,7 +153,7 @@
             void connectionsOfSeldomCallersAreClosedWhileCoresIdleAndKeptWhileNewcomersCrowd() {
         Desk desk = new Desk().with("callers", 100.0).with("idle-most", 30.0).open();
         for (int i = 0; i < 16; i++) {
-            desk.until(i * 0.5).quietly(d -> d.arrive("a", READ).runEnds("a", Ending.OK));
+            desk.until(i * 0.5).quietly(d -> d.arrive("a", READ).runEnds("a", Outcome.SUCCEEDED));
         }
         desk.gauge("core-use", 0.3).until(13);
         desk.gauge("on-cores", 9).until(16);
@@ -166,11 +169,11 @@
     @Test
             void whatOthersFinishTurnsAwayAtOnceWhatCanNotCome() {
         Desk desk = new Desk().with("memory", 10000.0).open();
-        desk.learn(Kind.OUTGOING, "", 1, 30).learn(Kind.RUN_TIME, "read", 0.4, 3);
+        desk.learn(Kind.COMPLETION_RATE, "", 1, 30).learn(Kind.RUN_TIME, "read", 0.4, 3);
         for (int i = 0; i < 5; i++) {
             desk.arrive("a" + i, READ);
         }
-        desk.until(0.5).runEnds("a0", Ending.OK).matches("learned-outgoing");
+        desk.until(0.5).runEnds("a0", Outcome.SUCCEEDED).matches("learned-outgoing");
     }
 
     @Test
@@ -179,7 +182,8 @@
                 .with("warm-after", 16.0).open();
         desk.learn(Kind.RUN_TIME, "read", 0.3, 3).learn(Kind.RUN_TIME, "place", 99, 3)
                 .learn(Kind.RUN_TIME, "unheard-of", 1, 3);
-        desk.arrive("p", PLACE).at(0.6).arrive("late", READ, 0.3, 0.9, null).arrive("new", READ).runEnds("p", Ending.OK)
+        desk.arrive("p", PLACE).at(0.6).arrive("late", READ, 0.3, 0.9, null).arrive("new", READ)
+                .runEnds("p", Outcome.SUCCEEDED)
                 .matches("learned-run-times");
     }
 
@@ -187,8 +191,8 @@
             void learnedCallsLiftNoBoundOnWhatLiesBelowAndOwnOnesOverruleThem() {
         Desk desk = new Desk().with("below", "common").with("calls-share", 2.0).with("calls-span", 5.0)
                 .with("cores", 4.0).with("memory", 10000.0).open();
-        desk.learn(Kind.CALLS_IN_HAND, "", 1e9, 1000).quietly(d -> d.arrive("f", READ).wantsCall("f")
-                .callEnds("f", Ending.FAILED).runEnds("f", Ending.OK));
+        desk.learn(Kind.CALLS_IN_FLIGHT, "", 1e9, 1000).quietly(d -> d.arrive("f", READ).wantsCall("f")
+                .callEnds("f", Outcome.FAILED).runEnds("f", Outcome.SUCCEEDED));
         for (int i = 0; i < 6; i++) {
             desk.arrive("c" + i, ISSUE).wantsCall("c" + i);
         }
@@ -200,12 +204,12 @@
         Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
         desk.learn(Kind.RUN_TIME, "read", 0.9, 3).tells();
         for (int i = 0; i < 10; i++) {
-            desk.at(i).quietly(d -> d.arrive("r", READ).runEnds("r", Ending.OK));
+            desk.at(i).quietly(d -> d.arrive("r", READ).runEnds("r", Outcome.SUCCEEDED));
         }
         desk.tells();
         Desk cold = new Desk().with("cold", true).with("cold-from", 0.2).with("warm-after", 16.0).open();
         for (int i = 0; i < 10; i++) {
-            cold.at(i).quietly(d -> d.arrive("r", READ).runEnds("r", Ending.OK));
+            cold.at(i).quietly(d -> d.arrive("r", READ).runEnds("r", Outcome.SUCCEEDED));
         }
         cold.tells().matches("learned-cold");
         desk.matches("learned-told");
--- a/src/test/java/topazladder/AmqpServiceTest.java
+++ b/src/test/java/topazladder/AmqpServiceTest.java
@@ -36,10 +36,10 @@
 import topazladder.broker.Ledger.What;
 import topazladder.broker.Message;
 import topazladder.broker.Message.Props;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.config.SettingsFile;
-import topazladder.net.Service;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.ServiceSettings;
+import topazladder.net.ServiceInstance;
 import topazladder.rig.OnLoop;
 
 /** A service instance that consumes from the stand-in broker, on loopback, with harm done by script. */
@@ -58,7 +58,7 @@
     private Broker broker;
     private BrokerServer server;
     private Peer runtime;
-    private Service service;
+    private ServiceInstance service;
     private int port;
     private int brokerPort;
     private int notices;
@@ -110,18 +110,19 @@
         return OnLoop.get(vertx, what);
     }
 
-    private OwnSettings settings(int at, String more) {
-        return SettingsFile.of("brokers { name: \"main\" address: \"127.0.0.1:" + at + "\" heartbeat: 1 " + more + " "
-                + QUEUE + " }", folder);
+    private ExtensionSettings settings(int at, String more) {
+        return ExtensionSettingsFile
+                .of("brokers { name: \"main\" address: \"127.0.0.1:" + at + "\" heartbeat: 1 " + more + " "
+                        + QUEUE + " }", folder);
     }
 
     private void serve(String more) throws Exception {
         serve(settings(brokerPort, more));
     }
 
-    private void serve(OwnSettings own) throws Exception {
+    private void serve(ExtensionSettings own) throws Exception {
         port = free();
-        service = new Service(ServiceTerms.of("""
+        service = new ServiceInstance(ServiceSettings.of("""
             {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":1500,
              "settings":{"Classes":[
              {"Name":"read","Idempotency":"safe","TargetNs":20000000000,"DeadlineNs":30000000000},
@@ -137,9 +138,9 @@
         runtime.say("ready LOADED 3600000\r\n");
     }
 
-    private void publish(String id, String offering, String mark, String body, String replyTo) throws Exception {
+    private void publish(String id, String requestClass, String mark, String body, String replyTo) throws Exception {
         onLoop(() -> {
-            Map<String, Object> headers = new LinkedHashMap<>(Map.of("offering", offering));
+            Map<String, Object> headers = new LinkedHashMap<>(Map.of("offering", requestClass));
             if (mark != null) {
                 headers.put("mark", mark);
             }
@@ -150,9 +151,9 @@
     }
 
     /** The next run that the runtime is told to begin: its ref. */
-    private String begins(String offering, String body) throws IOException {
+    private String begins(String requestClass, String body) throws IOException {
         String[] words = runtime.hear().split(" ");
-        assertThat(words[0] + " " + words[2]).isEqualTo("start " + offering);
+        assertThat(words[0] + " " + words[2]).isEqualTo("start " + requestClass);
         assertThat(runtime.hear(Integer.parseInt(words[3]))).isEqualTo(body);
         return words[1];
     }
@@ -245,7 +246,7 @@
             }
         }
         try (Stub caller = new Stub(port)) {
-            caller.send(Frames.ticket(1, "000000000000000a", "place", "replay", "F"));
+            caller.send(Frames.request(1, "000000000000000a", "place", "replay", "F"));
             String ref = begins("place", "body");
             publish("1", "place", "F", "body", null);
             until(() -> count(What.DELIVERED) == 1);
@@ -362,7 +363,7 @@
         String example = Files.readString(Path.of("deploy", "amqp.example.txtpb"))
                 .replace("127.0.0.1:5672", "127.0.0.1:" + brokerPort).replace("=order-place", "=place")
                 .replace("=price-push", "=read");
-        serve(SettingsFile.of(example, folder));
+        serve(ExtensionSettingsFile.of(example, folder));
         until(() -> server.connections() == 2);
         until(() -> {
             try {
--- a/src/test/java/topazladder/HallSettingsTest.java
+++ b/src/test/java/topazladder/ClusterSettingsTest.java
@@ -10,20 +10,21 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazladder.config.BadTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.SettingsFile;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.InvalidSettingsException;
 
 /** What may stand in the settings of a hall. */
-class HallSettingsTest {
+class ClusterSettingsTest {
     private static final byte[] KEY = "sixteen or more bytes".getBytes(StandardCharsets.US_ASCII);
 
     @TempDir
     private Path folder;
 
-    private OwnSettings settings(String hall) throws IOException {
+    private ExtensionSettings settings(String hall) throws IOException {
         Files.write(folder.resolve("key"), KEY);
-        return SettingsFile.of("peering { key_file: \"key\" listen: \"127.0.0.1:4200\" } hall { " + hall + " }",
+        return ExtensionSettingsFile.of(
+                "peering { key_file: \"key\" listen: \"127.0.0.1:4200\" } hall { " + hall + " }",
                 folder);
     }
 
@@ -46,13 +47,14 @@
             "voters: 'n1' below { alone: 0.9 servers { name: 'a' address: '127.0.0.1:1' } } | hall.below.alone",
     })
             void whatIsWrongInItsSettingsIsToldByItsKey(String hall, String told) {
-        assertThatThrownBy(() -> settings(hall.replace('\'', '"'))).isInstanceOf(BadTerms.class)
+        assertThatThrownBy(() -> settings(hall.replace('\'', '"'))).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining(told);
     }
 
     @Test
             void aHallNeedsAPeersAddress() throws IOException {
         Files.write(folder.resolve("key"), KEY);
-        assertThatThrownBy(() -> SettingsFile.of("hall { }", folder)).hasMessageContaining("hall needs peering");
+        assertThatThrownBy(() -> ExtensionSettingsFile.of("hall { }", folder))
+                .hasMessageContaining("hall needs peering");
     }
 }
--- a/src/test/java/topazladder/CodecTest.java
+++ b/src/test/java/topazladder/CodecTest.java
@@ -15,25 +15,25 @@
 import topazladder.net.codec.FrameReader;
 import topazladder.net.codec.IndexLines;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.RuntimeLines;
-import topazladder.service.Answer;
-import topazladder.service.Answer.How;
-import topazladder.service.Arrival;
+import topazladder.service.IncomingRequest;
+import topazladder.service.Response;
+import topazladder.service.Response.How;
 
 class CodecTest {
-    private static final byte[] TICKET = Frames.frame(16, 7, Frames.fields("service", "place", "ref",
+    private static final byte[] REQUEST = Frames.frame(16, 7, Frames.fields("service", "place", "ref",
             "9b1f03aa5c7e2d41", "since", "1764576000123", "sender", "4", "project", "acme", "dup", "1", "room", "24.5",
             "class_rank", "0.6250", "replay", "5c0f"), new byte[] {0, 13, 10, -1});
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 10, 10_000})
-            void framesAreReadFromPiecesOfAnySize(int piece) throws Malformed {
+            void framesAreReadFromPiecesOfAnySize(int piece) throws MalformedMessageException {
         byte[] gone = Frames.frame(18, 7);
         byte[] check = Frames.frame(32, 1, Frames.fields("inner", "1"));
-        byte[] all = Arrays.copyOf(TICKET, TICKET.length + gone.length + check.length);
-        System.arraycopy(gone, 0, all, TICKET.length, gone.length);
-        System.arraycopy(check, 0, all, TICKET.length + gone.length, check.length);
+        byte[] all = Arrays.copyOf(REQUEST, REQUEST.length + gone.length + check.length);
+        System.arraycopy(gone, 0, all, REQUEST.length, gone.length);
+        System.arraycopy(check, 0, all, REQUEST.length + gone.length, check.length);
         FrameReader reader = new FrameReader();
         List<CallerMessage> read = new ArrayList<>();
         for (int i = 0; i < all.length; i += piece) {
@@ -45,14 +45,14 @@
         assertThat(read).hasSize(3);
         CallerMessage.Submitted s = (CallerMessage.Submitted) read.get(0);
         assertThat(s.stream()).isEqualTo(7);
-        assertThat(s.arrival()).usingRecursiveComparison().isEqualTo(new Arrival(
+        assertThat(s.arrival()).usingRecursiveComparison().isEqualTo(new IncomingRequest(
                 "9b1f03aa5c7e2d41", "place", "acme", 1764576000.123, true, 24.5, 0.625, "5c0f",
                 new byte[] {0, 13, 10, -1}));
         assertThat(read.subList(1, 3)).containsExactly(new CallerMessage.GivenUp(7), new CallerMessage.Check(1, true));
     }
 
     @Test
-            void lengthsAreTakenUpToTheirBoundsAndNotPast() throws Malformed {
+            void lengthsAreTakenUpToTheirBoundsAndNotPast() throws MalformedMessageException {
         assertThat(read(Frames.frame(16, 1, Frames.fields(), new byte[262_138]))).isInstanceOf(
                 CallerMessage.Unusable.class);
         FrameReader pieces = new FrameReader();
@@ -70,7 +70,7 @@
     }
 
     @Test
-            void malformedFramesAreToldFromBadTickets() throws Malformed {
+            void malformedFramesAreToldFromBadRequests() throws MalformedMessageException {
         malformed(Frames.frame(17, 1), "a frame of type 17");
         malformed(Frames.frame(16, 0, Frames.fields()), "a request on stream 0");
         malformed(Frames.frame(16, 1), "fields cut short");
@@ -92,20 +92,21 @@
 
     @Test
             void answersCarryWhatWasRuled() {
-        assertThat(Frames.text(cut(CallerFrames.answer(3, new Answer(How.HONOURED, 0.25, 0, false,
+        assertThat(Frames.text(cut(CallerFrames.answer(3, new Response(How.SERVED, 0.25, 0, false,
                 "result".getBytes(StandardCharsets.UTF_8)))))).isEqualTo("17 on 3 code 0 pressure=0.25 result");
-        assertThat(Frames.text(cut(CallerFrames.answer(4, new Answer(How.DEFERRED, null, 0.2501, true, new byte[0])))))
-                .isEqualTo("17 on 4 code 1 cooldown=251 nowhere=1");
-        assertThat(Frames.text(cut(CallerFrames.answer(5, new Answer(How.BROKEN_OFF, null, 0, false, new byte[0])))))
+        assertThat(
+                Frames.text(cut(CallerFrames.answer(4, new Response(How.REJECTED, null, 0.2501, true, new byte[0])))))
+                        .isEqualTo("17 on 4 code 1 cooldown=251 nowhere=1");
+        assertThat(Frames.text(cut(CallerFrames.answer(5, new Response(How.FAILED, null, 0, false, new byte[0])))))
                 .isEqualTo("17 on 5 code 2");
         assertThat(Frames.text(cut(CallerFrames.health(1, false, 0.5)))).isEqualTo("33 on 1 code 1 pressure=0.5");
-        assertThat(Frames.text(cut(CallerFrames.noNewTicket()))).isEqualTo("48 on 0");
+        assertThat(Frames.text(cut(CallerFrames.noNewRequest()))).isEqualTo("48 on 0");
         assertThat(Frames.text(cut(CallerFrames.error("why")))).isEqualTo("17 on 0 code 2 why");
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
-            void linesAreReadFromPiecesOfAnySize(int piece) throws Malformed {
+            void linesAreReadFromPiecesOfAnySize(int piece) throws MalformedMessageException {
         String said = "ready EMPTY 120\r\nend 1 9b1f PASS 31.5 4\r\na\r\nb\r\nend 2 9b20 NOOP 0 0\r\n\r\n"
                 + "wants 3 9b21 2\r\n\r\n\r\nload c5 0.5 3 0.25 7\r\nverdict 8 FAIL\r\n"
                 + "nack start 9b22\r\ninfo 4 a b\r\n";
@@ -132,11 +133,11 @@
             void linesThatAreNoNoticeAreMalformed(String said) {
         LineReader reader = RuntimeLines.reader();
         reader.feed(said.getBytes(StandardCharsets.UTF_8));
-        assertThatThrownBy(() -> RuntimeLines.notice(reader.next())).isInstanceOf(Malformed.class);
+        assertThatThrownBy(() -> RuntimeLines.notice(reader.next())).isInstanceOf(MalformedMessageException.class);
     }
 
     @Test
-            void repliesOfTheIndexAreTold() throws Malformed {
+            void repliesOfTheIndexAreTold() throws MalformedMessageException {
         LineReader reader = IndexLines.reader();
         reader.feed("a HIT 3\r\nx\r\n\r\nb SHED\r\nc BROKEN\r\nd SLOW\r\ne NOBODY\r\n"
                 .getBytes(StandardCharsets.UTF_8));
@@ -145,22 +146,22 @@
             IndexLines.Reply r = IndexLines.reply(l);
             read.add(r.ref() + " " + r.how() + (r.reply() == null ? "" : " " + r.reply().length));
         }
-        assertThat(read).containsExactly("a OK 3", "b DEFERRED", "c FAILED", "d ABANDONED", "e MOOT");
+        assertThat(read).containsExactly("a SUCCEEDED 3", "b REJECTED", "c FAILED", "d TIMED_OUT", "e NOT_STARTED");
         LineReader worse = IndexLines.reader();
         worse.feed("a HIT\r\n".getBytes(StandardCharsets.UTF_8));
-        assertThatThrownBy(() -> IndexLines.reply(worse.next())).isInstanceOf(Malformed.class);
+        assertThatThrownBy(() -> IndexLines.reply(worse.next())).isInstanceOf(MalformedMessageException.class);
         assertThat(new String(IndexLines.get("9b1f", 0.0001, new byte[] {'x'}), StandardCharsets.UTF_8))
                 .isEqualTo("GET 9b1f 1 1\r\nx\r\n");
     }
 
-    private static CallerMessage read(byte[] bytes) throws Malformed {
+    private static CallerMessage read(byte[] bytes) throws MalformedMessageException {
         FrameReader reader = new FrameReader();
         reader.feed(bytes);
         return reader.next();
     }
 
     private static void malformed(byte[] bytes, String why) {
-        assertThatThrownBy(() -> read(bytes)).isInstanceOf(Malformed.class).hasMessage(why);
+        assertThatThrownBy(() -> read(bytes)).isInstanceOf(MalformedMessageException.class).hasMessage(why);
     }
 
     private static byte[] fields(String name, String value) {
@@ -176,7 +177,7 @@
         return Frames.fields(fields.toArray(String[]::new));
     }
 
-    private static String why(String name, String value) throws Malformed {
+    private static String why(String name, String value) throws MalformedMessageException {
         return ((CallerMessage.Unusable) read(Frames.frame(16, 1, fields(name, value)))).why();
     }
 
--- a/src/test/java/topazladder/Desk.java
+++ b/src/test/java/topazladder/Desk.java
@@ -19,44 +19,45 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import topazladder.config.Terms;
-import topazladder.service.Answer;
-import topazladder.service.Arrival;
+import topazladder.admission.AdmissionController;
+import topazladder.config.SettingsReader;
+import topazladder.request.Decision;
+import topazladder.request.Decision.What;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
+import topazladder.request.Outcome;
+import topazladder.request.Request;
+import topazladder.request.RequestClass;
+import topazladder.request.RequestClass.Repeats;
 import topazladder.service.Caller;
 import topazladder.service.Callers;
 import topazladder.service.Counters;
-import topazladder.service.Exchange;
-import topazladder.service.InHand;
-import topazladder.service.IndexPort;
-import topazladder.service.Instance;
+import topazladder.service.DependencyPort;
+import topazladder.service.InFlightRequest;
+import topazladder.service.IncomingRequest;
+import topazladder.service.InstanceLifecycle;
+import topazladder.service.RequestDispatcher;
+import topazladder.service.Response;
 import topazladder.service.RuntimePort;
 import topazladder.service.Timers;
-import topazladder.ticket.Ending;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
-import topazladder.ticket.Offering;
-import topazladder.ticket.Offering.Repeats;
-import topazladder.ticket.Ruling;
-import topazladder.ticket.Ruling.What;
-import topazladder.ticket.Ticket;
-
-/** One Brain behind a desk that writes down each happening and what was ruled on it. */
+
+/** One Admission controller behind a desk that writes down each happening and what was ruled on it. */
 final class Desk {
-    static final Offering READ = new Offering("read", Repeats.RETRIABLE, 2, 5, 1, 0, 0, true, 0.5);
-    static final Offering PLACE = new Offering("place", Repeats.FINGERPRINTED, 2, 5, 10, 0, 12, true, 0);
-    static final Offering LATE = new Offering("late", Repeats.FINGERPRINTED, 2, 5, 10, 0.5, 12, true, 0);
-    static final Offering ISSUE = new Offering("issue", Repeats.BINDING, 2, 5, 10, 0, 0, true, 0);
+    static final RequestClass READ = new RequestClass("read", Repeats.RETRY_SAFE, 2, 5, 1, 0, 0, true, 0.5);
+    static final RequestClass PLACE = new RequestClass("place", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
+    static final RequestClass LATE = new RequestClass("late", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0.5, 12, true, 0);
+    static final RequestClass ISSUE = new RequestClass("issue", Repeats.AT_MOST_ONCE, 2, 5, 10, 0, 0, true, 0);
 
     private final Map<String, Object> terms = new LinkedHashMap<>(Map.of("cores", 1.0, "memory", 1000.0,
             "run-factor", 8.0, "fingerprint-footprint", 50.0, "tick", 0.1, "drain-grace", 1.0,
             "fall-multiple", 8.0, "stay-away", true, "stay-away-most", 1.0, "level-unit", "min_rank"));
-    private final Map<String, Ticket> tickets = new LinkedHashMap<>();
-    private final Map<Ticket, String> names = new LinkedHashMap<>();
-    private final Set<Ticket> started = new LinkedHashSet<>();
-    private final Set<Ticket> calling = new LinkedHashSet<>();
+    private final Map<String, Request> requests = new LinkedHashMap<>();
+    private final Map<Request, String> names = new LinkedHashMap<>();
+    private final Set<Request> started = new LinkedHashSet<>();
+    private final Set<Request> calling = new LinkedHashSet<>();
     private final StringBuilder trace = new StringBuilder();
     private final Map<String, Double> gauges = new LinkedHashMap<>(Map.of("core-use", 1.0));
-    private Brain brain;
+    private AdmissionController admissionController;
     private double now;
 
     Desk with(String name, Object value) {
@@ -66,8 +67,8 @@
 
     Desk open() {
         terms.putIfAbsent("offerings", List.of(READ, PLACE, LATE, ISSUE));
-        brain = new Brain(new SplittableRandom(1), terms);
-        write("start", brain.start(0));
+        admissionController = new AdmissionController(new SplittableRandom(1), terms);
+        write("start", admissionController.start(0));
         return this;
     }
 
@@ -81,32 +82,34 @@
         return this;
     }
 
-    Desk arrive(String name, Offering offering) {
-        return arrive(name, offering, 0.3, 0, null);
+    Desk arrive(String name, RequestClass requestClass) {
+        return arrive(name, requestClass, 0.3, 0, null);
     }
 
-    Desk arrive(String name, Offering offering, double rank, double waited, String repeats) {
-        Ticket ticket = new Ticket(offering, null, offering.payoff() > 1 ? 0.5 + rank / 2 : rank, 10, waited, 0,
-                repeats != null, repeats != null, tickets.get(repeats));
-        tickets.put(name, ticket);
-        names.put(ticket, name);
+    Desk arrive(String name, RequestClass requestClass, double rank, double waited, String repeats) {
+        Request request = new Request(requestClass, null, requestClass.priorityWeight() > 1 ? 0.5 + rank / 2 : rank, 10,
+                waited, 0,
+                repeats != null, repeats != null, requests.get(repeats));
+        requests.put(name, request);
+        names.put(request, name);
         String how = waited > 0 ? " after " + seconds(waited) + " unread" : "";
         write(name + " arrives" + how + (repeats != null ? ", repeating " + repeats : ""),
-                brain.arrive(now, ticket));
+                admissionController.requestArrived(now, request));
         return this;
     }
 
     Desk wantsCall(String name) {
-        write(name + " wants a call", brain.callWanted(now, tickets.get(name)));
+        write(name + " wants a call", admissionController.dependencyCallRequested(now, requests.get(name)));
         return this;
     }
 
-    Desk callEnds(String name, Ending ending) {
+    Desk callEnds(String name, Outcome ending) {
         return callEnds(name, ending, 0.1);
     }
 
-    Desk callEnds(String name, Ending ending, double took) {
-        write("call of " + name + " ends " + ending, brain.callEnded(now, tickets.get(name), ending, took));
+    Desk callEnds(String name, Outcome ending, double took) {
+        write("call of " + name + " ends " + ending,
+                admissionController.dependencyCallEnded(now, requests.get(name), ending, took));
         return this;
     }
 
@@ -118,50 +121,53 @@
         return this;
     }
 
-    /** Two tickets for each that one core finishes, their ranks spread evenly; only what the level does is kept. */
+    /** Two requests for each that one core finishes, their ranks spread evenly; only what the level does is kept. */
     Desk flood(double seconds, double run) {
         for (int i = 0; now < seconds; i++) {
             String name = "f" + i;
             double rank = (i * 7 % 20) / 20.0;
             quietly(d -> d.arrive(name, READ, rank, 0, null).arrive(name + "b", READ, rank, 0, null));
             until(now + run);
-            for (Ticket running : List.copyOf(started)) {
-                quietly(d -> d.runEnds(names.get(running), Ending.OK));
+            for (Request running : List.copyOf(started)) {
+                quietly(d -> d.runEnds(names.get(running), Outcome.SUCCEEDED));
             }
         }
         return this;
     }
 
-    Desk runEnds(String name, Ending ending) {
-        started.remove(tickets.get(name));
-        write("run of " + name + " ends " + ending, brain.runEnded(now, tickets.get(name), ending, 0.4));
+    Desk runEnds(String name, Outcome ending) {
+        started.remove(requests.get(name));
+        write("run of " + name + " ends " + ending, admissionController.runEnded(now, requests.get(name), ending, 0.4));
         return this;
     }
 
-    /** Tickets of all kinds, runs, calls and their ends as chance has them: what a seed plays is the same each time. */
+    /**
+     * Requests of all kinds, runs, calls and their ends as chance has them: what a seed plays is the same each time.
+     */
     Desk play(long seed, int steps) {
         RandomGenerator chance = new SplittableRandom(seed);
-        Offering[] kinds = {READ, PLACE, LATE, ISSUE};
+        RequestClass[] kinds = {READ, PLACE, LATE, ISSUE};
         for (int i = 0; i < steps; i++) {
             until(now + chance.nextInt(3) * 0.1);
-            List<Ticket> running = started.stream().filter(brain::inHand).toList();
-            List<Ticket> waiting = calling.stream().filter(brain::inHand).toList();
+            List<Request> running = started.stream().filter(admissionController::isInFlight).toList();
+            List<Request> waiting = calling.stream().filter(admissionController::isInFlight).toList();
             int what = chance.nextInt(10);
             if (what < 4 || running.isEmpty() && waiting.isEmpty()) {
                 arrive("t" + i, kinds[chance.nextInt(4)], chance.nextDouble(), 0, null);
             } else if (what < 6 && !waiting.isEmpty()) {
-                Ticket ticket = waiting.get(chance.nextInt(waiting.size()));
-                Ending[] ends = {Ending.OK, Ending.OK, Ending.OK, Ending.DEFERRED, Ending.FAILED};
-                calling.remove(ticket);
-                started.add(ticket);
-                callEnds(names.get(ticket), ends[chance.nextInt(5)], 0.05 + chance.nextDouble());
+                Request request = waiting.get(chance.nextInt(waiting.size()));
+                Outcome[] ends =
+                        {Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.REJECTED, Outcome.FAILED};
+                calling.remove(request);
+                started.add(request);
+                callEnds(names.get(request), ends[chance.nextInt(5)], 0.05 + chance.nextDouble());
             } else if (!running.isEmpty()) {
-                Ticket ticket = running.get(chance.nextInt(running.size()));
+                Request request = running.get(chance.nextInt(running.size()));
                 if (what < 8) {
-                    started.remove(ticket);
-                    wantsCall(names.get(ticket));
+                    started.remove(request);
+                    wantsCall(names.get(request));
                 } else {
-                    runEnds(names.get(ticket), Ending.OK);
+                    runEnds(names.get(request), Outcome.SUCCEEDED);
                 }
             }
         }
@@ -171,25 +177,26 @@
     /** Takes what another server learned. */
     Desk learn(Kind kind, String subject, double value, double weight) {
         write("learns " + kind + " " + subject + " " + value,
-                brain.learn(now, List.of(new Learned(kind, subject, value, weight, 0))));
+                admissionController.learn(now, List.of(new LearnedEstimate(kind, subject, value, weight, 0))));
         return this;
     }
 
     Desk tells() {
         StringBuilder all = new StringBuilder("tells");
-        brain.learned(now).forEach(l -> all.append(String.format(Locale.ROOT, " %s %s %.2f of %.0f", l.kind(),
-                l.subject(), l.value(), l.weight())));
+        admissionController.learnedEstimates(now)
+                .forEach(l -> all.append(String.format(Locale.ROOT, " %s %s %.2f of %.0f", l.kind(),
+                        l.subject(), l.value(), l.weight())));
         write(all.toString(), List.of());
         return this;
     }
 
     Desk callerGone(String name) {
-        write("caller of " + name + " gone", brain.callerGone(now, tickets.get(name)));
+        write("caller of " + name + " gone", admissionController.callerDisconnected(now, requests.get(name)));
         return this;
     }
 
     Desk leave(double left) {
-        write("leave within " + seconds(left), brain.leave(now, left));
+        write("leave within " + seconds(left), admissionController.drain(now, left));
         return this;
     }
 
@@ -197,9 +204,9 @@
     Desk until(double time) {
         while (now + 0.1 <= time + 1e-9) {
             now += 0.1;
-            List<Ruling> rulings = brain.timer(now, gauges);
-            if (rulings.size() > 1) {
-                write("timer", rulings);
+            List<Decision> decisions = admissionController.tick(now, gauges);
+            if (decisions.size() > 1) {
+                write("timer", decisions);
             }
         }
         return this;
@@ -221,24 +228,24 @@
         }
     }
 
-    private void write(String happening, List<Ruling> rulings) {
+    private void write(String happening, List<Decision> decisions) {
         trace.append(String.format(Locale.ROOT, "%6.2f  %s\n", now, happening));
-        for (Ruling r : rulings) {
+        for (Decision r : decisions) {
             if (r.what() != What.WAKE) {
                 trace.append("          ").append(text(r)).append('\n');
             }
             if (r.what() == What.START) {
-                started.add(r.ticket());
+                started.add(r.request());
             } else if (r.what() == What.CALL) {
-                calling.add(r.ticket());
+                calling.add(r.request());
             }
         }
     }
 
-    private String text(Ruling r) {
+    private String text(Decision r) {
         String what = r.what().name().toLowerCase(Locale.ROOT).replace('_', ' ');
-        String ticket = r.ticket() == null ? "" : " " + names.get(r.ticket());
-        return what + ticket + switch (r.what()) {
+        String request = r.request() == null ? "" : " " + names.get(r.request());
+        return what + request + switch (r.what()) {
             case DEFER -> (r.number() > 0 ? ", back in " + seconds(r.number()) : "")
                     + (r.yes() ? ", not elsewhere" : "");
             case CALL, REMEMBER -> " for " + seconds(r.number());
@@ -255,8 +262,8 @@
     }
 }
 
-/** One exchange with stand-ins for all round it and a clock of its own, which writes down what passes through. */
-final class Floor implements RuntimePort, IndexPort, Callers, Timers {
+/** One dispatcher with stand-ins for all round it and a clock of its own, which writes down what passes through. */
+final class Floor implements RuntimePort, DependencyPort, Callers, Timers {
     static final String SETTINGS = """
         Classes.count=3
         Classes.0.Name=read
@@ -294,11 +301,11 @@
 
     private final PriorityQueue<Due> timers =
             new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingInt(Due::order));
-    private final Map<String, InHand> tickets = new LinkedHashMap<>();
+    private final Map<String, InFlightRequest> requests = new LinkedHashMap<>();
     private final StringBuilder trace = new StringBuilder();
     private final Counters counters = new Counters();
-    private final Exchange exchange;
-    private final Instance instance;
+    private final RequestDispatcher dispatcher;
+    private final InstanceLifecycle instance;
     private double now = 1000;
     private int order;
     private boolean quiet;
@@ -310,76 +317,79 @@
     }
 
     Floor(String settings) {
-        exchange = new Exchange(() -> now, Terms.ofLines(settings), this, this, this, this, counters);
-        instance = new Instance("n1", 1, 4, () -> now, exchange, this, this, () -> write("  exit"));
+        dispatcher =
+                new RequestDispatcher(() -> now, SettingsReader.ofLines(settings), this, this, this, this, counters);
+        instance = new InstanceLifecycle("n1", 1, 4, () -> now, dispatcher, this, this, () -> write("  exit"));
     }
 
     Floor open() {
-        return does("listens", instance::listening).does("runtime is up", () -> instance.runtimeUp(false));
+        return does("listens", instance::listenersOpened).does("runtime is up", () -> instance.runtimeConnected(false));
     }
 
     Floor listens() {
-        return does("listens", instance::listening);
+        return does("listens", instance::listenersOpened);
     }
 
-    Floor arrive(String name, String offering, String fingerprint) {
-        return arrive(name, offering, fingerprint, now, "acme");
+    Floor arrive(String name, String requestClass, String fingerprint) {
+        return arrive(name, requestClass, fingerprint, now, "acme");
     }
 
-    Floor arrive(String name, String offering, String fingerprint, double since, String customer) {
-        return arrive(name, offering, fingerprint, since, customer, "");
+    Floor arrive(String name, String requestClass, String fingerprint, double since, String tenant) {
+        return arrive(name, requestClass, fingerprint, since, tenant, "");
     }
 
-    Floor arrive(String name, String offering, String fingerprint, double since, String customer, String body) {
+    Floor arrive(String name, String requestClass, String fingerprint, double since, String tenant, String body) {
         String how = (fingerprint == null ? "" : " with " + fingerprint) + (body.isEmpty() ? "" : " and " + body);
         return does(name + " arrives" + how, () -> {
-            InHand h = exchange.arrive(new Arrival(name, offering, customer, since, false, 10, 0.5, fingerprint,
-                    body.getBytes(StandardCharsets.UTF_8)), caller(name));
-            tickets.put(name, h);
+            InFlightRequest h = dispatcher
+                    .dispatch(new IncomingRequest(name, requestClass, tenant, since, false, 10, 0.5, fingerprint,
+                            body.getBytes(StandardCharsets.UTF_8)), caller(name));
+            requests.put(name, h);
         });
     }
 
     Floor gone(String name) {
-        return does("caller of " + name + " is gone", () -> exchange.callerGone(tickets.get(name)));
+        return does("caller of " + name + " is gone", () -> dispatcher.callerDisconnected(requests.get(name)));
     }
 
-    Floor ends(String name, Ending how, String result) {
+    Floor ends(String name, Outcome how, String result) {
         return does("run of " + name + " ends " + how,
-                () -> exchange.runEnded(name, how, 0.4, result.getBytes(StandardCharsets.UTF_8)));
+                () -> dispatcher.runEnded(name, how, 0.4, result.getBytes(StandardCharsets.UTF_8)));
     }
 
     Floor endsWith(String name, int bytes) {
-        return does("run of " + name + " ends", () -> exchange.runEnded(name, Ending.OK, 0.4, new byte[bytes]));
+        return does("run of " + name + " ends",
+                () -> dispatcher.runEnded(name, Outcome.SUCCEEDED, 0.4, new byte[bytes]));
     }
 
     Floor wants(String name, long notice) {
-        return does(name + " wants a call", () -> exchange.callWanted(name, notice, new byte[3]));
+        return does(name + " wants a call", () -> dispatcher.dependencyCallRequested(name, notice, new byte[3]));
     }
 
-    Floor replies(String name, Ending how) {
-        return does("call of " + name + " ends " + how, () -> exchange.callEnded(name, how, new byte[2]));
+    Floor replies(String name, Outcome how) {
+        return does("call of " + name + " ends " + how, () -> dispatcher.dependencyCallEnded(name, how, new byte[2]));
     }
 
     Floor nacked(String name) {
-        return does("start of " + name + " is not carried out", () -> exchange.notStarted(name));
+        return does("start of " + name + " is not carried out", () -> dispatcher.notStarted(name));
     }
 
     Floor check(String name, boolean deep) {
-        return does((deep ? "deep check " : "check ") + name, () -> exchange.check(caller(name), deep));
+        return does((deep ? "deep check " : "check ") + name, () -> dispatcher.healthCheck(caller(name), deep));
     }
 
     Floor verdict(long tag, boolean passed) {
-        return does("verdict " + tag, () -> exchange.verdict(tag, passed));
+        return does("verdict " + tag, () -> dispatcher.healthCheckCompleted(tag, passed));
     }
 
     Floor linkLost() {
         deaf = true;
-        return does("the link to the runtime is lost", exchange::runtimeLost);
+        return does("the link to the runtime is lost", dispatcher::runtimeLost);
     }
 
     /** After a new link, that the runtime read the start is not known. */
     Floor doubtful(String name) {
-        return does("start of " + name + " is in doubt", () -> exchange.startInDoubt(name));
+        return does("start of " + name + " is in doubt", () -> dispatcher.startUncertain(name));
     }
 
     /** From here on a fault of the program comes up whenever this one is answered. */
@@ -388,12 +398,12 @@
         return this;
     }
 
-    Floor inHand() {
-        return does(exchange.toString(), () -> {});
+    Floor inFlight() {
+        return does(dispatcher.toString(), () -> {});
     }
 
     Floor leave() {
-        return does("notice to leave", instance::leave);
+        return does("notice to leave", instance::shutdown);
     }
 
     /** Lets the timers run up to a time from the start. */
@@ -442,7 +452,7 @@
 
     private Caller caller(String name) {
         return new Caller() {
-            @Override public void answer(Answer a) {
+            @Override public void answer(Response a) {
                 if (name.equals(broken)) {
                     throw new IllegalStateException("a fault, as the test wants it");
                 }
@@ -452,7 +462,7 @@
                         + (a.stayAway() > 0 ? ", stay away" : "") + (a.notElsewhere() ? ", not elsewhere" : ""));
             }
 
-            @Override public void unusable(Answer a) {
+            @Override public void unusable(Response a) {
                 write("  " + name + " is unusable");
             }
 
@@ -462,7 +472,7 @@
         };
     }
 
-    @Override public void start(String ref, String offering, byte[] body) {
+    @Override public void start(String ref, String requestClass, byte[] body) {
         write("  start " + ref);
     }
 
@@ -476,7 +486,7 @@
 
     @Override public void askGauges() {
         if (!deaf) {
-            exchange.gaugesRead(new double[] {1, 2});
+            dispatcher.gaugesReceived(new double[] {1, 2});
         }
     }
 
--- a/src/test/java/topazladder/EndingsTest.java
+++ b/src/test/java/topazladder/EndingsTest.java
@@ -20,7 +20,7 @@
             void callerThatSendsNoMoreIsAnsweredAllThatIsOpenAndThenClosedOn() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "read"), Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(1, A, "read"), Frames.request(2, B, "read"));
             stub.saysNoMore();
             hears("start " + A + " read 4", 4, "body");
             hears("start " + B + " read 4", 4, "body");
@@ -39,7 +39,7 @@
             void callerThatRestsThroughTheDrainIsToldAndEndedInOrderBeforeTheKill() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub rests = up()) {
-            rests.send(Frames.ticket(1, A, "read"));
+            rests.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
             runtime.say("end 1 " + A + " PASS 9 2\r\nr1\r\n");
             assertThat(rests.hear()).isEqualTo("17 on 1 code 0 r1");
@@ -47,7 +47,7 @@
             assertThat(rests.hear()).isEqualTo("48 on 0");
             assertThat(rests.hear()).isEqualTo("closed");
             // What comes after the end of the instance's own side is read away, and never sent on.
-            rests.send(Frames.ticket(2, B, "read"));
+            rests.send(Frames.request(2, B, "read"));
             assertThat(runtime.hear()).isEqualTo("closed");
             assertThat(rests.wasReset()).isFalse();
             assertThat(exit.get(20, TimeUnit.SECONDS)).isZero();
@@ -57,12 +57,12 @@
     @Test
             void noticeBeforeTheRuntimeIsUpTellsWhoeverIsConnectedBeforeItCloses() throws Exception {
         try (Stub stub = new Stub(port)) {
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
             service.leave();
             service.leave();
             assertThat(stub.hear()).isEqualTo("48 on 0");
-            stub.send(Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(2, B, "read"));
             assertThat(stub.hear()).isEqualTo("17 on 2 code 1");
             assertThat(stub.hear()).isEqualTo("closed");
             assertThat(stub.wasReset()).isFalse();
@@ -74,28 +74,28 @@
             void runThatEndsAsTheLinkIsTakenUpAgainIsNotStartedASecondTime() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             again();
             String question = runtime.hearQuestion();
             // The run ends between the answer to the question and whatever the instance says next.
             runtime.say("load " + question.substring(7) + " 0.5 1\r\nend 1 " + A + " PASS 9 2\r\nr1\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 1 code 0 r1");
-            stub.send(Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(2, B, "read"));
             hears("start " + B + " read 4", 4, "body");
         }
     }
 
     @Test
-            void startThatWasLostWithTheLinkIsBrokenOffAndThenShownNeverToHaveRun() throws Exception {
+            void startThatWasLostWithTheLinkIsFailedAndThenShownNeverToHaveRun() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             // It has seen how long such a run takes: nine milliseconds.
-            stub.send(Frames.ticket(1, C, "place", "replay", "G"));
+            stub.send(Frames.request(1, C, "place", "replay", "G"));
             hears("start " + C + " place 4", 4, "body");
             runtime.say("end 1 " + C + " PASS 9 2\r\nr0\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 1 code 0 r0");
-            stub.send(Frames.ticket(2, A, "place", "replay", "F"));
+            stub.send(Frames.request(2, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             runtime.hangUp();
             runtime.accept();
@@ -109,7 +109,7 @@
             assertThat(stub.hear()).isEqualTo("17 on 2 code 2");
             hears("start " + A + " place 4", 4, "body");
             runtime.say("end 2 " + A + " NOOP 0 0\r\n\r\n");
-            stub.send(Frames.ticket(3, B, "place", "replay", "F", "dup", "1"));
+            stub.send(Frames.request(3, B, "place", "replay", "F", "dup", "1"));
             hears("start " + B + " place 4", 4, "body");
             runtime.say("end 3 " + B + " PASS 9 2\r\nr2\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 3 code 0 r2");
@@ -123,7 +123,7 @@
             runtime.hangUp();
             runtime.accept();
             assertThat(runtime.hear()).isEqualTo("sync 0");
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"), Frames.frame(32, 2, Frames.fields()));
+            stub.send(Frames.request(1, A, "place", "replay", "F"), Frames.frame(32, 2, Frames.fields()));
             assertThat(stub.hear()).startsWith("33 on 2");
             runtime.say("ready LOADED 3600000\r\n");
             hears("start " + A + " place 4", 4, "body");
@@ -137,11 +137,11 @@
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer left = runtime; Peer next = new Peer()) {
             // It has seen how long such a run takes: nine milliseconds.
-            stub.send(Frames.ticket(1, C, "place", "replay", "G"));
+            stub.send(Frames.request(1, C, "place", "replay", "G"));
             hears("start " + C + " place 4", 4, "body");
             runtime.say("end 1 " + C + " PASS 9 2\r\nr0\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 1 code 0 r0");
-            stub.send(Frames.ticket(2, A, "place", "replay", "F"));
+            stub.send(Frames.request(2, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             service.reload(() -> terms("", next.address()));
             next.accept();
@@ -164,7 +164,7 @@
             void linkOnWhichTheRuntimeSaysNothingIsTakenAnewWithAllThatIsUnderWay() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer silent = runtime) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\n");
             index.accept();
@@ -194,14 +194,14 @@
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub owed = up()) {
-            owed.send(Frames.ticket(1, A, "place", "replay", "F"));
+            owed.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             Stub rests = new Stub(port);
-            rests.send(Frames.ticket(1, B, "read"));
+            rests.send(Frames.request(1, B, "read"));
             hears("start " + B + " read 4", 4, "body");
             runtime.say("end 1 " + B + " PASS 9 2\r\nr2\r\n");
             assertThat(rests.hear()).isEqualTo("17 on 1 code 0 r2");
-            // Two places, both taken: one with a ticket open, one idle. The link and a call still get through.
+            // Two places, both taken: one with a request open, one idle. The link and a call still get through.
             runtime.hangUp();
             runtime.accept();
             assertThat(runtime.hear()).isEqualTo("sync 1");
@@ -211,7 +211,7 @@
             index.hear(1);
             // A newcomer takes the place of the idle one, never of the one that is owed an answer.
             try (Stub newcomer = new Stub(port)) {
-                newcomer.send(Frames.ticket(1, C, "read"));
+                newcomer.send(Frames.request(1, C, "read"));
                 hears("start " + C + " read 4", 4, "body");
                 assertThat(rests.hear()).isEqualTo("48 on 0");
                 assertThat(rests.hear()).isEqualTo("closed");
@@ -229,7 +229,7 @@
             void whatComesLateOnALinkThatWasLeftTearsNoLineOfTheNext() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer left = runtime; Peer next = new Peer()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             // More than the system takes for one that does not read: the close must wait behind it.
             for (int i = 1; i <= UNREAD_REPLIES; i++) {
@@ -250,16 +250,16 @@
     }
 
     @Test
-            void ticketsUnderWayAndTheirRepeatsSurviveAReloadInTheMiddleOfTheDrain() throws Exception {
+            void requestsUnderWayAndTheirRepeatsSurviveAReloadInTheMiddleOfTheDrain() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer left = runtime; Peer next = new Peer()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             service.reload(() -> terms("", next.address()));
             service.leave();
             next.accept();
             assertThat(next.hear()).isEqualTo("sync 0");
-            stub.send(Frames.ticket(2, B, "place", "replay", "F", "dup", "1"));
+            stub.send(Frames.request(2, B, "place", "replay", "F", "dup", "1"));
             next.say("ready LOADED 3600000\r\nend 1 " + A + " PASS 9 2\r\nr1\r\n");
             assertThat(List.of(answer(stub), answer(stub)))
                     .containsExactlyInAnyOrder("17 on 1 code 0 r1", "17 on 2 code 0 r1");
@@ -284,7 +284,7 @@
                 }
             }
             service.reload(() -> terms("", runtime.address(), "127.0.0.1:" + slow.getLocalPort()));
-            stub.send(Frames.ticket(1, A, "check"), Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(1, A, "check"), Frames.request(2, B, "read"));
             hears("start " + A + " check 4", 4, "body");
             hears("start " + B + " read 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\nend 2 " + B + " PASS 9 2\r\nr2\r\n");
@@ -305,11 +305,11 @@
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub one = up()) {
-            one.send(Frames.ticket(1, A, "read"));
+            one.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
-            Stub two = new Stub(port).send(Frames.ticket(1, B, "read"));
+            Stub two = new Stub(port).send(Frames.request(1, B, "read"));
             hears("start " + B + " read 4", 4, "body");
-            Stub newcomer = new Stub(port).send(Frames.ticket(1, C, "read"));
+            Stub newcomer = new Stub(port).send(Frames.request(1, C, "read"));
             hears("start " + C + " read 4", 4, "body");
             runtime.say("end 1 " + C + " PASS 9 2\r\nr3\r\nend 2 " + A + " PASS 9 2\r\nr1\r\nend 3 " + B
                     + " PASS 9 2\r\nr2\r\n");
@@ -330,7 +330,7 @@
         runtime.say("ready LOADED 3600000\r\n");
     }
 
-    /** The next frame but the word that no ticket is wanted, which may come twice. */
+    /** The next frame but the word that no request is wanted, which may come twice. */
     private static String answer(Stub stub) throws Exception {
         String said = stub.hear();
         while (said.equals("48 on 0")) {
--- a/src/test/java/topazladder/Frames.java
+++ b/src/test/java/topazladder/Frames.java
@@ -8,8 +8,8 @@
 public final class Frames {
     private Frames() {}
 
-    public static byte[] ticket(int stream, String ref, String offering, String... more) {
-        String[] fields = {"service", offering, "ref", ref, "since", String.valueOf(System.currentTimeMillis()),
+    public static byte[] request(int stream, String ref, String requestClass, String... more) {
+        String[] fields = {"service", requestClass, "ref", ref, "since", String.valueOf(System.currentTimeMillis()),
                 "sender", "4", "project", "acme", "room", "24.5", "class_rank", "0.6250"};
         String[] all = Arrays.copyOf(fields, fields.length + more.length);
         System.arraycopy(more, 0, all, fields.length, more.length);
--- a/src/test/java/topazladder/HallServiceTest.java
+++ b/src/test/java/topazladder/HallServiceTest.java
@@ -23,18 +23,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import topazladder.config.BadTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.config.SettingsFile;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 import topazladder.hall.Saying.Command;
 import topazladder.hall.Saying.Command.Kind;
 import topazladder.hall.proto.Greeting;
 import topazladder.hall.proto.HallMessage;
 import topazladder.hall.proto.Nothing;
-import topazladder.net.Service;
+import topazladder.net.ServiceInstance;
 import topazladder.net.codec.HallMessages;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Seal;
@@ -55,7 +55,7 @@
     private Peer runtime;
     private ServerSocket touched;
     private BufferedReader touches;
-    private Service service;
+    private ServiceInstance service;
     private int port;
     private final CompletableFuture<Integer> exit = new CompletableFuture<>();
 
@@ -65,9 +65,10 @@
         }
     }
 
-    private OwnSettings settings(String hall) throws IOException {
+    private ExtensionSettings settings(String hall) throws IOException {
         Files.write(folder.resolve("key"), KEY);
-        return SettingsFile.of("peering { key_file: \"key\" listen: \"127.0.0.1:" + port + "\" } hall { " + hall + " }",
+        return ExtensionSettingsFile.of(
+                "peering { key_file: \"key\" listen: \"127.0.0.1:" + port + "\" } hall { " + hall + " }",
                 folder);
     }
 
@@ -76,12 +77,12 @@
         port = free();
         touched = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         touched.setSoTimeout(20_000);
-        OwnSettings own = settings("voters: \"n1\" folder: \"voter\" heartbeat: 0.1"
+        ExtensionSettings own = settings("voters: \"n1\" folder: \"voter\" heartbeat: 0.1"
                 + " duties { name: \"price-clock\" lease: 1"
                 + " touch { address: \"127.0.0.1:" + touched.getLocalPort() + "\" every: 0.02 } }");
         Founding.found("n1", own.members(), 0);
         runtime = new Peer();
-        service = new Service(ServiceTerms.of("""
+        service = new ServiceInstance(ServiceSettings.of("""
             {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":2000,
              "settings":{"Classes":[{"Name":"read","Idempotency":"safe","DeadlineNs":30000000000}],
              "Extra":{"Cores":4,"MemoryKb":100000,"OwnStats":["core_use","on_cores"]}}}"""
@@ -249,11 +250,11 @@
 
     @Test
             void aFolderThatIsFoundedIsNotFoundedAgainButFormedAnew() throws Exception {
-        OwnSettings own = settings("voters: \"n1\" folder: \"other\"");
+        ExtensionSettings own = settings("voters: \"n1\" folder: \"other\"");
         Founding.found("n1", own.members(), 0);
-        assertThatThrownBy(() -> Founding.found("n1", own.members(), 0)).isInstanceOf(BadTerms.class)
+        assertThatThrownBy(() -> Founding.found("n1", own.members(), 0)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("--formed 1");
         assertThat(Founding.found("n1", own.members(), 1)).contains("formed 1");
-        assertThatThrownBy(() -> Founding.found("n9", own.members(), 0)).isInstanceOf(BadTerms.class);
+        assertThatThrownBy(() -> Founding.found("n9", own.members(), 0)).isInstanceOf(InvalidSettingsException.class);
     }
 }
--- a/src/test/java/topazladder/PackedProgramIT.java
+++ b/src/test/java/topazladder/PackedProgramIT.java
@@ -38,9 +38,9 @@
                 open = all.map(PackedProgramIT::target).collect(Collectors.joining("\n"));
             }
             assertThat(open).contains("target/lib").doesNotContain("target/extra");
-            assertThat(Files.readString(folder.resolve("classes"))).contains("topazladder.net.Service ")
+            assertThat(Files.readString(folder.resolve("classes"))).contains("topazladder.net.ServiceInstance ")
                     .doesNotContain("topazladder.net.peer").doesNotContain("topazladder.knowledge")
-                    .doesNotContain("topazladder.duty").doesNotContain("topazladder.group")
+                    .doesNotContain("topazladder.lease").doesNotContain("topazladder.consensus")
                     .doesNotContain("topazladder.membership").doesNotContain("topazladder.hall")
                     .doesNotContain("topazladder.net.hall").doesNotContain("io.microraft")
                     .doesNotContain("picocli").doesNotContain("com.google.protobuf");
--- a/src/test/java/topazladder/PeeringServiceTest.java
+++ b/src/test/java/topazladder/PeeringServiceTest.java
@@ -17,11 +17,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import topazladder.config.BadTerms;
-import topazladder.config.OwnSettings;
-import topazladder.config.ServiceTerms;
-import topazladder.config.SettingsFile;
-import topazladder.net.Service;
+import topazladder.config.ExtensionSettings;
+import topazladder.config.ExtensionSettingsFile;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
+import topazladder.net.ServiceInstance;
 
 /** A service instance whose peers are slow, gone or replaced, and the settings that name them. */
 @Timeout(60)
@@ -29,10 +29,10 @@
     @TempDir
     private Path folder;
 
-    private OwnSettings settings(String peering) throws IOException {
+    private ExtensionSettings settings(String peering) throws IOException {
         Files.writeString(folder.resolve("key"), "sixteen or more bytes\n");
         Files.writeString(folder.resolve("short"), "too short\n");
-        return SettingsFile.of("peering { key_file: \"key\" " + peering + " }", folder);
+        return ExtensionSettingsFile.of("peering { key_file: \"key\" " + peering + " }", folder);
     }
 
     private static String peer(String name, ServerSocket at) {
@@ -45,8 +45,9 @@
         return s;
     }
 
-    private Service start(Peer runtime, int port, OwnSettings own, CompletableFuture<Integer> exit) throws IOException {
-        Service service = new Service(ServiceTerms.of("""
+    private ServiceInstance start(Peer runtime, int port, ExtensionSettings own, CompletableFuture<Integer> exit)
+            throws IOException {
+        ServiceInstance service = new ServiceInstance(ServiceSettings.of("""
             {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":800,
              "settings":{"Classes":[{"Name":"read","Idempotency":"safe","DeadlineNs":30000000000}],
              "Extra":{"Cores":4,"MemoryKb":100000,"OwnStats":["core_use","on_cores"]}}}"""
@@ -70,7 +71,8 @@
         int port = free();
         try (Peer runtime = new Peer(); ServerSocket silent = listening()) {
             // The try alone would go on for ten minutes.
-            Service service = start(runtime, port, settings("wait: 0.2 try_for: 600 " + peer("p", silent)), exit);
+            ServiceInstance service =
+                    start(runtime, port, settings("wait: 0.2 try_for: 600 " + peer("p", silent)), exit);
             silent.accept();
             answersOnceItServes(runtime, port);
             service.leave();
@@ -82,8 +84,8 @@
             void aNewListInTheMiddleOfAskingLeadsToWhoeverIsNew() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
         try (Peer runtime = new Peer(); ServerSocket silent = listening(); ServerSocket fresh = listening()) {
-            OwnSettings old = settings("hedge_after: 0.05 try_for: 600 " + peer("p", silent));
-            Service service = start(runtime, free(), old, exit);
+            ExtensionSettings old = settings("hedge_after: 0.05 try_for: 600 " + peer("p", silent));
+            ServiceInstance service = start(runtime, free(), old, exit);
             silent.accept();
             service.reloadOwn(() -> {
                 try {
@@ -104,7 +106,8 @@
             void aNoticeToLeaveWhileServingIsHeldBackEndsIt() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
         try (Peer runtime = new Peer(); ServerSocket silent = listening()) {
-            Service service = start(runtime, free(), settings("wait: 60 try_for: 600 " + peer("p", silent)), exit);
+            ServiceInstance service =
+                    start(runtime, free(), settings("wait: 60 try_for: 600 " + peer("p", silent)), exit);
             silent.accept();
             service.leave();
             assertThat(exit.get(20, TimeUnit.SECONDS)).isZero();
@@ -118,7 +121,7 @@
             }
         }
         try (Stub stub = new Stub(port)) {
-            stub.send(Frames.ticket(1, "000000000000000a", "read"));
+            stub.send(Frames.request(1, "000000000000000a", "read"));
             assertThat(runtime.hear()).isEqualTo("start 000000000000000a read 4");
             runtime.hear(4);
             runtime.say("end 1 000000000000000a PASS 9 2\r\nr1\r\n");
@@ -128,12 +131,12 @@
 
     @Test
             void defaultsAreThoseOfThePages() throws IOException {
-        OwnSettings.Peering p = settings("").peering();
+        ExtensionSettings.Peering p = settings("").peering();
         assertThat(p.waitAtMost()).isEqualTo(0.5);
         assertThat(p.tries()).isEqualTo(6);
         assertThat(p.listen()).isNull();
         assertThat(p.toString()).doesNotContain("sixteen").contains("(secret)");
-        assertThat(SettingsFile.of("", folder)).isEqualTo(OwnSettings.NONE);
+        assertThat(ExtensionSettingsFile.of("", folder)).isEqualTo(ExtensionSettings.NONE);
     }
 
     @ParameterizedTest
@@ -152,7 +155,7 @@
             "machine { weather: 1 } | settings: line 1: 1:11: Input contains unknown fields and/or extensions:"})
             void whatIsWrongIsNamedByItsKey(String text, String error) throws IOException {
         settings("");
-        assertThatThrownBy(() -> SettingsFile.of(text, folder)).isInstanceOf(BadTerms.class)
+        assertThatThrownBy(() -> ExtensionSettingsFile.of(text, folder)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageStartingWith(error);
     }
 }
--- a/src/test/java/topazladder/ExchangeTest.java
+++ b/src/test/java/topazladder/RequestDispatcherTest.java
@@ -1,22 +1,22 @@
 package topazladder;
 
 import org.junit.jupiter.api.Test;
-import topazladder.ticket.Ending;
+import topazladder.request.Outcome;
 
 /** What passes through one instance between its callers on one side, runtime and index on the other. */
-class ExchangeTest {
+class RequestDispatcherTest {
 
     @Test
             void repeatOfAFingerprintIsAnsweredFromTheOneRunToTheEndOfItsWindow() {
         new Floor().open().arrive("a", "place", "F").until(0.1).arrive("a2", "place", "F")
-                .ends("a", Ending.OK, "result").until(1).arrive("a3", "place", "F")
+                .ends("a", Outcome.SUCCEEDED, "result").until(1).arrive("a3", "place", "F")
                 .until(12).arrive("a4", "place", "F", 1012, "acme")
                 .arrive("a5", "place", "F", 1012.001, "acme").countsAndPhase().matches("service-repeats");
     }
 
     @Test
             void tryThatCameWithinTheWindowButWasReadAfterAPauseIsNotRunAgain() {
-        new Floor().open().arrive("a", "place", "F").ends("a", Ending.OK, "result").pause(14)
+        new Floor().open().arrive("a", "place", "F").ends("a", Outcome.SUCCEEDED, "result").pause(14)
                 .arrive("a2", "place", "F", 1011.9, "acme").until(14.2).arrive("a3", "place", "F", 1011.99, "acme")
                 .matches("service-late-repeat");
     }
@@ -24,29 +24,30 @@
     @Test
             void fingerprintWithAnotherBodyGetsNoResultOfTheFirstAndNeverRuns() {
         new Floor().open().arrive("a", "place", "F", 1000, "acme", "one").arrive("b", "place", "F", 1000, "acme", "two")
-                .ends("a", Ending.OK, "result").arrive("b2", "place", "F", 1000, "acme", "two")
+                .ends("a", Outcome.SUCCEEDED, "result").arrive("b2", "place", "F", 1000, "acme", "two")
                 .arrive("a2", "place", "F", 1000, "acme", "one").countsAndPhase().matches("service-other-body");
     }
 
     @Test
             void resultOfARunThatNobodyWaitsForIsKeptForARepeat() {
-        new Floor().open().arrive("a", "place", "F").gone("a").arrive("a2", "place", "F").ends("a", Ending.OK, "result")
-                .arrive("b", "place", "G").ends("b", Ending.STOPPED, "").arrive("b2", "place", "G")
+        new Floor().open().arrive("a", "place", "F").gone("a").arrive("a2", "place", "F")
+                .ends("a", Outcome.SUCCEEDED, "result")
+                .arrive("b", "place", "G").ends("b", Outcome.CANCELLED, "").arrive("b2", "place", "G")
                 .countsAndPhase().matches("service-caller-gone");
     }
 
     @Test
-            void heldTicketWhoseCallerIsGoneNeverRunsAndItsRepeatDoes() {
+            void heldRequestWhoseCallerIsGoneNeverRunsAndItsRepeatDoes() {
         new Floor().open().quietly(f -> {
             for (int i = 0; i < 2; i++) {
                 f.arrive("r" + i, "read", null);
             }
-        }).arrive("a", "place", "F").gone("a").arrive("a2", "place", "F").ends("r0", Ending.OK, "x")
+        }).arrive("a", "place", "F").gone("a").arrive("a2", "place", "F").ends("r0", Outcome.SUCCEEDED, "x")
                 .matches("service-gone-while-held");
     }
 
     @Test
-            void resultsPastTheirBoundAreLetGoButTheirTicketsNeverRunAgain() {
+            void resultsPastTheirBoundAreLetGoButTheirRequestsNeverRunAgain() {
         new Floor().open().quietly(f -> {
             for (int i = 0; i < 9; i++) {
                 f.arrive("a" + i, "place", "F" + i).endsWith("a" + i, 1 << 20);
@@ -56,19 +57,19 @@
 
     @Test
             void callsAreMadeGivenLeftOutAndGivenUp() {
-        new Floor().open().arrive("a", "place", "F").wants("a", 7).replies("a", Ending.OK)
-                .wants("a", 9).replies("a", Ending.BROKEN_OFF).ends("a", Ending.STOPPED, "")
-                .arrive("b", "check", null).wants("b", 12).replies("b", Ending.UNREACHED)
-                .ends("b", Ending.OK, "poorer").arrive("c", "read", null).wants("c", 14).until(6)
-                .replies("c", Ending.OK).ends("c", Ending.STOPPED, "")
-                .arrive("d", "read", null).wants("d", 16).ends("d", Ending.STOPPED, "").matches("service-calls");
+        new Floor().open().arrive("a", "place", "F").wants("a", 7).replies("a", Outcome.SUCCEEDED)
+                .wants("a", 9).replies("a", Outcome.CONNECTION_LOST).ends("a", Outcome.CANCELLED, "")
+                .arrive("b", "check", null).wants("b", 12).replies("b", Outcome.UNREACHABLE)
+                .ends("b", Outcome.SUCCEEDED, "poorer").arrive("c", "read", null).wants("c", 14).until(6)
+                .replies("c", Outcome.SUCCEEDED).ends("c", Outcome.CANCELLED, "")
+                .arrive("d", "read", null).wants("d", 16).ends("d", Outcome.CANCELLED, "").matches("service-calls");
     }
 
     @Test
             void drainTakesWithinTheGraceAnswersAllAndExitsBeforeTheKill() {
         new Floor().open().arrive("a", "read", null).until(1).leave().arrive("b", "read", null)
                 .check("h", false).until(2.5).arrive("late", "read", null).leave().until(3)
-                .ends("a", Ending.OK, "x").until(6).matches("service-drain");
+                .ends("a", Outcome.SUCCEEDED, "x").until(6).matches("service-drain");
     }
 
     @Test
@@ -79,12 +80,12 @@
     }
 
     @Test
-            void ticketThatCanNotBeDecidedOnIsAnsweredOnceAndNeverReachesTheModule() {
+            void requestThatCanNotBeDecidedOnIsAnsweredOnceAndNeverReachesTheModule() {
         new Floor().open().arrive("a", "unheard-of", null).arrive("b", "read", null, 1000, "nobody")
                 .arrive("c", "read", "F").arrive("d", "place", null).arrive("e", "read", null)
                 .arrive("e", "read", null).arrive("long-ago", "read", null, 1, "acme")
                 .arrive("ahead", "read", null, 2000, "acme")
-                .ends("nobody", Ending.OK, "x").countsAndPhase().matches("service-unusable");
+                .ends("nobody", Outcome.SUCCEEDED, "x").countsAndPhase().matches("service-unusable");
     }
 
     @Test
@@ -96,7 +97,7 @@
 
     @Test
             void gaugesOfALostLinkAreNotTakenForFresh() {
-        new Floor().open().until(0.2).inHand().linkLost().until(0.4).inHand().matches("service-gauges");
+        new Floor().open().until(0.2).inFlight().linkLost().until(0.4).inFlight().matches("service-gauges");
     }
 
     @Test
@@ -106,7 +107,7 @@
     }
 
     @Test
-            void ticketThatTheRuntimeDidNotStartIsBrokenOffAndMayRunAnotherTime() {
+            void requestThatTheRuntimeDidNotStartIsFailedAndMayRunAnotherTime() {
         new Floor().open().arrive("a", "place", "F").arrive("a2", "place", "F").nacked("a").nacked("a")
                 .arrive("a3", "place", "F").countsAndPhase()
                 .matches("service-nack");
@@ -125,36 +126,37 @@
     @Test
             void triesThatBothLayUnreadPastAShortWindowRunOnce() {
         new Floor(SHORT_WINDOW).open().pause(1.5).arrive("a", "place", "F", 1000, "acme")
-                .arrive("a2", "place", "F", 1000.9, "acme").ends("a", Ending.OK, "result")
+                .arrive("a2", "place", "F", 1000.9, "acme").ends("a", Outcome.SUCCEEDED, "result")
                 .until(3).arrive("a3", "place", "F", 1003, "acme").matches("service-unread-past-window");
     }
 
     @Test
             void windowIsCountedFromACallersClockThatIsAhead() {
-        new Floor(SHORT_WINDOW).open().arrive("a", "place", "F", 1000.5, "acme").ends("a", Ending.OK, "result")
+        new Floor(SHORT_WINDOW).open().arrive("a", "place", "F", 1000.5, "acme").ends("a", Outcome.SUCCEEDED, "result")
                 .until(1.4).arrive("a2", "place", "F", 1001.5, "acme").matches("service-clock-ahead");
     }
 
     @Test
-            void tryOfATicketThatNeverRanIsNotLeftToWaitForItsRun() {
+            void tryOfARequestThatNeverRanIsNotLeftToWaitForItsRun() {
         new Floor(SHORT_WINDOW).open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
                 .arrive("a", "place", "F").until(1.5).gone("a").arrive("a2", "place", "F", 1000.9, "acme")
-                .ends("r0", Ending.OK, "x").matches("service-forgotten-past-window");
+                .ends("r0", Outcome.SUCCEEDED, "x").matches("service-forgotten-past-window");
     }
 
     @Test
-            void startInDoubtWaitsForASignThenIsBrokenOffAndOnlyThenStartedAgain() {
-        new Floor().open().quietly(f -> f.arrive("w", "place", "E").until(0.4).ends("w", Ending.OK, "x"))
+            void startInDoubtWaitsForASignThenIsFailedAndOnlyThenStartedAgain() {
+        new Floor().open().quietly(f -> f.arrive("w", "place", "E").until(0.4).ends("w", Outcome.SUCCEEDED, "x"))
                 .arrive("a", "place", "F").arrive("r", "read", null).doubtful("a").doubtful("r")
-                .until(0.7).arrive("a2", "place", "F").until(2.2).ends("a", Ending.MOOT, "")
+                .until(0.7).arrive("a2", "place", "F").until(2.2).ends("a", Outcome.NOT_STARTED, "")
                 .arrive("a3", "place", "F").countsAndPhase().matches("service-doubt");
     }
 
     @Test
             void runInDoubtThatShowsASignGoesOn() {
-        new Floor().open().quietly(f -> f.arrive("w", "place", "E").until(0.4).ends("w", Ending.OK, "x"))
-                .arrive("a", "place", "F").doubtful("a").until(0.5).wants("a", 7).until(2).replies("a", Ending.OK)
-                .until(3).ends("a", Ending.OK, "result").matches("service-doubt-sign");
+        new Floor().open().quietly(f -> f.arrive("w", "place", "E").until(0.4).ends("w", Outcome.SUCCEEDED, "x"))
+                .arrive("a", "place", "F").doubtful("a").until(0.5).wants("a", 7).until(2)
+                .replies("a", Outcome.SUCCEEDED)
+                .until(3).ends("a", Outcome.SUCCEEDED, "result").matches("service-doubt-sign");
     }
 
     @Test
@@ -163,7 +165,7 @@
     }
 
     @Test
-            void faultOverOneAnswerCostsNoOtherTicketItsOwnNorTheTimers() {
+            void faultOverOneAnswerCostsNoOtherRequestItsOwnNorTheTimers() {
         new Floor().open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
                 .arrive("a", "read", null).arrive("b", "read", null).breaksOn("a").until(2.5)
                 .arrive("c", "read", null).until(8).countsAndPhase().matches("service-fault");
@@ -171,36 +173,38 @@
 
     @Test
             void resultInTheTickOfTheDueTimeIsTheOneAnswerAndAfterItNone() {
-        new Floor().open().arrive("a", "place", "F").until(4.85).pause(4.9).ends("a", Ending.OK, "result").until(6)
-                .arrive("b", "place", "G").until(10.95).ends("b", Ending.OK, "result").until(12)
+        new Floor().open().arrive("a", "place", "F").until(4.85).pause(4.9).ends("a", Outcome.SUCCEEDED, "result")
+                .until(6)
+                .arrive("b", "place", "G").until(10.95).ends("b", Outcome.SUCCEEDED, "result").until(12)
                 .countsAndPhase().matches("service-due-running");
     }
 
     @Test
             void replyInTheTickOfTheDueTimeIsGivenAndAfterItTheCallIsGivenUpOnce() {
-        new Floor().open().arrive("a", "place", "F").wants("a", 1).until(1.85).pause(1.9).replies("a", Ending.OK)
-                .until(2).ends("a", Ending.OK, "result").arrive("b", "place", "G").wants("b", 2).until(6.95)
-                .replies("b", Ending.OK).ends("b", Ending.STOPPED, "").until(8).countsAndPhase()
+        new Floor().open().arrive("a", "place", "F").wants("a", 1).until(1.85).pause(1.9)
+                .replies("a", Outcome.SUCCEEDED)
+                .until(2).ends("a", Outcome.SUCCEEDED, "result").arrive("b", "place", "G").wants("b", 2).until(6.95)
+                .replies("b", Outcome.SUCCEEDED).ends("b", Outcome.CANCELLED, "").until(8).countsAndPhase()
                 .matches("service-due-calling");
     }
 
     @Test
-            void heldTicketIsNotStartedInTheTickInWhichItIsGivenUp() {
+            void heldRequestIsNotStartedInTheTickInWhichItIsGivenUp() {
         new Floor().open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
-                .arrive("a", "place", "F").until(2.11).ends("r0", Ending.OK, "x").until(3)
+                .arrive("a", "place", "F").until(2.11).ends("r0", Outcome.SUCCEEDED, "x").until(3)
                 .arrive("b", "place", "G").countsAndPhase().matches("service-due-held");
     }
 
     @Test
             void repeatWhoseDueTimeComesFirstIsAnsweredAtItAndTheResultGoesToTheOthers() {
         new Floor().open().arrive("a", "place", "F").arrive("a2", "place", "F", 997, "acme")
-                .arrive("a3", "place", "F").until(1.95).ends("a", Ending.OK, "result").until(3).countsAndPhase()
+                .arrive("a3", "place", "F").until(1.95).ends("a", Outcome.SUCCEEDED, "result").until(3).countsAndPhase()
                 .matches("service-due-repeated");
     }
 
     @Test
             void giveUpThatCrossesTheAnswerChangesNothing() {
-        new Floor().open().arrive("a", "place", "F").ends("a", Ending.OK, "result").gone("a").until(1)
+        new Floor().open().arrive("a", "place", "F").ends("a", Outcome.SUCCEEDED, "result").gone("a").until(1)
                 .arrive("a2", "place", "F").countsAndPhase().matches("service-give-up-crosses");
     }
 
--- a/src/test/java/topazladder/PlanFileTest.java
+++ b/src/test/java/topazladder/RolloutPlanFileTest.java
@@ -7,20 +7,21 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
-import topazladder.config.BadTerms;
-import topazladder.config.PlanFile;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.RolloutPlanFile;
 import topazladder.release.Plan;
 
-class PlanFileTest {
+class RolloutPlanFileTest {
     private static final String WAVES = " waves { most: 1 }";
 
     private static void refused(String text, String why) {
-        assertThatThrownBy(() -> PlanFile.of(text)).isInstanceOf(BadTerms.class).hasMessageContaining(why);
+        assertThatThrownBy(() -> RolloutPlanFile.of(text)).isInstanceOf(InvalidSettingsException.class)
+                .hasMessageContaining(why);
     }
 
     @Test
             void theExampleIsAPlan() throws IOException {
-        Plan p = PlanFile.of(Files.readString(Path.of("deploy/release.example.txtpb")));
+        Plan p = RolloutPlanFile.of(Files.readString(Path.of("deploy/release.example.txtpb")));
         assertThat(p.waves()).hasSize(3);
         assertThat(p.target(false)).isEqualTo("2026.12");
         assertThat(p.target(true)).isEqualTo("2026.11");
@@ -39,7 +40,7 @@
             void aPlanWithoutAWayBackHasToSaySo() {
         String oneWay = "from { name: \"A\" writes: 4 reads: 4 } to { name: \"B\" writes: 5 reads: 5 }" + WAVES;
         refused(oneWay, "no way back");
-        assertThat(PlanFile.of(oneWay + " one_way: true").oneWay()).isTrue();
+        assertThat(RolloutPlanFile.of(oneWay + " one_way: true").oneWay()).isTrue();
         refused("from { name: \"A\" writes: 4 } to { name: \"B\" reads: 3 } one_way: true" + WAVES, "reads up to");
     }
 }
--- a/src/test/java/topazladder/ServiceBench.java
+++ b/src/test/java/topazladder/ServiceBench.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
-import topazladder.config.ServiceTerms;
-import topazladder.net.Service;
+import topazladder.config.ServiceSettings;
+import topazladder.net.ServiceInstance;
 
 /** One service instance on real sockets between a runtime and an index that a test plays by hand. */
 abstract class ServiceBench {
@@ -25,7 +25,7 @@
     int port;
     int sockets;
     int control = 9;
-    Service service;
+    ServiceInstance service;
 
     @BeforeEach
             void start() throws IOException {
@@ -44,7 +44,7 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        service = new Service(terms(extra), exit::complete);
+        service = new ServiceInstance(terms(extra), exit::complete);
         service.start();
         runtime.accept();
         assertThat(runtime.hear()).isEqualTo("sync 0");
@@ -58,16 +58,16 @@
         index.close();
     }
 
-    ServiceTerms terms(String extra) {
+    ServiceSettings terms(String extra) {
         return terms(extra, runtime.address());
     }
 
-    ServiceTerms terms(String extra, String runtimeAt) {
+    ServiceSettings terms(String extra, String runtimeAt) {
         return terms(extra, runtimeAt, index.address());
     }
 
-    ServiceTerms terms(String extra, String runtimeAt, String indexAt) {
-        return ServiceTerms.of("""
+    ServiceSettings terms(String extra, String runtimeAt, String indexAt) {
+        return ServiceSettings.of("""
             {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:%d","index":"%s",
              "seed":"1","stop_ms":800,"limits":{"sockets":%d},"settings":{"Classes":[
              {"Name":"read","Idempotency":"safe","TargetNs":20000000000,"DeadlineNs":30000000000},
--- a/src/test/java/topazladder/ServiceTermsTest.java
+++ b/src/test/java/topazladder/ServiceSettingsTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazladder.config.BadTerms;
-import topazladder.config.ServiceTerms;
-import topazladder.config.Terms;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.ServiceSettings;
+import topazladder.config.SettingsReader;
 
-class ServiceTermsTest {
+class ServiceSettingsTest {
     static final String CONFIG = """
         {"name":"n3","listen":"127.0.0.1:4100","runtime":"127.0.0.2:9300","control":"127.0.0.3:2379",
          "index":"127.0.0.4:9042","seed":"8c1f30d27a5be964","stop_ms":3200,
@@ -26,14 +26,14 @@
 
     @Test
             void configurationIsReadAsTheSimulatorsFirstMessageIs() {
-        ServiceTerms read = ServiceTerms.of(CONFIG, Map.of());
+        ServiceSettings read = ServiceSettings.of(CONFIG, Map.of());
         assertThat(read.name()).isEqualTo("n3");
-        assertThat(read.listen()).isEqualTo(new ServiceTerms.Address("127.0.0.1", 4100));
+        assertThat(read.listen()).isEqualTo(new ServiceSettings.Address("127.0.0.1", 4100));
         assertThat(read.index().port()).isEqualTo(9042);
         assertThat(read.seed()).isEqualTo(0x8c1f30d27a5be964L);
         assertThat(read.stopAfter()).isEqualTo(3.2);
         assertThat(read.terms().gauges()).containsExactly("core-use", "on-cores");
-        assertThat(read.terms().map()).isEqualTo(Terms.ofLines("""
+        assertThat(read.terms().map()).isEqualTo(SettingsReader.ofLines("""
             Classes.count=1
             Classes.0.Name=order place
             Classes.0.Idempotency=keyed
@@ -71,20 +71,20 @@
         for (int i = 0; i < tenants; i++) {
             lines.append("Orgs.").append(i).append(".Name=tenant-").append(i).append('\n');
         }
-        Terms terms = Terms.ofLines(lines.toString());
-        assertThat(terms.offerings()).hasSize(classes);
-        assertThat(terms.customers()).hasSize(tenants);
+        SettingsReader terms = SettingsReader.ofLines(lines.toString());
+        assertThat(terms.requestClasses()).hasSize(classes);
+        assertThat(terms.tenants()).hasSize(tenants);
         String twice = lines.toString().replace("Orgs.32999.Name=tenant-32999", "Orgs.32999.Name=tenant-7");
-        assertThatThrownBy(() -> Terms.ofLines(twice)).isInstanceOf(BadTerms.class)
+        assertThatThrownBy(() -> SettingsReader.ofLines(twice)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessage("Orgs.32999.Name is given twice: tenant-7");
     }
 
     @Test
             void environmentGoesBeforeTheFileAndTheLastTierHasNoIndex() {
-        ServiceTerms read = ServiceTerms.of(CONFIG.replace("\"index\":\"127.0.0.4:9042\",", ""),
+        ServiceSettings read = ServiceSettings.of(CONFIG.replace("\"index\":\"127.0.0.4:9042\",", ""),
                 Map.of("GW_NAME", "n7", "GW_LISTEN", "127.0.0.9:4200"));
         assertThat(read.name()).isEqualTo("n7");
-        assertThat(read.listen()).isEqualTo(new ServiceTerms.Address("127.0.0.9", 4200));
+        assertThat(read.listen()).isEqualTo(new ServiceSettings.Address("127.0.0.9", 4200));
         assertThat(read.index()).isNull();
     }
 
@@ -123,22 +123,23 @@
                 """)
             void faultyKeyIsNamed(String what, String instead, String message) {
         assertThat(CONFIG).contains(what);
-        assertThatThrownBy(() -> ServiceTerms.of(CONFIG.replace(what, instead), Map.of()))
-                .isInstanceOf(BadTerms.class).hasMessage(message);
+        assertThatThrownBy(() -> ServiceSettings.of(CONFIG.replace(what, instead), Map.of()))
+                .isInstanceOf(InvalidSettingsException.class).hasMessage(message);
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"", "null", "[]", "7", "{\"name\"", "{} {}"})
             void whatIsNoObjectIsTold(String text) {
-        assertThatThrownBy(() -> ServiceTerms.of(text, Map.of("GW_NAME", "n", "GW_LISTEN", "127.0.0.1:4100")))
-                .isInstanceOf(BadTerms.class);
+        assertThatThrownBy(() -> ServiceSettings.of(text, Map.of("GW_NAME", "n", "GW_LISTEN", "127.0.0.1:4100")))
+                .isInstanceOf(InvalidSettingsException.class);
     }
 
     @Test
             void fileThatIsMissingIsTold() {
-        assertThatThrownBy(() -> ServiceTerms.read(Map.of())).isInstanceOf(BadTerms.class)
+        assertThatThrownBy(() -> ServiceSettings.read(Map.of())).isInstanceOf(InvalidSettingsException.class)
                 .hasMessage("GW_CONFIG is missing; expected the path of the configuration file");
-        assertThatThrownBy(() -> ServiceTerms.read(Map.of("GW_CONFIG", "/no/such/file")))
-                .isInstanceOf(BadTerms.class).hasMessage("GW_CONFIG: the file can't be read: /no/such/file");
+        assertThatThrownBy(() -> ServiceSettings.read(Map.of("GW_CONFIG", "/no/such/file")))
+                .isInstanceOf(InvalidSettingsException.class)
+                .hasMessage("GW_CONFIG: the file can't be read: /no/such/file");
     }
 }
