--- a/src/test/java/topazladder/ServiceTest.java
+++ b/src/test/java/topazladder/ServiceTest.java
@@ -15,18 +15,18 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazladder.config.BadTerms;
-import topazladder.net.Rehearsal;
-import topazladder.net.Service;
+import topazladder.config.InvalidSettingsException;
+import topazladder.net.ServiceInstance;
+import topazladder.net.WarmUp;
 
 /** One service instance on real sockets, all round it played by stand-ins. */
 @Timeout(60)
 class ServiceTest extends ServiceBench {
     @Test
-            void manyOpenTicketsAreAnsweredInAnyOrder() throws IOException {
+            void manyOpenRequestsAreAnsweredInAnyOrder() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "read"), Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(1, A, "read"), Frames.request(2, B, "read"));
             hears("start " + A + " read 4", 4, "body");
             hears("start " + B + " read 4", 4, "body");
             runtime.say("end 1 " + B + " PASS 9 2\r\nr2\r\nend 2 " + A + " PASS 9 2\r\nr1\r\n");
@@ -39,9 +39,9 @@
             void repeatOnAnotherConnectionIsAnsweredFromTheOneRun() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub one = up(); Stub two = new Stub(port)) {
-            one.send(Frames.ticket(1, A, "place", "replay", "F"));
+            one.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
-            two.send(Frames.ticket(1, B, "place", "replay", "F", "dup", "1"), Frames.ticket(2, C, "read"));
+            two.send(Frames.request(1, B, "place", "replay", "F", "dup", "1"), Frames.request(2, C, "read"));
             hears("start " + C + " read 4", 4, "body");
             runtime.say("end 1 " + A + " PASS 9 2\r\nr1\r\n");
             assertThat(one.hear()).isEqualTo("17 on 1 code 0 r1");
@@ -53,11 +53,11 @@
             void malformedFrameEndsItsConnectionWithAllThatIsOpenOnItAndNoOther() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub bad = up(); Stub good = new Stub(port)) {
-            bad.send(Frames.ticket(1, A, "read"), Frames.ticket(1, B, "read"), Frames.ticket(3, C, "read"));
+            bad.send(Frames.request(1, A, "read"), Frames.request(1, B, "read"), Frames.request(3, C, "read"));
             hears("start " + A + " read 4", 4, "body");
             assertThat(bad.hear()).isEqualTo("17 on 1 code 2");
             assertThat(bad.hear()).isEqualTo("17 on 0 code 2 stream 1 used twice");
-            good.send(Frames.ticket(1, C, "read"));
+            good.send(Frames.request(1, C, "read"));
             hears("start " + C + " read 4", 4, "body");
             runtime.say("end 1 " + A + " PASS 9 2\r\nr1\r\nend 2 " + C + " PASS 9 2\r\nr2\r\n");
             assertThat(bad.hear()).isEqualTo("closed");
@@ -66,10 +66,10 @@
     }
 
     @Test
-            void badTicketInASoundFrameGetsOneFailedAnswerAndTheConnectionGoesOn() throws IOException {
+            void badRequestInASoundFrameGetsOneFailedAnswerAndTheConnectionGoesOn() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, "x", "read"), Frames.ticket(2, A, "unheard-of"), Frames.ticket(3, B, "read"));
+            stub.send(Frames.request(1, "x", "read"), Frames.request(2, A, "unheard-of"), Frames.request(3, B, "read"));
             assertThat(stub.hear()).isEqualTo("17 on 1 code 2");
             assertThat(stub.hear()).isEqualTo("17 on 2 code 2");
             hears("start " + B + " read 4", 4, "body");
@@ -83,7 +83,7 @@
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub many = up(); Stub odd = new Stub(port); Stub back = new Stub(port); Stub good = new Stub(port)) {
             for (int i = 1; i <= 33; i++) {
-                many.send(Frames.ticket(i, String.format("%016x", 100 + i), "read"));
+                many.send(Frames.request(i, String.format("%016x", 100 + i), "read"));
             }
             for (int i = 1; i <= 4; i++) {
                 hears("start " + String.format("%016x", 100 + i) + " read 4", 4, "body");
@@ -93,18 +93,18 @@
             }
             assertThat(many.hear()).isEqualTo("17 on 0 code 2 more than 32 requests open");
             assertThat(many.hear()).isEqualTo("closed");
-            odd.send(Frames.ticket(1, A, "none"), Frames.ticket(2, A, "none"), Frames.ticket(3, "x", "read"));
+            odd.send(Frames.request(1, A, "none"), Frames.request(2, A, "none"), Frames.request(3, "x", "read"));
             for (int i = 1; i <= 3; i++) {
                 assertThat(odd.hear()).isEqualTo("17 on " + i + " code 2");
             }
             assertThat(odd.hear()).startsWith("17 on 0 code 2 too many requests that");
             assertThat(odd.hear()).isEqualTo("closed");
             for (int i = 1; i <= 65; i++) {
-                back.send(Frames.ticket(i, A, "read"), Frames.frame(18, i));
+                back.send(Frames.request(i, A, "read"), Frames.frame(18, i));
             }
             assertThat(back.hear()).isEqualTo("17 on 0 code 2 too many requests taken back");
             assertThat(back.hear()).isEqualTo("closed");
-            good.send(Frames.ticket(1, B, "read"));
+            good.send(Frames.request(1, B, "read"));
             runtime.say("end 1 " + "0000000000000065 PASS 9 2\r\nr1\r\n");
             hears("start " + B + " read 4", 4, "body");
         }
@@ -114,9 +114,9 @@
             void connectionThatSaysNothingOrHalfIsToldAndClosedAndOneThatWaitsIsNot() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub good = up(); Stub silent = new Stub(port); Stub half = new Stub(port)) {
-            good.send(Frames.ticket(1, A, "read"));
+            good.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
-            half.send(Arrays.copyOf(Frames.ticket(1, B, "read"), 40));
+            half.send(Arrays.copyOf(Frames.request(1, B, "read"), 40));
             assertThat(silent.hear()).isEqualTo("17 on 0 code 2 no whole request in time");
             assertThat(half.hear()).isEqualTo("17 on 0 code 2 no whole request in time");
             assertThat(silent.hear()).isEqualTo("closed");
@@ -131,11 +131,11 @@
         stop();
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
-        try (Stub busy = up().send(Frames.ticket(1, A, "read"))) {
+        try (Stub busy = up().send(Frames.request(1, A, "read"))) {
             hears("start " + A + " read 4", 4, "body");
             Stub silent = new Stub(port);
             Stub third = new Stub(port);
-            third.send(Frames.ticket(1, B, "read"));
+            third.send(Frames.request(1, B, "read"));
             hears("start " + B + " read 4", 4, "body");
             assertThat(silent.hear()).isEqualTo("closed");
             runtime.say("end 1 " + A + " PASS 9 2\r\nr1\r\nend 2 " + B + " PASS 9 2\r\nr2\r\n");
@@ -152,14 +152,14 @@
                 Peer oldIndex = index;
                 DatagramSocket plane =
                         new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\n");
             index.accept();
             assertThat(index.hear()).startsWith("GET " + A);
             index.hear(1);
             service.reload(() -> {
-                throw new BadTerms("runtime is missing");
+                throw new InvalidSettingsException("runtime is missing");
             });
             runtime = new Peer();
             index = new Peer();
@@ -191,7 +191,7 @@
             void spoiltReplyCostsItsOwnCallAloneAndWhatComesBesideAReplyNone() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer second = new Peer()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"), Frames.ticket(2, B, "place", "replay", "G"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"), Frames.request(2, B, "place", "replay", "G"));
             hears("start " + A + " place 4", 4, "body");
             hears("start " + B + " place 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\n");
@@ -215,10 +215,10 @@
             void callerThatLeavesGetsNoAnswerAndItsRunGoesOn() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub gone = up(); Stub stub = new Stub(port)) {
-            gone.send(Frames.ticket(1, A, "place", "replay", "F"));
+            gone.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             gone.close();
-            stub.send(Frames.ticket(1, B, "read"), Frames.frame(18, 1), Frames.ticket(2, C, "place", "replay", "F"));
+            stub.send(Frames.request(1, B, "read"), Frames.frame(18, 1), Frames.request(2, C, "place", "replay", "F"));
             hears("start " + B + " read 4", 4, "body");
             runtime.say("end 1 " + B + " PASS 9 2\r\nr2\r\nend 2 " + A + " PASS 9 2\r\nr1\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 2 code 0 r1");
@@ -229,10 +229,10 @@
             void linkTakenUpAgainLosesNothingAndDoublesNothing() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"), Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"), Frames.request(2, B, "read"));
             hears("start " + A + " place 4", 4, "body");
             hears("start " + B + " read 4", 4, "body");
-            stub.send(Frames.ticket(3, C, "read"));
+            stub.send(Frames.request(3, C, "read"));
             hears("start " + C + " read 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\n");
             index.accept();
@@ -242,7 +242,7 @@
             index.say(A + " HIT 2\r\nok\r\n");
             runtime.accept();
             assertThat(runtime.hear()).isEqualTo("sync 1");
-            // What was missed: the run of the second ticket is over, so that it must not be started again. Whether
+            // What was missed: the run of the second request is over, so that it must not be started again. Whether
             // the third was ever started is not known.
             runtime.say("ready LOADED 3600000\r\nend 2 " + B + " PASS 9 2\r\nr2\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 2 code 0 r2");
@@ -263,7 +263,7 @@
             runtime.accept();
             assertThat(runtime.hear()).isEqualTo("sync 0");
             runtime.say("ready LOADED 3600000\r\n");
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
         }
     }
@@ -272,7 +272,7 @@
             void refusedIndexIsToldFromOneThatBreaksDuringACall() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\n");
             index.accept();
@@ -280,7 +280,7 @@
             index.hear(1);
             index.close();
             assertThat(stub.hear()).isEqualTo("17 on 1 code 2");
-            stub.send(Frames.ticket(2, B, "check"));
+            stub.send(Frames.request(2, B, "check"));
             hears("start " + B + " check 4", 4, "body");
             runtime.say("wants 2 " + B + " 1\r\nx\r\n");
             assertThat(runtime.hear()).isEqualTo("omit " + B + " 2");
@@ -288,10 +288,10 @@
     }
 
     @Test
-            void runThatIsStoppedAtItsCallGivesTheCallUpAndOneNeverStartedIsBrokenOff() throws IOException {
+            void runThatIsStoppedAtItsCallGivesTheCallUpAndOneNeverStartedIsFailed() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
             runtime.say("wants 1 " + A + " 1\r\nx\r\n");
             index.accept();
@@ -300,11 +300,11 @@
             runtime.say("end 2 " + A + " KILLED 9 0\r\n\r\n");
             assertThat(index.hear()).isEqualTo("closed");
             assertThat(stub.hear()).isEqualTo("17 on 1 code 2");
-            stub.send(Frames.ticket(2, B, "read"));
+            stub.send(Frames.request(2, B, "read"));
             hears("start " + B + " read 4", 4, "body");
             runtime.say("nack start " + B + "\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 2 code 2");
-            stub.send(Frames.ticket(3, C, "read"));
+            stub.send(Frames.request(3, C, "read"));
             hears("start " + C + " read 4", 4, "body");
             runtime.say("info 3 all is well\r\nend 4 " + C + " NOOP 0 0\r\n\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 3 code 2");
@@ -315,7 +315,7 @@
             void indexThatClosesAnIdleConnectionIsReachedOnANewOne() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "place", "replay", "F"));
+            stub.send(Frames.request(1, A, "place", "replay", "F"));
             hears("start " + A + " place 4", 4, "body");
             for (int notice = 1; notice <= 2; notice++) {
                 runtime.say("wants " + notice + " " + A + " 1\r\nx\r\n");
@@ -332,7 +332,7 @@
     }
 
     @Test
-            void idleConnectionIsAskedForNoNewTicketAndOneThatCrossesIsAnswered() throws Exception {
+            void idleConnectionIsAskedForNoNewRequestAndOneThatCrossesIsAnswered() throws Exception {
         stop();
         start("\"Upstreams\":9,\"KeepaliveMaxNs\":1000000,");
         runtime.say("ready LOADED 3600000\r\n");
@@ -347,7 +347,7 @@
         });
         try (Stub stub = up()) {
             assertThat(stub.hear()).isEqualTo("48 on 0");
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             assertThat(stub.hear()).isEqualTo("17 on 1 code 0 r1");
             assertThat(stub.hear()).isEqualTo("closed");
         }
@@ -362,7 +362,7 @@
             assertThat(check.hear()).isEqualTo("33 on 1 code 1");
             deep.send(Frames.frame(32, 1, Frames.fields("inner", "1")));
             assertThat(runtime.hear()).isEqualTo("selftest 1");
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
             runtime.say("verdict 1 PASS\r\nready EMPTY 0\r\n");
             assertThat(deep.hear()).isEqualTo("33 on 1 code 0");
@@ -370,10 +370,10 @@
     }
 
     @Test
-            void noticeToLeaveAsksForNoNewTicketAnswersWhatIsOpenAndExits() throws Exception {
+            void noticeToLeaveAsksForNoNewRequestAnswersWhatIsOpenAndExits() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
             service.leave();
             service.leave();
@@ -391,7 +391,7 @@
         }
         // The address is free for the next at once.
         CompletableFuture<Integer> nextExit = new CompletableFuture<>();
-        Service next = new Service(terms(""), nextExit::complete);
+        ServiceInstance next = new ServiceInstance(terms(""), nextExit::complete);
         next.start();
         runtime.accept();
         assertThat(runtime.hear()).isEqualTo("sync 0");
@@ -407,14 +407,14 @@
             Thread sender = new Thread(() -> {
                 try {
                     for (int i = 1; i < 1_000_000; i++) {
-                        deaf.send(Frames.ticket(i, "x", "read"));
+                        deaf.send(Frames.request(i, "x", "read"));
                     }
                 } catch (IOException e) {
                     // Closed at the end of the test.
                 }
             });
             sender.start();
-            stub.send(Frames.ticket(1, A, "read"));
+            stub.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
             runtime.say("end 1 " + A + " PASS 9 2\r\nr1\r\n");
             assertThat(stub.hear()).isEqualTo("17 on 1 code 0 r1");
@@ -431,7 +431,7 @@
             stubs.add(new Stub(port));
         }
         try (Stub last = new Stub(port)) {
-            last.send(Frames.ticket(1, A, "read"));
+            last.send(Frames.request(1, A, "read"));
             hears("start " + A + " read 4", 4, "body");
         }
         for (Stub stub : stubs) {
@@ -440,8 +440,8 @@
     }
 
     @Test
-            void rehearsalAnswersItsTicketsAndLeavesTheInstanceToStart() throws IOException {
-        assertThat(Rehearsal.play(terms(""))).isPositive();
+            void rehearsalAnswersItsRequestsAndLeavesTheInstanceToStart() throws IOException {
+        assertThat(WarmUp.play(terms(""))).isPositive();
         runtime.say("ready LOADED 3600000\r\n");
         up().close();
     }
@@ -449,7 +449,7 @@
     @Test
             void addressInUseEndsTheProcessWithStatusOne() throws Exception {
         CompletableFuture<Integer> second = new CompletableFuture<>();
-        new Service(terms(""), second::complete).start();
+        new ServiceInstance(terms(""), second::complete).start();
         assertThat(second.get(20, TimeUnit.SECONDS)).isEqualTo(1);
     }
 }
--- a/src/test/java/topazladder/below/RampFleetTest.java
+++ b/src/test/java/topazladder/below/RampFleetTest.java
@@ -26,7 +26,7 @@
     private static final double WARM_AFTER = 8;
     private static final double STEP = 0.01;
 
-    private final Deque<double[]> inHand = new ArrayDeque<>(); // sender, server, when it ends
+    private final Deque<double[]> inFlight = new ArrayDeque<>(); // sender, server, when it ends
     private final List<Double> ledger = new ArrayList<>(); // when each call came to the first server
     private Use[] senders;
     private double[] rates;
@@ -124,14 +124,14 @@
     private void play(double seconds) {
         for (int steps = (int) Math.round(seconds / STEP); steps > 0; steps--) {
             now += STEP;
-            while (!inHand.isEmpty() && inHand.peek()[2] <= now) {
-                double[] call = inHand.poll();
+            while (!inFlight.isEmpty() && inFlight.peek()[2] <= now) {
+                double[] call = inFlight.poll();
                 senders[(int) call[0]].ended(now, (int) call[1], How.ANSWERED);
             }
             for (int i = 0; i < senders.length; i++) {
                 for (double left = rates[i] * STEP; chance.nextDouble() < left; left--) {
                     int server = senders[i].pick(now, -1);
-                    inHand.add(new double[] {i, server, now + 0.05});
+                    inFlight.add(new double[] {i, server, now + 0.05});
                     if (server == 0) {
                         ledger.add(now);
                     }
--- a/src/test/java/topazladder/below/UseTest.java
+++ b/src/test/java/topazladder/below/UseTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-            void ofTwoTheOneWithLessInHandIsTaken() {
+            void ofTwoTheOneWithLessInFlightIsTaken() {
         Use use = use("a", "b");
         int first = use.pick(now, -1);
         for (int i = 0; i < 20; i++) {
@@ -190,7 +190,7 @@
     }
 
     @Property(tries = 200)
-            void inHandNeverFallsBelowNothingAndNoCallGoesToOneThatIsOut(@ForAll long seed,
+            void inFlightNeverFallsBelowNothingAndNoCallGoesToOneThatIsOut(@ForAll long seed,
                     @ForAll @IntRange(min = 1, max = 6) int servers) {
         SplittableRandom chance = new SplittableRandom(seed);
         String[] names = new String[servers];
--- a/src/test/java/topazladder/below/VerdictsTest.java
+++ b/src/test/java/topazladder/below/VerdictsTest.java
@@ -7,26 +7,27 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits;
-import topazladder.drain.Subject;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
 
 /** What a leader makes of servers below, with the ledger and its permits in hand. */
 class VerdictsTest {
     private static final List<String> SERVERS = List.of("a", "b", "c", "d");
-    private final OutLedger ledger = new OutLedger();
+    private final DisruptionStateMachine ledger = new DisruptionStateMachine();
     private final Verdicts verdicts = new Verdicts(ledger);
-    private final Permits permits = new Permits(ledger, 1);
+    private final DisruptionController permits = new DisruptionController(ledger, 1);
     private double now = 10;
 
     @BeforeEach
             void setUp() {
-        ledger.apply(new OutOp.Budgets(List.of(new Budget("below", Subject.Kind.BELOW, "", 1, 1))));
+        ledger.apply(new DisruptionCommand.Budgets(
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1))));
         verdicts.lead(now);
-        permits.lead(now, 0);
+        permits.becomeLeader(now, 0);
         now += Verdicts.AFTER_MOST;
     }
 
@@ -46,7 +47,7 @@
             });
             permits.tick(now).forEach(op -> {
                 ledger.apply(op);
-                permits.over(op);
+                permits.commandCompleted(op);
             });
         }
     }
@@ -55,20 +56,20 @@
         return List.of(ill, ill, ill, ill, ill);
     }
 
-    private Out out(String server) {
-        return ledger.get(new Subject(Subject.Kind.BELOW, server, ""));
+    private Disruption out(String server) {
+        return ledger.get(new DisruptionTarget(DisruptionTarget.Kind.BELOW, server, ""));
     }
 
     @Test
             void whatMostFindIllIsOutForAllAndComesBackOnceItDoesWell() {
         pass(2, all(Set.of("a")));
-        assertThat(out("a").phase()).isEqualTo(Out.Phase.GRANTED);
+        assertThat(out("a").phase()).isEqualTo(Disruption.Phase.GRANTED);
         assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
             assertThat(w.kind()).isEqualTo(Word.Kind.OUT);
             assertThat(w.token()).isPositive();
         });
         pass(3, all(Set.of()));
-        assertThat(out("a").phase()).as("tried after its first wait").isEqualTo(Out.Phase.RETURNING);
+        assertThat(out("a").phase()).as("tried after its first wait").isEqualTo(Disruption.Phase.RETURNING);
         pass(Ramp.whole() + 1, all(Set.of()));
         assertThat(out("a")).isNull();
         assertThat(verdicts.words(now, "n0")).isEmpty();
@@ -80,11 +81,11 @@
         double[] returned = new double[3];
         for (int i = 0; i < 3; i++) {
             double from = now;
-            while (out("a").phase() != Out.Phase.RETURNING) {
+            while (out("a").phase() != Disruption.Phase.RETURNING) {
                 pass(0.25, all(Set.of("a")));
             }
             returned[i] = now - from;
-            while (out("a").phase() == Out.Phase.RETURNING) {
+            while (out("a").phase() == Disruption.Phase.RETURNING) {
                 pass(0.25, all(Set.of("a")));
             }
         }
@@ -114,9 +115,10 @@
 
     @Test
             void whatManyAvoidAddsUpToNoMoreThanTheBudget() {
-        ledger.apply(new OutOp.Ask(new Subject(Subject.Kind.BELOW, "d", ""), Out.Why.OPERATOR, "operator", "me"));
+        ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "d", ""),
+                Disruption.Why.OPERATOR, "operator", "me"));
         pass(2, List.of(Set.of("a"), Set.of("b"), Set.of(), Set.of(), Set.of()));
-        assertThat(out("d").phase()).isEqualTo(Out.Phase.GRANTED);
+        assertThat(out("d").phase()).isEqualTo(Disruption.Phase.GRANTED);
         assertThat(verdicts.words(now, "n0")).extracting(Word::kind).containsExactly(Word.Kind.OUT);
     }
 
@@ -126,9 +128,9 @@
         assertThat(SERVERS).allMatch(s -> out(s) == null);
         pass(20, all(Set.of()));
         pass(1.5, all(Set.of("a")));
-        assertThat(out("a").phase()).isEqualTo(Out.Phase.GRANTED);
+        assertThat(out("a").phase()).isEqualTo(Disruption.Phase.GRANTED);
         pass(1, all(Set.of("a", "b", "c")));
-        assertThat(out("a").phase()).isEqualTo(Out.Phase.RETURNING);
+        assertThat(out("a").phase()).isEqualTo(Disruption.Phase.RETURNING);
     }
 
     @Test
@@ -141,7 +143,7 @@
             void aSecondOneWaitsForTheFirstOnesPlace() {
         pass(2, all(Set.of("a")));
         pass(1, all(Set.of("a", "b")));
-        assertThat(out("b").phase()).isEqualTo(Out.Phase.ASKED);
+        assertThat(out("b").phase()).isEqualTo(Disruption.Phase.ASKED);
         assertThat(ledger.taken()).hasSize(1);
         pass(1, all(Set.of("a")));
         assertThat(out("b")).as("well again while it waits").isNull();
@@ -150,13 +152,13 @@
     @Test
             void anOperatorKeepsOneOutThatWasIllAndBringsItBack() {
         pass(2, all(Set.of("a")));
-        Subject a = new Subject(Subject.Kind.BELOW, "a", "");
-        assertThat(ledger.apply(new OutOp.Keeps(a, "operator", "me")).done()).isTrue();
+        DisruptionTarget a = new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", "");
+        assertThat(ledger.apply(new DisruptionCommand.Keeps(a, "operator", "me")).done()).isTrue();
         pass(60, all(Set.of()));
-        assertThat(out("a").phase()).as("by the operator's word alone").isEqualTo(Out.Phase.GRANTED);
-        assertThat(ledger.apply(new OutOp.Rejoins(a)).done()).isTrue();
-        assertThat(ledger.apply(new OutOp.Rejoins(a)).done()).as("said twice").isFalse();
-        assertThat(out("a").phase()).isEqualTo(Out.Phase.RETURNING);
+        assertThat(out("a").phase()).as("by the operator's word alone").isEqualTo(Disruption.Phase.GRANTED);
+        assertThat(ledger.apply(new DisruptionCommand.Rejoins(a)).done()).isTrue();
+        assertThat(ledger.apply(new DisruptionCommand.Rejoins(a)).done()).as("said twice").isFalse();
+        assertThat(out("a").phase()).isEqualTo(Disruption.Phase.RETURNING);
         pass(Ramp.whole() + 1, all(Set.of()));
         assertThat(out("a")).isNull();
     }
@@ -166,7 +168,7 @@
             void oneThatRejoinedSinceTheLastLookIsToldAsNew() {
         pass(2, all(Set.of("a")));
         now += 1;
-        ledger.apply(new OutOp.Rejoins(new Subject(Subject.Kind.BELOW, "a", "")));
+        ledger.apply(new DisruptionCommand.Rejoins(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", "")));
         assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
             assertThat(w.kind()).isEqualTo(Word.Kind.RETURNING);
             assertThat(w.age()).isZero();
@@ -176,17 +178,18 @@
     /** Behind an election nobody has said anything yet; a place must not be taken for what was so long ago. */
     @Test
             void whatWasAskedForUnderAnotherLeaderIsWithdrawnUnlessItIsStillSo() {
-        ledger.apply(new OutOp.Ask(new Subject(Subject.Kind.BELOW, "a", ""), Out.Why.ILL, "symptoms a 1", "symptoms"));
+        ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", ""),
+                Disruption.Why.ILL, "symptoms a 1", "symptoms"));
         pass(0.25, List.of());
         assertThat(out("a")).isNull();
     }
 
     @Test
             void rejoiningAndKeepingAreForServersBelowAlone() {
-        Subject n = new Subject(Subject.Kind.INSTANCE, "n1", "");
-        ledger.apply(new OutOp.Leaves(n, 0, 7, "a signal"));
-        assertThat(ledger.apply(new OutOp.Rejoins(n)).done()).isFalse();
-        assertThat(ledger.apply(new OutOp.Keeps(n, "operator", "me")).done()).isFalse();
+        DisruptionTarget n = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n1", "");
+        ledger.apply(new DisruptionCommand.Leaves(n, 0, 7, "a signal"));
+        assertThat(ledger.apply(new DisruptionCommand.Rejoins(n)).done()).isFalse();
+        assertThat(ledger.apply(new DisruptionCommand.Keeps(n, "operator", "me")).done()).isFalse();
     }
 
     @Test
--- a/src/test/java/topazladder/config/ScheduleFileTest.java
+++ b/src/test/java/topazladder/config/FaultScheduleFileTest.java
@@ -10,18 +10,19 @@
 import topazladder.faults.Schedule;
 
 /** Schedules of faults as files. */
-class ScheduleFileTest {
+class FaultScheduleFileTest {
 
     @Property(tries = 300)
             void whatIsWrittenIsReadAsTheSame(@ForAll long seed, @ForAll @IntRange(min = 3, max = 12) int processes) {
         Schedule drawn = Schedule.draw(seed, processes, 25);
-        assertThat(ScheduleFile.of(ScheduleFile.text(drawn))).isEqualTo(drawn);
+        assertThat(FaultScheduleFile.of(FaultScheduleFile.text(drawn))).isEqualTo(drawn);
         Schedule storm = Schedule.storm(seed, 25);
-        assertThat(ScheduleFile.of(ScheduleFile.text(storm))).isEqualTo(storm);
+        assertThat(FaultScheduleFile.of(FaultScheduleFile.text(storm))).isEqualTo(storm);
     }
 
     private static void refused(String text, String why) {
-        assertThatThrownBy(() -> ScheduleFile.of(text)).isInstanceOf(BadTerms.class).hasMessageContaining(why);
+        assertThatThrownBy(() -> FaultScheduleFile.of(text)).isInstanceOf(InvalidSettingsException.class)
+                .hasMessageContaining(why);
     }
 
     @Test
--- a/src/test/java/topazladder/group/VotersTest.java
+++ b/src/test/java/topazladder/consensus/VoterSetTest.java
@@ -1,4 +1,4 @@
-package topazladder.group;
+package topazladder.consensus;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -10,21 +10,22 @@
 import org.junit.jupiter.api.Test;
 
 /** Which change of the voters comes next; and which answers are too old to count. */
-class VotersTest {
-    private static final Endpoint N0 = new Endpoint("n0", 0);
-    private static final Endpoint N1 = new Endpoint("n1", 0);
-    private static final Endpoint N2 = new Endpoint("n2", 0);
-    private static final Endpoint REBORN = new Endpoint("n2", 55);
+class VoterSetTest {
+    private static final VoterEndpoint N0 = new VoterEndpoint("n0", 0);
+    private static final VoterEndpoint N1 = new VoterEndpoint("n1", 0);
+    private static final VoterEndpoint N2 = new VoterEndpoint("n2", 0);
+    private static final VoterEndpoint REBORN = new VoterEndpoint("n2", 55);
     private static final Set<String> WANTED = Set.of("n0", "n1", "n2");
 
-    private final Voters voters = new Voters();
+    private final VoterSet voters = new VoterSet();
 
     @Test
             void oneThatLostItsFolderIsTakenOutAsItsOldSelfAndInAsItsNewOne() {
         voters.asked(1, REBORN, WANTED);
         assertThat(voters.next(1.1, List.of(N0, N1, N2), WANTED, Set.of(N0, N1)))
-                .contains(new Voters.Change(N2, false));
-        assertThat(voters.next(1.2, List.of(N0, N1), WANTED, Set.of(N0, N1))).contains(new Voters.Change(REBORN, true));
+                .contains(new VoterSet.Change(N2, false));
+        assertThat(voters.next(1.2, List.of(N0, N1), WANTED, Set.of(N0, N1)))
+                .contains(new VoterSet.Change(REBORN, true));
         assertThat(voters.next(1.3, List.of(N0, N1, REBORN), WANTED, Set.of(N0, N1, REBORN))).isEmpty();
     }
 
@@ -36,7 +37,7 @@
 
     @Test
             void oneThatIsNotNamedIsNotHeard() {
-        voters.asked(1, new Endpoint("n9", 3), WANTED);
+        voters.asked(1, new VoterEndpoint("n9", 3), WANTED);
         assertThat(voters.next(1.1, List.of(N0, N1, N2), WANTED, Set.of(N0, N1, N2))).isEmpty();
     }
 
@@ -50,10 +51,10 @@
             void votersThatTheSettingsNameNoMoreGoOneByOne() {
         Set<String> other = Set.of("n0", "n1", "n3");
         assertThat(voters.next(1, List.of(N0, N1, N2), other, Set.of(N0, N1, N2)))
-                .contains(new Voters.Change(N2, false));
-        Endpoint n3 = new Endpoint("n3", 8);
+                .contains(new VoterSet.Change(N2, false));
+        VoterEndpoint n3 = new VoterEndpoint("n3", 8);
         voters.asked(2, n3, other);
-        assertThat(voters.next(2, List.of(N0, N1), other, Set.of(N0, N1))).contains(new Voters.Change(n3, true));
+        assertThat(voters.next(2, List.of(N0, N1), other, Set.of(N0, N1))).contains(new VoterSet.Change(n3, true));
     }
 
     @Test
@@ -63,13 +64,13 @@
                 .setTerm(3).setLastLogIndex(9).setQuerySequenceNumber(125).setFlowControlSequenceNumber(0).build();
         RaftMessage question = model.createVoteRequestBuilder().setGroupId("hall0").setSender(N1).setTerm(3)
                 .setLastLogTerm(1).setLastLogIndex(1).setSticky(true).build();
-        assertThat(Seat.outdated(answer, 4)).isTrue();
-        assertThat(Seat.outdated(answer, 3)).isFalse();
-        assertThat(Seat.outdated(question, 4)).isFalse();
+        assertThat(ConsensusReplica.outdated(answer, 4)).isTrue();
+        assertThat(ConsensusReplica.outdated(answer, 3)).isFalse();
+        assertThat(ConsensusReplica.outdated(question, 4)).isFalse();
     }
 
     @Test
             void anIdIsReadBackAsItWasWritten() {
-        assertThat(Endpoint.of(REBORN.toString())).isEqualTo(REBORN);
+        assertThat(VoterEndpoint.of(REBORN.toString())).isEqualTo(REBORN);
     }
 }
--- a/src/test/java/topazladder/delivery/DeliveryTest.java
+++ b/src/test/java/topazladder/delivery/DeliveryTest.java
@@ -14,20 +14,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import topazladder.config.BadTerms;
-import topazladder.config.Pick;
-import topazladder.config.QueueTerms;
-import topazladder.config.QueueTerms.Fields;
-import topazladder.config.QueueTerms.Route;
-import topazladder.config.Terms;
+import topazladder.config.FieldSource;
+import topazladder.config.InvalidSettingsException;
+import topazladder.config.QueueSettings;
+import topazladder.config.QueueSettings.Fields;
+import topazladder.config.QueueSettings.Route;
+import topazladder.config.SettingsReader;
 import topazladder.delivery.Delivery.Properties;
 import topazladder.delivery.Mapping.Mapped;
-import topazladder.service.Answer.How;
-import topazladder.ticket.Offering.Repeats;
+import topazladder.request.RequestClass.Repeats;
+import topazladder.service.Response.How;
 
-/** What a message comes to as a ticket, and what its ticket comes to as an outcome. */
+/** What a message comes to as a request, and what its request comes to as an outcome. */
 class DeliveryTest {
-    private static final Terms TERMS = Terms.ofLines("""
+    private static final SettingsReader TERMS = SettingsReader.ofLines("""
         Classes.count=2
         Classes.0.Name=read
         Classes.0.Idempotency=safe
@@ -43,14 +43,16 @@
         Extra.MemoryKb=1000
         """);
 
-    private static QueueTerms terms(Route delay, String rank, boolean believe) {
-        return new QueueTerms("q", new Fields(Pick.of("", "header:offering"), Pick.of("", "routing-key:2"),
-                Pick.of("", "property:message-id"), Pick.of("", rank), null, believe), 8, 3, 100, delay, null, 10,
+    private static QueueSettings terms(Route delay, String rank, boolean believe) {
+        return new QueueSettings("q",
+                new Fields(FieldSource.of("", "header:offering"), FieldSource.of("", "routing-key:2"),
+                        FieldSource.of("", "property:message-id"), FieldSource.of("", rank), null, believe),
+                8, 3, 100, delay, null, 10,
                 true);
     }
 
-    private static Delivery delivery(String offering, String key, Properties p, byte[] body, String... headers) {
-        Map<String, String> all = new LinkedHashMap<>(Map.of("offering", offering));
+    private static Delivery delivery(String requestClass, String key, Properties p, byte[] body, String... headers) {
+        Map<String, String> all = new LinkedHashMap<>(Map.of("offering", requestClass));
         for (int i = 0; i < headers.length; i += 2) {
             all.put(headers[i], headers[i + 1]);
         }
@@ -61,7 +63,7 @@
         return new Properties(id, null, null, null, 0, 0, -1);
     }
 
-    private static Mapped map(Delivery d, QueueTerms terms) {
+    private static Mapped map(Delivery d, QueueSettings terms) {
         return new Mapping(TERMS).map(d, terms, "ref", 1000);
     }
 
@@ -69,10 +71,10 @@
             void everyFieldComesFromWhereTheSettingsSay() {
         Mapped m = map(delivery("place", "new.acme", id("F"), new byte[50], Mapping.TRIES, "2"), terms(null, null,
                 false));
-        assertThat(m.arrival().customer()).isEqualTo("acme");
+        assertThat(m.arrival().tenant()).isEqualTo("acme");
         assertThat(m.arrival().fingerprint()).isEqualTo("F");
         assertThat(m.arrival().rank()).isEqualTo(0.999);
-        assertThat(m.arrival().laterTry()).isTrue();
+        assertThat(m.arrival().retry()).isTrue();
         assertThat(m.tries()).isEqualTo(2);
         assertThat(m.arrival().footprint()).isBetween(2.0, 2.1);
     }
@@ -83,10 +85,10 @@
             "read,new.acme,,101,,too large: 101 bytes", "read,new.acme,,10,NaN,a rank that is none",
             "read,new.acme,,10,-1,a rank that is none", "read,new.acme,,10,1e9,a rank that is none",
             "read,new.acme,,10,none,a rank that is none"})
-            void whatIsMissingOrWildHasNoDefault(String offering, String key, String id, int bytes, String rank,
+            void whatIsMissingOrWildHasNoDefault(String requestClass, String key, String id, int bytes, String rank,
                     String why) {
-        Delivery d = rank == null ? delivery(offering, key, id(id), new byte[bytes])
-                : delivery(offering, key, id(id), new byte[bytes], "rank", rank);
+        Delivery d = rank == null ? delivery(requestClass, key, id(id), new byte[bytes])
+                : delivery(requestClass, key, id(id), new byte[bytes], "rank", rank);
         assertThat(map(d, terms(null, rank == null ? null : "header:rank", false)).why()).isEqualTo(why);
     }
 
@@ -103,31 +105,31 @@
     @ParameterizedTest
     @ValueSource(strings = {"weather", "header:", "property:weather", "routing-key:0", "routing-key:x"})
             void aPickThatIsNoneIsToldByItsKey(String text) {
-        assertThatThrownBy(() -> Pick.of("rank", text)).isInstanceOf(BadTerms.class)
+        assertThatThrownBy(() -> FieldSource.of("rank", text)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageStartingWith("rank should");
     }
 
-    /** The table of docs/amqp.md; a dash in place of an answer stands for a ticket that can't be decided on. */
+    /** The table of docs/amqp.md; a dash in place of an answer stands for a request that can't be decided on. */
     @ParameterizedTest
     @CsvSource({
-            "HONOURED, RETRIABLE, 0, false, false, ACKNOWLEDGE, NONE",
-            "HONOURED, BINDING, 9, false, true, ACKNOWLEDGE, NONE",
-            "DEFERRED, RETRIABLE, 0, true, false, DELAY, NONE",
-            "DEFERRED, FINGERPRINTED, 1, true, false, DELAY, NONE",
-            "DEFERRED, BINDING, 1, true, false, DELAY, NONE",
-            "DEFERRED, RETRIABLE, 0, false, false, RETURN, NONE",
-            "DEFERRED, FINGERPRINTED, 0, false, false, RETURN, NONE",
-            "DEFERRED, BINDING, 0, false, false, DEAD_LETTER, NO_SAFE_WAY_BACK",
-            "DEFERRED, RETRIABLE, 2, true, false, DEAD_LETTER, TRIED_TOO_OFTEN",
-            "DEFERRED, RETRIABLE, 2, true, true, HAND_BACK, NONE",
-            "DEFERRED, FINGERPRINTED, 0, true, true, HAND_BACK, NONE",
-            "DEFERRED, BINDING, 0, true, true, DELAY, NONE",
-            "BROKEN_OFF, RETRIABLE, 0, true, false, DELAY, NONE",
-            "BROKEN_OFF, RETRIABLE, 2, true, false, DEAD_LETTER, TRIED_TOO_OFTEN",
-            "BROKEN_OFF, FINGERPRINTED, 0, true, false, DEAD_LETTER, MAY_HAVE_RUN",
-            "BROKEN_OFF, FINGERPRINTED, 0, true, true, DEAD_LETTER, MAY_HAVE_RUN",
-            "BROKEN_OFF, BINDING, 0, true, false, DEAD_LETTER, MAY_HAVE_RUN",
-            "-, RETRIABLE, 0, true, false, DEAD_LETTER, UNUSABLE"})
+            "SERVED, RETRY_SAFE, 0, false, false, ACKNOWLEDGE, NONE",
+            "SERVED, AT_MOST_ONCE, 9, false, true, ACKNOWLEDGE, NONE",
+            "REJECTED, RETRY_SAFE, 0, true, false, DELAY, NONE",
+            "REJECTED, IDEMPOTENT_BY_KEY, 1, true, false, DELAY, NONE",
+            "REJECTED, AT_MOST_ONCE, 1, true, false, DELAY, NONE",
+            "REJECTED, RETRY_SAFE, 0, false, false, RETURN, NONE",
+            "REJECTED, IDEMPOTENT_BY_KEY, 0, false, false, RETURN, NONE",
+            "REJECTED, AT_MOST_ONCE, 0, false, false, DEAD_LETTER, NO_SAFE_WAY_BACK",
+            "REJECTED, RETRY_SAFE, 2, true, false, DEAD_LETTER, TRIED_TOO_OFTEN",
+            "REJECTED, RETRY_SAFE, 2, true, true, HAND_BACK, NONE",
+            "REJECTED, IDEMPOTENT_BY_KEY, 0, true, true, HAND_BACK, NONE",
+            "REJECTED, AT_MOST_ONCE, 0, true, true, DELAY, NONE",
+            "FAILED, RETRY_SAFE, 0, true, false, DELAY, NONE",
+            "FAILED, RETRY_SAFE, 2, true, false, DEAD_LETTER, TRIED_TOO_OFTEN",
+            "FAILED, IDEMPOTENT_BY_KEY, 0, true, false, DEAD_LETTER, MAY_HAVE_RUN",
+            "FAILED, IDEMPOTENT_BY_KEY, 0, true, true, DEAD_LETTER, MAY_HAVE_RUN",
+            "FAILED, AT_MOST_ONCE, 0, true, false, DEAD_LETTER, MAY_HAVE_RUN",
+            "-, RETRY_SAFE, 0, true, false, DEAD_LETTER, UNUSABLE"})
             void eachAnswerHasOneOutcome(String how, Repeats repeats, int tries, boolean delay, boolean leaving,
                     String what,
                     String why) {
@@ -139,7 +141,7 @@
     @Test
             void aCopyThatWaitedIsMappedByWhereItCameFromAtFirst() {
         assertThat(map(delivery("place", "q", id("F"), new byte[1], Mapping.FIRST_KEY, "new.acme"),
-                terms(null, null, false)).arrival().customer()).isEqualTo("acme");
+                terms(null, null, false)).arrival().tenant()).isEqualTo("acme");
     }
 
     @Test
@@ -152,7 +154,7 @@
     }
 
     @Test
-            void theWindowGrowsWhileFullAndHonouredHalvesWithDeferralsAndClosesUnderTheLevel() {
+            void theWindowGrowsWhileFullAndServedHalvesWithDeferralsAndClosesUnderTheLevel() {
         Prefetch p = new Prefetch(32);
         double now = 0;
         int[] seen = new int[12];
--- a/src/test/java/topazladder/drain/PermitsTest.java
+++ b/src/test/java/topazladder/disruption/DisruptionControllerTest.java
@@ -1,4 +1,4 @@
-package topazladder.drain;
+package topazladder.disruption;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,59 +8,59 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import topazladder.drain.Out.Phase;
-import topazladder.drain.Out.Why;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Subject.Kind;
+import topazladder.disruption.Disruption.Phase;
+import topazladder.disruption.Disruption.Why;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionTarget.Kind;
 
 /** What a leader makes of what it sees: who is lost, who is back, whose turn it is. */
-class PermitsTest {
-    private final OutLedger ledger = new OutLedger();
-    private final Permits permits = new Permits(ledger, 2);
-    private final Map<Subject, Permits.Seen> looks = new HashMap<>();
+class DisruptionControllerTest {
+    private final DisruptionStateMachine ledger = new DisruptionStateMachine();
+    private final DisruptionController permits = new DisruptionController(ledger, 2);
+    private final Map<DisruptionTarget, DisruptionController.Seen> looks = new HashMap<>();
 
-    private static Subject instance(int i) {
-        return new Subject(Kind.INSTANCE, "n" + i, i < 3 ? "east" : "west");
+    private static DisruptionTarget instance(int i) {
+        return new DisruptionTarget(Kind.INSTANCE, "n" + i, i < 3 ? "east" : "west");
     }
 
     @BeforeEach
             void setUp() {
-        ledger.apply(new OutOp.Budgets(List.of(new Budget("hall", Kind.INSTANCE, "", 2, 1),
-                new Budget("east", Kind.INSTANCE, "east", 1, 1))));
+        ledger.apply(new DisruptionCommand.Budgets(List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 2, 1),
+                new DisruptionBudget("east", Kind.INSTANCE, "east", 1, 1))));
         for (int i = 0; i < 6; i++) {
             look(i, Look.STEADY, 1);
         }
-        permits.lead(0, 1);
+        permits.becomeLeader(0, 1);
         tick(1);
     }
 
     private void look(int i, Look look, long life) {
-        looks.put(instance(i), new Permits.Seen(look, life));
+        looks.put(instance(i), new DisruptionController.Seen(look, life));
     }
 
-    private List<OutOp> tick(double now) {
-        permits.seen(now, looks);
-        List<OutOp> ops = new ArrayList<>(permits.tick(now));
-        for (OutOp op : ops) {
+    private List<DisruptionCommand> tick(double now) {
+        permits.membersObserved(now, looks);
+        List<DisruptionCommand> ops = new ArrayList<>(permits.tick(now));
+        for (DisruptionCommand op : ops) {
             ledger.apply(op);
-            permits.over(op);
+            permits.commandCompleted(op);
         }
         return ops;
     }
 
     private void ask(int i) {
-        ledger.apply(new OutOp.Ask(instance(i), Why.OPERATOR, "r" + i, "op"));
+        ledger.apply(new DisruptionCommand.Ask(instance(i), Why.OPERATOR, "r" + i, "op"));
     }
 
     private Phase phase(int i) {
-        Out out = ledger.get(instance(i));
+        Disruption out = ledger.get(instance(i));
         return out == null ? null : out.phase();
     }
 
     @Test
             void aNewLeaderLooksRoundBeforeItLetsAnybodyGo() {
         ask(0);
-        permits.lead(10, 4);
+        permits.becomeLeader(10, 4);
         assertThat(tick(13)).isEmpty();
         tick(14);
         assertThat(phase(0)).isEqualTo(Phase.GRANTED);
@@ -78,7 +78,7 @@
         assertThat(phase(1)).isEqualTo(Phase.ASKED);
         assertThat(phase(3)).isEqualTo(Phase.ASKED);
         assertThat(permits.blocked().get(instance(1))).contains("east");
-        ledger.apply(new OutOp.GivenUp(instance(0), "op"));
+        ledger.apply(new DisruptionCommand.GivenUp(instance(0), "op"));
         tick(3);
         assertThat(phase(1)).isEqualTo(Phase.GRANTED);
         assertThat(phase(3)).isEqualTo(Phase.GRANTED);
@@ -118,7 +118,7 @@
             void oneThatDrainsIsStillHeardAndIsNotBackUntilAnotherLifeOfItIs() {
         ask(3);
         tick(2);
-        ledger.apply(new OutOp.Leaves(instance(3), ledger.get(instance(3)).token(), 1, ""));
+        ledger.apply(new DisruptionCommand.Leaves(instance(3), ledger.get(instance(3)).token(), 1, ""));
         tick(3);
         assertThat(phase(3)).isEqualTo(Phase.GONE);
         look(3, Look.GONE, 1);
@@ -156,10 +156,10 @@
     @Test
             void aHaltHoldsAllBackAndIsTold() {
         ask(0);
-        ledger.apply(new OutOp.Halt("by hand"));
+        ledger.apply(new DisruptionCommand.Halt("by hand"));
         tick(2);
         assertThat(permits.blocked().get(instance(0))).isEqualTo("halted: by hand");
-        ledger.apply(new OutOp.Halt(null));
+        ledger.apply(new DisruptionCommand.Halt(null));
         tick(3);
         assertThat(phase(0)).isEqualTo(Phase.GRANTED);
     }
--- a/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import topazladder.below.Use;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.Servers.Kind;
 import topazladder.emulator.hall.Servers.Trouble;
 import topazladder.experiment.BelowsExperiment;
@@ -23,7 +23,8 @@
     private static HallWorld world(Servers servers, Fault... faults) {
         Schedule s = new Schedule(1, MEMBERS, 3, Collections.nCopies(MEMBERS, 1.0), List.of(faults), 0);
         return new HallWorld(s, new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new Budget("below", Subject.Kind.BELOW, "", 1, 1))).calling(servers), Plant.NONE).open();
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1))).calling(servers),
+                Plant.NONE).open();
     }
 
     private static Servers servers(Trouble... troubles) {
--- a/src/test/java/topazladder/emulator/hall/HallWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/HallWorldTest.java
@@ -6,15 +6,15 @@
 import java.util.function.Supplier;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import topazladder.duty.Op;
 import topazladder.experiment.DutiesExperiment;
 import topazladder.faults.Fault;
 import topazladder.faults.Fault.Kind;
 import topazladder.faults.Schedule;
 import topazladder.hall.Saying;
+import topazladder.lease.LeaseCommand;
 import topazladder.membership.Membership;
 import topazladder.net.codec.HallMessages;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 
 /** Halls in virtual time: the hard cases by name, drawn schedules, and mistakes planted that the checks must find. */
 class HallWorldTest {
@@ -107,7 +107,7 @@
         HallWorld world = new HallWorld(s, setup(s), Plant.NONE).open();
         world.time().runUntil(s.length());
         assertThat(world.outcome().good()).isTrue();
-        assertThat(world.node(1).voter().seat().voting()).hasSize(3)
+        assertThat(world.node(1).voter().replica().voting()).hasSize(3)
                 .anyMatch(e -> e.name().equals("n0") && e.birth() != 0);
     }
 
@@ -160,7 +160,7 @@
         world.changeVoters(0, 3, 4);
         world.time().runUntil(38);
         for (int i : new int[] {0, 3, 4}) {
-            assertThat(world.node(i).voter().seat().voting()).extracting(e -> e.name())
+            assertThat(world.node(i).voter().replica().voting()).extracting(e -> e.name())
                     .containsExactlyInAnyOrder("n0", "n3", "n4");
         }
         // One of the first voters is gone for good: the others go on.
@@ -176,13 +176,13 @@
         world.time().runUntil(8);
         int holder = holderOf(world);
         int other = (holder + 1) % 5;
-        propose(world, new Op.HandOver("duty-0", "n" + other));
+        propose(world, new LeaseCommand.HandOver("duty-0", "n" + other));
         world.time().runUntil(12);
         assertThat(holderOf(world)).isEqualTo(other);
-        propose(world, new Op.Halt("duty-0", "by hand"));
+        propose(world, new LeaseCommand.Halt("duty-0", "by hand"));
         world.time().runUntil(16);
         assertThat(holderOf(world)).isEqualTo(-1);
-        propose(world, new Op.Resume("duty-0"));
+        propose(world, new LeaseCommand.Resume("duty-0"));
         world.time().runUntil(20);
         assertThat(holderOf(world)).isNotEqualTo(-1);
         assertThat(world.outcome().breaks()).isEmpty();
@@ -197,9 +197,9 @@
         return -1;
     }
 
-    private static void propose(HallWorld world, Op op) {
+    private static void propose(HallWorld world, LeaseCommand op) {
         for (int i = 0; i < 3; i++) {
-            if (world.node(i).voter().seat().leading()) {
+            if (world.node(i).voter().replica().leading()) {
                 world.node(i).voter().propose(op, o -> assertThat(o.done()).as(o.why()).isTrue());
             }
         }
@@ -208,7 +208,7 @@
     private static Saying thereAndBack(Saying what) {
         try {
             return HallMessages.saying(HallMessages.bytes(what));
-        } catch (Malformed e) {
+        } catch (MalformedMessageException e) {
             throw new AssertionError(what.toString(), e);
         }
     }
--- a/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject.Kind;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget.Kind;
 import topazladder.faults.Fault;
 import topazladder.faults.Schedule;
 import topazladder.membership.Membership;
@@ -22,7 +22,7 @@
 
     private static Played play(Schedule s, int budget, Plant plant) {
         HallWorld.Setup setup = new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new Budget("hall", Kind.INSTANCE, "", budget, 1)));
+                List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", budget, 1)));
         HallWorld world = new HallWorld(s, setup, plant).open();
         // Each is asked to go out once and again, so that some asks fall into any trouble.
         for (int round = 0; round < 8; round++) {
@@ -59,7 +59,7 @@
         for (int steps = 0; steps < 40; steps++) {
             HallWorld world = new HallWorld(new Schedule(1, 5, 3, List.of(1.0, 1.0, 1.0, 1.0, 1.0), List.of(), 0),
                     new HallWorld.Setup(5, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                            List.of(new Budget("hall", Kind.INSTANCE, "", 1, 1))),
+                            List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 1, 1))),
                     Plant.NONE).open();
             world.time().runUntil(10);
             world.askOut(4);
--- a/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import topazladder.drain.Budget;
-import topazladder.drain.Subject;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.Fleet.Quality;
 import topazladder.experiment.ReleasesExperiment;
 import topazladder.faults.Fault;
@@ -28,7 +28,8 @@
     private static HallWorld world(List<Fault> faults, Map<String, Quality> versions, Supervisor by, Set<Integer> old) {
         Schedule s = new Schedule(1, MEMBERS, 3, Collections.nCopies(MEMBERS, 1.0), faults, 0);
         return new HallWorld(s, new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new Budget("hall", Subject.Kind.INSTANCE, "", 1, 1)), new HallWorld.Roll(new Fleet(MEMBERS, 0.6,
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", 1, 1)),
+                new HallWorld.Roll(new Fleet(MEMBERS, 0.6,
                         versions, new SplittableRandom(5)), by, 2, 2, old)),
                 Plant.NONE).open();
     }
@@ -117,7 +118,7 @@
         assertThat(r.phase()).as(r.toString()).isEqualTo(Release.Phase.HALTED);
         assertThat(r.why()).contains("out for other reasons");
         world.time().runUntil(80);
-        world.order(seat -> new ReleaseOp.Resume(ReleaseOp.By.operator(0), seat.releases().release().id()));
+        world.order(replica -> new ReleaseOp.Resume(ReleaseOp.By.operator(0), replica.releases().release().id()));
         world.time().runUntil(220);
         assertThat(world.release().phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.outcome().breaks()).isEmpty();
@@ -127,8 +128,9 @@
             void aHaltAndAWayBackAtTheSameMomentEndOnA() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of());
         world.time().in(20, () -> {
-            world.order(seat -> new ReleaseOp.Halt(ReleaseOp.By.operator(0), seat.releases().release().id(), "me"));
-            world.order(seat -> new ReleaseOp.Back(ReleaseOp.By.operator(0), seat.releases().release().id()));
+            world.order(
+                    replica -> new ReleaseOp.Halt(ReleaseOp.By.operator(0), replica.releases().release().id(), "me"));
+            world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0), replica.releases().release().id()));
         });
         assertThat(released(world, 250).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("A");
@@ -139,8 +141,8 @@
         // Both spoil a tenth: nothing is judged on the way back, as there is nowhere else to go.
         HallWorld world = world(List.of(), Map.of("A", new Quality(0, 0.1, 0, ""), "B", new Quality(0, 0.1, 0, "")),
                 Supervisor.GOOD, Set.of());
-        world.time().in(30, () -> world.order(seat -> new ReleaseOp.Back(ReleaseOp.By.operator(0),
-                seat.releases().release().id())));
+        world.time().in(30, () -> world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0),
+                replica.releases().release().id())));
         assertThat(released(world, 250).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("A");
     }
--- a/src/test/java/topazladder/emulator/hall/ScenariosTest.java
+++ b/src/test/java/topazladder/emulator/hall/ScenariosTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import topazladder.config.ScheduleFile;
+import topazladder.config.FaultScheduleFile;
 import topazladder.experiment.WorstExperiment;
 
 /** The schedules that were kept for what they showed: the worst that searches found. */
@@ -24,7 +24,7 @@
         assertThat(all).hasSizeGreaterThanOrEqualTo(25);
         assertThat(all.parallelStream().filter(f -> {
             try {
-                return !WorstExperiment.played(ScheduleFile.of(Files.readString(f))).isEmpty();
+                return !WorstExperiment.played(FaultScheduleFile.of(Files.readString(f))).isEmpty();
             } catch (IOException e) {
                 throw new IllegalStateException(e);
             }
--- a/src/test/java/topazladder/faults/MutationsTest.java
+++ b/src/test/java/topazladder/faults/MutationsTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
-import topazladder.config.ScheduleFile;
+import topazladder.config.FaultScheduleFile;
 import topazladder.faults.Fault.Kind;
 
 /** Schedules near another one. */
@@ -22,7 +22,7 @@
             assertThat(s.faults()).isNotEmpty().hasSizeLessThan(12).isSortedAccordingTo(
                     (a, b) -> Double.compare(a.at(), b.at()));
         }
-        assertThat(ScheduleFile.of(ScheduleFile.text(s))).isEqualTo(s);
+        assertThat(FaultScheduleFile.of(FaultScheduleFile.text(s))).isEqualTo(s);
     }
 
     @Test
--- a/src/test/java/topazladder/faults/TicketLedgerTest.java
+++ b/src/test/java/topazladder/faults/RequestLedgerTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What the world holds against instances about tickets, and what not. */
-class TicketLedgerTest {
-    private final TicketLedger ledger = new TicketLedger(2);
+/** What the world holds against instances about requests, and what not. */
+class RequestLedgerTest {
+    private final RequestLedger ledger = new RequestLedger(2);
 
     private void sent(int count) {
         for (int i = 0; i < count; i++) {
--- a/src/test/java/topazladder/hall/MemberNodeTest.java
+++ b/src/test/java/topazladder/hall/MemberNodeTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import topazladder.duty.Holder;
-import topazladder.duty.Member;
+import topazladder.lease.LeaseHolder;
+import topazladder.lease.MemberIdentity;
 import topazladder.membership.Gossip;
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
@@ -22,7 +22,8 @@
     private double now = 1;
     private final MemberNode member = new MemberNode(new HallTerms("c1", "127.0.0.1:9", "", List.of("127.0.0.1:1"),
             List.of("n0", "n1", "n2"), 0.15, List.of(), false, new Membership.Terms(2, 3, 3600), List.of(), 3),
-            new Holder(new Member("c1", 7)), (in, what) -> timers.add(what), () -> now, new SplittableRandom(1),
+            new LeaseHolder(new MemberIdentity("c1", 7)), (in, what) -> timers.add(what), () -> now,
+            new SplittableRandom(1),
             new MemberNode.World() {
                 @Override public void say(String to, String address, Saying what) {
                     said.add(new Said(to, address, what));
--- a/src/test/java/topazladder/knowledge/KnowledgeTest.java
+++ b/src/test/java/topazladder/knowledge/KnowledgeTest.java
@@ -14,8 +14,8 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.DoubleRange;
 import org.junit.jupiter.api.Test;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
 
 /** Merging and ageing hold whatever comes, in whatever order, however often. */
 class KnowledgeTest {
@@ -64,11 +64,11 @@
             void olderNeverWeighsMoreAndNoWeightPassesItsCap(@ForAll("knowledge") Knowledge a,
                     @ForAll @DoubleRange(min = 100, max = 5000) double now,
                     @ForAll @DoubleRange(max = 5000) double later) {
-        List<Learned> then = a.seenFrom(HERE, now + later);
-        for (Learned l : then) {
+        List<LearnedEstimate> then = a.seenFrom(HERE, now + later);
+        for (LearnedEstimate l : then) {
             assertThat(l.weight()).isLessThanOrEqualTo(Nature.of(l.kind()).most());
             assertThat(l.weight()).isGreaterThanOrEqualTo(Math.min(1, Nature.of(l.kind()).least()));
-            Learned before = a.seenFrom(HERE, now).stream()
+            LearnedEstimate before = a.seenFrom(HERE, now).stream()
                     .filter(b -> b.kind() == l.kind() && b.subject().equals(l.subject())).findFirst().orElseThrow();
             assertThat(l.weight()).isLessThanOrEqualTo(before.weight());
         }
@@ -76,7 +76,7 @@
 
     @Property(seed = "20261201", tries = 300)
             void valuesStayWithinThoseThatWereTold(@ForAll("knowledge") Knowledge a) {
-        for (Learned l : a.seenFrom(HERE, 100)) {
+        for (LearnedEstimate l : a.seenFrom(HERE, 100)) {
             assertThat(a.facts()).anySatisfy(f -> {
                 assertThat(f.kind()).isEqualTo(l.kind());
                 assertThat(Nature.of(f.kind()).carried(f.value(), f.origin(), HERE)).hasValue(l.value());
@@ -108,17 +108,17 @@
             void oneOriginInTroubleDoesNotPullTheOthersAlong() {
         Knowledge three = Knowledge.of(List.of(fact(Kind.RUN_TIME, "", 1, 0.1, 40, 100),
                 fact(Kind.RUN_TIME, "", 2, 0.12, 40, 100), fact(Kind.RUN_TIME, "", 3, 9, 40, 100)));
-        assertThat(three.seenFrom(HERE, 100)).extracting(Learned::value).containsExactly(0.12);
+        assertThat(three.seenFrom(HERE, 100)).extracting(LearnedEstimate::value).containsExactly(0.12);
     }
 
     @Test
             void anHourOldSaysNothingAndARateOfMinutesAgoNeither() {
-        Knowledge old = Knowledge.of(List.of(fact(Kind.OUTGOING, "", 1, 20, 30, 40),
-                fact(Kind.CALLS_IN_HAND, "", 1, 3, 40, 40), fact(Kind.RUN_TIME, "read", 1, 0.1, 10, 40)));
-        assertThat(old.seenFrom(HERE, 100)).extracting(Learned::kind)
-                .containsExactly(Kind.RUN_TIME, Kind.CALLS_IN_HAND, Kind.OUTGOING);
-        assertThat(old.seenFrom(HERE, 240)).extracting(Learned::kind)
-                .containsExactly(Kind.RUN_TIME, Kind.CALLS_IN_HAND);
+        Knowledge old = Knowledge.of(List.of(fact(Kind.COMPLETION_RATE, "", 1, 20, 30, 40),
+                fact(Kind.CALLS_IN_FLIGHT, "", 1, 3, 40, 40), fact(Kind.RUN_TIME, "read", 1, 0.1, 10, 40)));
+        assertThat(old.seenFrom(HERE, 100)).extracting(LearnedEstimate::kind)
+                .containsExactly(Kind.RUN_TIME, Kind.CALLS_IN_FLIGHT, Kind.COMPLETION_RATE);
+        assertThat(old.seenFrom(HERE, 240)).extracting(LearnedEstimate::kind)
+                .containsExactly(Kind.RUN_TIME, Kind.CALLS_IN_FLIGHT);
         assertThat(old.seenFrom(HERE, 3640)).isEmpty();
     }
 
@@ -126,8 +126,8 @@
             void runTimesAreScaledByCoreSpeedAndHoldLittleWhereItIsNotKnown() {
         Origin fast = new Origin("f", 1, 8, 2, 99);
         Fact run = new Fact(Kind.RUN_TIME, "read", fast, 0.2, 10, 100, 1);
-        Fact rate = new Fact(Kind.OUTGOING, "", fast, 80, 60, 100, 1);
-        assertThat(Knowledge.of(List.of(run, rate)).seenFrom(HERE, 100)).extracting(Learned::value)
+        Fact rate = new Fact(Kind.COMPLETION_RATE, "", fast, 80, 60, 100, 1);
+        assertThat(Knowledge.of(List.of(run, rate)).seenFrom(HERE, 100)).extracting(LearnedEstimate::value)
                 .containsExactly(0.4, 20.0);
         Origin unknown = new Origin("n0", 7, 4, 0, 99);
         Fact weak = new Fact(Kind.RUN_TIME, "read", fast, 0.2, 1.9, 100, 1);
@@ -142,7 +142,7 @@
         for (Kind kind : Kind.values()) {
             facts.add(new Fact(kind, "", other, 1, 1000, 100, 1));
         }
-        assertThat(Knowledge.of(facts).seenFrom(HERE, 100)).extracting(Learned::kind)
+        assertThat(Knowledge.of(facts).seenFrom(HERE, 100)).extracting(LearnedEstimate::kind)
                 .containsExactly(Kind.RUN_TIME);
     }
 
@@ -151,19 +151,20 @@
         Fact own = new Fact(Kind.RUN_TIME, "", HERE, 0.1, 10, 100, 1);
         Fact before = new Fact(Kind.RUN_TIME, "", new Origin("n0", 6, 4, 1, 99), 0.3, 10, 100, 1);
         assertThat(Knowledge.of(List.of(own)).seenFrom(HERE, 100)).isEmpty();
-        assertThat(Knowledge.of(List.of(own, before)).seenFrom(HERE, 100)).extracting(Learned::value)
+        assertThat(Knowledge.of(List.of(own, before)).seenFrom(HERE, 100)).extracting(LearnedEstimate::value)
                 .containsExactly(0.3);
     }
 
     @Test
             void theModuleIsToldEachThingOnceAndNothingThatIsLeftOutOrCanNotBe() {
-        Learning learning = new Learning(HERE, () -> 100, List.of(Kind.CALLS_IN_HAND));
+        Learning learning = new Learning(HERE, () -> 100, List.of(Kind.CALLS_IN_FLIGHT));
         assertThat(learning.hear(List.of(fact(Kind.RUN_TIME, "", 1, Double.NaN, 10, 100),
-                fact(Kind.RUN_TIME, "", 1, -1, 10, 100), fact(Kind.CALLS_IN_HAND, "", 1, 3, 10, 100),
+                fact(Kind.RUN_TIME, "", 1, -1, 10, 100), fact(Kind.CALLS_IN_FLIGHT, "", 1, 3, 10, 100),
                 fact(Kind.RUN_TIME, "", 2, 0.2, 10, 100)))).isEqualTo(2);
-        assertThat(learning.forTheModule()).extracting(Learned::value).containsExactly(0.2);
-        learning.hear(List.of(fact(Kind.RUN_TIME, "", 3, 0.9, 10, 100), fact(Kind.OUTGOING, "", 3, 20, 30, 100)));
-        assertThat(learning.forTheModule()).extracting(Learned::kind).containsExactly(Kind.OUTGOING);
+        assertThat(learning.forTheModule()).extracting(LearnedEstimate::value).containsExactly(0.2);
+        learning.hear(
+                List.of(fact(Kind.RUN_TIME, "", 3, 0.9, 10, 100), fact(Kind.COMPLETION_RATE, "", 3, 20, 30, 100)));
+        assertThat(learning.forTheModule()).extracting(LearnedEstimate::kind).containsExactly(Kind.COMPLETION_RATE);
     }
 
     @Test
@@ -171,7 +172,7 @@
         Learning learning = new Learning(HERE, () -> 160, List.of());
         Fact heard = fact(Kind.RUN_TIME, "", 1, 0.2, 10, 100);
         learning.hear(List.of(heard));
-        Knowledge told = learning.toTell(List.of(new Learned(Kind.RUN_TIME, "", 0.3, 10, 5)));
+        Knowledge told = learning.toTell(List.of(new LearnedEstimate(Kind.RUN_TIME, "", 0.3, 10, 5)));
         assertThat(told.facts()).hasSize(2).contains(heard)
                 .contains(new Fact(Kind.RUN_TIME, "", HERE, 0.3, 10, 155, 1));
     }
--- a/src/test/java/topazladder/duty/HolderTest.java
+++ b/src/test/java/topazladder/lease/LeaseHolderTest.java
@@ -1,37 +1,37 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import topazladder.duty.Answer.Lease;
-import topazladder.duty.Holder.Step;
+import topazladder.lease.LeaseHolder.Step;
+import topazladder.lease.LeaseResponse.Lease;
 
 /** What a holder takes, keeps and gives up, by its own clock. */
-class HolderTest {
+class LeaseHolderTest {
     private static final double LEASE = 2;
 
-    private Holder holder;
+    private LeaseHolder holder;
 
     @BeforeEach
             void setUp() {
-        holder = new Holder(new Member("n1", 7));
+        holder = new LeaseHolder(new MemberIdentity("n1", 7));
     }
 
-    private static Ask sent(List<Step> steps) {
+    private static LeaseRequest sent(List<Step> steps) {
         return steps.stream().filter(s -> s instanceof Step.Send).map(s -> ((Step.Send) s).ask()).findFirst()
                 .orElse(null);
     }
 
-    private static Answer answer(long number, long token) {
-        return new Answer(number, List.of(new Lease("probe", token, LEASE, false)), 1);
+    private static LeaseResponse answer(long number, long token) {
+        return new LeaseResponse(number, List.of(new Lease("probe", token, LEASE, false)), 1);
     }
 
     /** Asks at 0 and is granted the duty by an answer that comes at 0.4. */
     private void granted(long token) {
-        Ask ask = sent(holder.steady(0, true));
-        assertThat(holder.answered(0.4, answer(ask.number(), token))).contains(new Step.Start("probe", token));
+        LeaseRequest ask = sent(holder.setSteady(0, true));
+        assertThat(holder.handleResponse(0.4, answer(ask.number(), token))).contains(new Step.Start("probe", token));
     }
 
     @Test
@@ -47,70 +47,70 @@
         assertThat(holder.token(500, "probe")).isEmpty();
         List<Step> steps = holder.tick(500);
         assertThat(steps).anyMatch(s -> s instanceof Step.Stop);
-        assertThat(sent(steps).stopped()).containsExactly(new Ask.Stopped("probe", 1, null));
+        assertThat(sent(steps).stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, null));
     }
 
     @Test
             void aLateAnswerCountsFromItsOwnAsk() {
         granted(1);
-        Ask second = sent(holder.tick(0.6));
-        Ask third = sent(holder.tick(1.5));
+        LeaseRequest second = sent(holder.tick(0.6));
+        LeaseRequest third = sent(holder.tick(1.5));
         assertThat(third.number()).isGreaterThan(second.number());
-        holder.answered(1.6, answer(second.number(), 1));
+        holder.handleResponse(1.6, answer(second.number(), 1));
         assertThat(holder.token(2.59, "probe")).hasValue(1);
         assertThat(holder.token(2.6, "probe")).isEmpty();
     }
 
     @Test
             void anAnswerThatComesTwiceOrWasNeverAskedForGivesNothing() {
-        Ask ask = sent(holder.steady(0, true));
-        holder.answered(0.5, answer(ask.number(), 1));
-        assertThat(holder.answered(1.0, answer(ask.number(), 1))).isEmpty();
-        assertThat(holder.answered(1.0, answer(99, 2))).isEmpty();
+        LeaseRequest ask = sent(holder.setSteady(0, true));
+        holder.handleResponse(0.5, answer(ask.number(), 1));
+        assertThat(holder.handleResponse(1.0, answer(ask.number(), 1))).isEmpty();
+        assertThat(holder.handleResponse(1.0, answer(99, 2))).isEmpty();
         assertThat(holder.token(2.0, "probe")).isEmpty();
     }
 
     @Test
             void aGrantWhoseAnswerComesPastItsTimeIsNotBegunAndIsGivenBack() {
-        Ask ask = sent(holder.steady(0, true));
-        List<Step> steps = holder.answered(2.5, answer(ask.number(), 1));
+        LeaseRequest ask = sent(holder.setSteady(0, true));
+        List<Step> steps = holder.handleResponse(2.5, answer(ask.number(), 1));
         assertThat(steps).noneMatch(s -> s instanceof Step.Start);
-        assertThat(sent(steps).stopped()).containsExactly(new Ask.Stopped("probe", 1, null));
+        assertThat(sent(steps).stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, null));
     }
 
     @Test
             void whatItStoppedIsSaidAgainUntilTheGroupKnows() {
         granted(1);
-        Ask over = sent(holder.stopped(1.0, "probe", 1, "no file"));
-        assertThat(over.stopped()).containsExactly(new Ask.Stopped("probe", 1, "no file"));
+        LeaseRequest over = sent(holder.taskStopped(1.0, "probe", 1, "no file"));
+        assertThat(over.stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, "no file"));
         // The leader that heard it is none any more: the next one still has it as held here.
-        Ask again = sent(holder.answered(1.2, answer(over.number(), 1)));
+        LeaseRequest again = sent(holder.handleResponse(1.2, answer(over.number(), 1)));
         assertThat(again == null ? sent(holder.tick(1.9)).stopped() : again.stopped())
-                .extracting(Ask.Stopped::token).containsExactly(1L);
+                .extracting(LeaseRequest.Stopped::token).containsExactly(1L);
         assertThat(holder.token(1.3, "probe")).isEmpty();
     }
 
     @Test
             void aTokenThatIsOverIsNeverTakenUpAgain() {
         granted(1);
-        Ask over = sent(holder.stopped(1.0, "probe", 1, null));
-        holder.answered(1.1, new Answer(over.number(), List.of(), 1));
-        assertThat(holder.clear()).isTrue();
-        Ask ask = sent(holder.nudged(1.2));
-        assertThat(holder.answered(1.3, answer(ask.number(), 1))).noneMatch(s -> s instanceof Step.Start);
-        Ask next = sent(holder.nudged(1.5));
+        LeaseRequest over = sent(holder.taskStopped(1.0, "probe", 1, null));
+        holder.handleResponse(1.1, new LeaseResponse(over.number(), List.of(), 1));
+        assertThat(holder.isIdle()).isTrue();
+        LeaseRequest ask = sent(holder.wakeUp(1.2));
+        assertThat(holder.handleResponse(1.3, answer(ask.number(), 1))).noneMatch(s -> s instanceof Step.Start);
+        LeaseRequest next = sent(holder.wakeUp(1.5));
         assertThat(next.stopped()).as("it says again that it is over").isNotEmpty();
-        assertThat(holder.answered(1.6, answer(next.number(), 2))).contains(new Step.Start("probe", 2));
+        assertThat(holder.handleResponse(1.6, answer(next.number(), 2))).contains(new Step.Start("probe", 2));
     }
 
     @Test
             void whatIsGrantedAnewIsNotBegunBesideItself() {
         granted(1);
-        Ask ask = sent(holder.nudged(0.9));
-        List<Step> steps = holder.answered(1.0, answer(ask.number(), 2));
+        LeaseRequest ask = sent(holder.wakeUp(0.9));
+        List<Step> steps = holder.handleResponse(1.0, answer(ask.number(), 2));
         assertThat(steps).noneMatch(s -> s instanceof Step.Start).anyMatch(s -> s instanceof Step.Stop);
-        Ask over = sent(holder.stopped(1.1, "probe", 1, null));
-        assertThat(holder.answered(1.2, answer(over.number(), 2))).contains(new Step.Start("probe", 2));
+        LeaseRequest over = sent(holder.taskStopped(1.1, "probe", 1, null));
+        assertThat(holder.handleResponse(1.2, answer(over.number(), 2))).contains(new Step.Start("probe", 2));
     }
 
     @Test
@@ -123,18 +123,18 @@
     @Test
             void oneThatLeavesStopsAllAndTakesNothing() {
         granted(1);
-        List<Step> steps = holder.leave(1.0);
+        List<Step> steps = holder.shutDown(1.0);
         assertThat(steps).anyMatch(s -> s instanceof Step.Stop);
         assertThat(sent(steps).steady()).isFalse();
-        Ask over = sent(holder.stopped(1.1, "probe", 1, null));
-        List<Step> after = holder.answered(1.2, new Answer(over.number(),
+        LeaseRequest over = sent(holder.taskStopped(1.1, "probe", 1, null));
+        List<Step> after = holder.handleResponse(1.2, new LeaseResponse(over.number(),
                 List.of(new Lease("other", 1, LEASE, false)), 1));
         assertThat(after).noneMatch(s -> s instanceof Step.Start);
     }
 
     @Test
             void anAskWithoutAnAnswerGoesToAnotherVoter() {
-        holder.steady(0, true);
+        holder.setSteady(0, true);
         List<Step> steps = holder.tick(1.1);
         assertThat(steps).anyMatch(s -> s instanceof Step.Send send && send.another());
     }
--- a/src/test/java/topazladder/duty/AllotterTest.java
+++ b/src/test/java/topazladder/lease/LeaseManagerTest.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,38 +8,38 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import topazladder.duty.Allotter.Step;
+import topazladder.lease.LeaseManager.Step;
 
 /**
  * What the leader grants, renews and ends; its operations are applied as soon as they are proposed, where a test says
  * no more.
  */
-class AllotterTest {
-    private final DutyLedger ledger = new DutyLedger();
-    private Allotter leader;
+class LeaseManagerTest {
+    private final LeaseStateMachine ledger = new LeaseStateMachine();
+    private LeaseManager leader;
     private final List<Step> said = new ArrayList<>();
 
     @BeforeEach
             void setUp() {
         define(1);
-        leader = new Allotter(ledger);
-        leader.lead(0);
+        leader = new LeaseManager(ledger);
+        leader.becomeLeader(0);
     }
 
     private void define(int duties) {
-        List<DutyTerms> all = new ArrayList<>();
+        List<LeaseSettings> all = new ArrayList<>();
         for (int i = 0; i < duties; i++) {
-            all.add(new DutyTerms("duty-" + i, 2, 3));
+            all.add(new LeaseSettings("duty-" + i, 2, 3));
         }
-        ledger.apply(new Op.Define(all));
+        ledger.apply(new LeaseCommand.Define(all));
     }
 
-    private static Member member(int i) {
-        return new Member("n" + i, 1);
+    private static MemberIdentity member(int i) {
+        return new MemberIdentity("n" + i, 1);
     }
 
-    private static Ask ask(Member from, long number, boolean steady, Ask.Stopped... stopped) {
-        return new Ask(from, number, steady, List.of(), List.of(stopped));
+    private static LeaseRequest ask(MemberIdentity from, long number, boolean steady, LeaseRequest.Stopped... stopped) {
+        return new LeaseRequest(from, number, steady, List.of(), List.of(stopped));
     }
 
     /** Carries out all at once: confirms, and applies what is proposed. */
@@ -47,16 +47,16 @@
         for (Step s : steps) {
             said.add(s);
             if (s instanceof Step.Confirm c) {
-                carryOut(now, leader.confirmed(now, c.round()));
+                carryOut(now, leader.leadershipConfirmed(now, c.round()));
             } else if (s instanceof Step.Propose p) {
-                carryOut(now, leader.applied(now, p.op(), ledger.apply(p.op())));
+                carryOut(now, leader.commandApplied(now, p.op(), ledger.apply(p.op())));
             }
         }
     }
 
-    private Answer answerTo(double now, Ask ask) {
+    private LeaseResponse answerTo(double now, LeaseRequest ask) {
         said.clear();
-        carryOut(now, leader.ask(now, ask));
+        carryOut(now, leader.handleRequest(now, ask));
         return said.stream().filter(s -> s instanceof Step.Reply r && r.to().equals(ask.from()))
                 .map(s -> ((Step.Reply) s).answer()).findFirst().orElse(null);
     }
@@ -65,7 +65,7 @@
         carryOut(now, leader.tick(now));
     }
 
-    private Member holder(int duty) {
+    private MemberIdentity holder(int duty) {
         return ledger.get("duty-" + duty).holder();
     }
 
@@ -78,14 +78,14 @@
         tick(1.1);
         assertThat(holder(0)).isEqualTo(member(1));
         assertThat(said).contains(new Step.Nudge(member(1)));
-        Answer a = answerTo(1.2, ask(member(1), 2, true));
-        assertThat(a.leases()).containsExactly(new Answer.Lease("duty-0", 1, 2, false));
+        LeaseResponse a = answerTo(1.2, ask(member(1), 2, true));
+        assertThat(a.leases()).containsExactly(new LeaseResponse.Lease("duty-0", 1, 2, false));
     }
 
     @Test
             void aNewLeaderWaitsOutWhatItCantKnow() {
-        ledger.apply(new Op.Grant("duty-0", member(9), 0));
-        leader.lead(100);
+        ledger.apply(new LeaseCommand.Grant("duty-0", member(9), 0));
+        leader.becomeLeader(100);
         answerTo(100.1, ask(member(1), 1, true));
         answerTo(101.5, ask(member(1), 2, true));
         tick(100 + 2 * 1.05 / 0.95 - 0.01);
@@ -96,13 +96,14 @@
 
     @Test
             void nothingIsAnsweredBeforeAMajorityHasConfirmedAndOnlyWhatCameBefore() {
-        List<Step> first = leader.ask(0.1, ask(member(0), 1, true));
+        List<Step> first = leader.handleRequest(0.1, ask(member(0), 1, true));
         assertThat(first).containsExactly(new Step.Confirm(1));
-        assertThat(leader.ask(0.2, ask(member(1), 1, true))).isEmpty();
-        List<Step> then = leader.confirmed(0.3, 1);
+        assertThat(leader.handleRequest(0.2, ask(member(1), 1, true))).isEmpty();
+        List<Step> then = leader.leadershipConfirmed(0.3, 1);
         assertThat(then).filteredOn(s -> s instanceof Step.Reply).hasSize(1);
         assertThat(then).contains(new Step.Confirm(2));
-        assertThat(leader.confirmed(0.4, 2)).filteredOn(s -> s instanceof Step.Reply r && r.to().equals(member(1)))
+        assertThat(leader.leadershipConfirmed(0.4, 2))
+                .filteredOn(s -> s instanceof Step.Reply r && r.to().equals(member(1)))
                 .hasSize(1);
     }
 
@@ -110,20 +111,20 @@
             void fiveHundredThatAskAtOnceAreAnsweredByTwoConfirmations() {
         List<Step> all = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            all.addAll(leader.ask(0.1, ask(member(i), 1, true)));
+            all.addAll(leader.handleRequest(0.1, ask(member(i), 1, true)));
         }
         assertThat(all).containsExactly(new Step.Confirm(1));
-        int answers = leader.confirmed(0.2, 1).size();
-        answers += leader.confirmed(0.3, 2).size();
+        int answers = leader.leadershipConfirmed(0.2, 1).size();
+        answers += leader.leadershipConfirmed(0.3, 2).size();
         assertThat(answers).isEqualTo(500 + 1); // and the second round
     }
 
     @Test
             void withoutAMajorityNobodyIsAnsweredAndTheAskersAskAgain() {
-        leader.ask(0.1, ask(member(0), 1, true));
-        assertThat(leader.unconfirmed(1)).isEmpty();
-        assertThat(leader.confirmed(0.2, 1)).isEmpty();
-        assertThat(leader.ask(0.3, ask(member(0), 2, true))).containsExactly(new Step.Confirm(2));
+        leader.handleRequest(0.1, ask(member(0), 1, true));
+        assertThat(leader.leadershipUnconfirmed(1)).isEmpty();
+        assertThat(leader.leadershipConfirmed(0.2, 1)).isEmpty();
+        assertThat(leader.handleRequest(0.3, ask(member(0), 2, true))).containsExactly(new Step.Confirm(2));
     }
 
     @Test
@@ -131,16 +132,16 @@
         answerTo(0.1, ask(member(0), 1, true));
         tick(1.1);
         List<Step> over = leader.tick(1.1 + 2 * 1.05 / 0.95 + 0.1);
-        assertThat(over).contains(new Step.Propose(new Op.Expire("duty-0", 1)));
+        assertThat(over).contains(new Step.Propose(new LeaseCommand.Expire("duty-0", 1)));
         // The operation is on its way, and the holder asks.
-        List<Step> steps = leader.ask(3.5, ask(member(0), 2, true));
+        List<Step> steps = leader.handleRequest(3.5, ask(member(0), 2, true));
         long round = ((Step.Confirm) steps.get(0)).round();
-        assertThat(leader.confirmed(3.6, round)).filteredOn(s -> s instanceof Step.Reply)
+        assertThat(leader.leadershipConfirmed(3.6, round)).filteredOn(s -> s instanceof Step.Reply)
                 .extracting(s -> ((Step.Reply) s).answer().leases()).containsExactly(List.of());
         // Nobody knows whether it came through: still no renewal.
-        leader.failed(new Op.Expire("duty-0", 1));
-        long next = ((Step.Confirm) leader.ask(3.7, ask(member(0), 3, true)).get(0)).round();
-        assertThat(leader.confirmed(3.8, next)).filteredOn(s -> s instanceof Step.Reply)
+        leader.commandFailed(new LeaseCommand.Expire("duty-0", 1));
+        long next = ((Step.Confirm) leader.handleRequest(3.7, ask(member(0), 3, true)).get(0)).round();
+        assertThat(leader.leadershipConfirmed(3.8, next)).filteredOn(s -> s instanceof Step.Reply)
                 .extracting(s -> ((Step.Reply) s).answer().leases()).containsExactly(List.of());
     }
 
@@ -149,10 +150,10 @@
         answerTo(0.1, ask(member(0), 1, true));
         tick(1.1);
         answerTo(1.2, ask(member(1), 1, true));
-        ledger.apply(new Op.HandOver("duty-0", "n1"));
-        Answer a = answerTo(1.3, ask(member(0), 2, true));
+        ledger.apply(new LeaseCommand.HandOver("duty-0", "n1"));
+        LeaseResponse a = answerTo(1.3, ask(member(0), 2, true));
         assertThat(a.leases().get(0).stop()).isTrue();
-        answerTo(1.4, ask(member(0), 3, true, new Ask.Stopped("duty-0", 1, null)));
+        answerTo(1.4, ask(member(0), 3, true, new LeaseRequest.Stopped("duty-0", 1, null)));
         tick(1.5);
         assertThat(holder(0)).isEqualTo(member(1));
         assertThat(ledger.get("duty-0").token()).isEqualTo(2);
@@ -175,36 +176,36 @@
             void aMemberThatComesBackUnderAnotherLifeCountsWhatItLostAsBroughtDown() {
         for (long life = 1; life <= 3; life++) {
             double at = life * 10;
-            Member m = new Member("n0", life);
+            MemberIdentity m = new MemberIdentity("n0", life);
             answerTo(at, ask(m, 1, true));
             tick(at + 1.1);
             assertThat(holder(0)).isEqualTo(m);
             tick(at + 9);
             assertThat(holder(0)).isNull();
         }
-        answerTo(40, ask(new Member("n0", 4), 1, true));
+        answerTo(40, ask(new MemberIdentity("n0", 4), 1, true));
         assertThat(ledger.get("duty-0").halted()).contains("brought down 3");
     }
 
     @Test
             void anAskOfALifeThatIsOverIsNotAnswered() {
-        answerTo(0.1, ask(new Member("n0", 5), 1, true));
-        assertThat(leader.ask(0.2, ask(new Member("n0", 4), 9, true))).isEmpty();
+        answerTo(0.1, ask(new MemberIdentity("n0", 5), 1, true));
+        assertThat(leader.handleRequest(0.2, ask(new MemberIdentity("n0", 4), 9, true))).isEmpty();
     }
 
     @Test
             void whatAnOperatorPutSomewhereIsNotTakenFromItToEvenTheLoad() {
         define(3);
         for (int d = 0; d < 3; d++) {
-            ledger.apply(new Op.HandOver("duty-" + d, "n3"));
+            ledger.apply(new LeaseCommand.HandOver("duty-" + d, "n3"));
         }
         rounds(0, 20, 5);
         assertThat(ledger.all()).allMatch(s -> member(3).equals(s.holder()));
-        long tokens = ledger.all().stream().mapToLong(DutyState::token).sum();
+        long tokens = ledger.all().stream().mapToLong(LeaseState::token).sum();
         rounds(20, 60, 5);
-        assertThat(ledger.all().stream().mapToLong(DutyState::token).sum()).isEqualTo(tokens);
+        assertThat(ledger.all().stream().mapToLong(LeaseState::token).sum()).isEqualTo(tokens);
         // Said of one that it holds already, it means the same.
-        ledger.apply(new Op.HandOver("duty-1", "n3"));
+        ledger.apply(new LeaseCommand.HandOver("duty-1", "n3"));
         assertThat(ledger.get("duty-1").wanted()).isEmpty();
     }
 
@@ -213,12 +214,12 @@
         for (int round = from; round < to; round++) {
             double now = round * 0.5;
             for (int i = 0; i < members; i++) {
-                Answer last = answerTo(now, ask(member(i), 2L * round, true));
-                List<Ask.Stopped> stopped = new ArrayList<>();
-                last.leases().stream().filter(Answer.Lease::stop)
-                        .forEach(l -> stopped.add(new Ask.Stopped(l.duty(), l.token(), null)));
+                LeaseResponse last = answerTo(now, ask(member(i), 2L * round, true));
+                List<LeaseRequest.Stopped> stopped = new ArrayList<>();
+                last.leases().stream().filter(LeaseResponse.Lease::stop)
+                        .forEach(l -> stopped.add(new LeaseRequest.Stopped(l.duty(), l.token(), null)));
                 if (!stopped.isEmpty()) {
-                    answerTo(now, ask(member(i), 2L * round + 1, true, stopped.toArray(Ask.Stopped[]::new)));
+                    answerTo(now, ask(member(i), 2L * round + 1, true, stopped.toArray(LeaseRequest.Stopped[]::new)));
                 }
             }
             tick(now);
@@ -230,11 +231,11 @@
         define(300);
         rounds(0, 20, 4);
         rounds(20, 120, 12);
-        Map<Member, Integer> load = new HashMap<>();
+        Map<MemberIdentity, Integer> load = new HashMap<>();
         ledger.all().forEach(s -> load.merge(s.holder(), 1, Integer::sum));
         assertThat(load).hasSize(12);
-        assertThat(load.values()).allMatch(n -> n <= 1.25 * Placement.bound(300, 12));
-        long moves = ledger.all().stream().mapToLong(DutyState::token).sum() - 300;
+        assertThat(load.values()).allMatch(n -> n <= 1.25 * LeasePlacement.bound(300, 12));
+        long moves = ledger.all().stream().mapToLong(LeaseState::token).sum() - 300;
         assertThat(moves).as("duties that moved when eight joined four").isLessThanOrEqualTo(200);
     }
 
@@ -245,7 +246,7 @@
         answerTo(1.2, ask(member(1), 1, true));
         for (double t = 1.3; t < 6; t += 0.4) {
             answerTo(t, ask(member(1), (long) (t * 100), true));
-            answerTo(t, ask(member(0), (long) (t * 100), true, new Ask.Stopped("duty-0", 1, "no file")));
+            answerTo(t, ask(member(0), (long) (t * 100), true, new LeaseRequest.Stopped("duty-0", 1, "no file")));
             tick(t);
         }
         assertThat(holder(0)).isEqualTo(member(1));
--- a/src/test/java/topazladder/duty/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseTest.java
@@ -1,4 +1,4 @@
-package topazladder.duty;
+package topazladder.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -13,8 +13,8 @@
  * a lease for over, the holder is told no more that it may go on. Answers and asks come late, twice, or not at all.
  */
 class LeaseTest {
-    private static final DutyTerms PROBE = new DutyTerms("probe", 2, 3);
-    private static final Member HERE = new Member("n1", 7);
+    private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
+    private static final MemberIdentity HERE = new MemberIdentity("n1", 7);
 
     private record Late(double at, DoubleConsumer what) {
     }
@@ -24,45 +24,45 @@
         SplittableRandom chance = new SplittableRandom(seed);
         double leaderRate = chance.nextBoolean() ? 1.05 : 1 + chance.nextDouble(-0.05, 0.05);
         double holderRate = chance.nextBoolean() ? 0.95 : 1 + chance.nextDouble(-0.05, 0.05);
-        DutyLedger ledger = new DutyLedger();
-        Allotter leader = new Allotter(ledger) {
-            @Override protected double surelyOver(DutyTerms terms) {
+        LeaseStateMachine ledger = new LeaseStateMachine();
+        LeaseManager leader = new LeaseManager(ledger) {
+            @Override protected double surelyOver(LeaseSettings terms) {
                 return clocksIgnored ? terms.lease() : super.surelyOver(terms);
             }
         };
-        Holder holder = new Holder(HERE);
-        ledger.apply(new Op.Define(List.of(PROBE)));
-        leader.lead(0);
+        LeaseHolder holder = new LeaseHolder(HERE);
+        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
+        leader.becomeLeader(0);
         List<Late> way = new ArrayList<>();
         double cut = chance.nextDouble(2, 9);
         double expired = Double.NaN;
         double lastTold = 0;
         for (double t = 0; t < 16; t += 0.005) {
             double atLeader = t * leaderRate;
-            List<Allotter.Step> said = new ArrayList<>(leader.tick(atLeader));
+            List<LeaseManager.Step> said = new ArrayList<>(leader.tick(atLeader));
             for (Late l : List.copyOf(way)) {
                 if (l.at() <= t) {
                     way.remove(l);
                     l.what().accept(t);
                 }
             }
-            for (Allotter.Step s : said) {
-                if (s instanceof Allotter.Step.Propose p && p.op() instanceof Op.Expire) {
+            for (LeaseManager.Step s : said) {
+                if (s instanceof LeaseManager.Step.Propose p && p.op() instanceof LeaseCommand.Expire) {
                     expired = Double.isNaN(expired) ? t : expired;
-                } else if (s instanceof Allotter.Step.Propose p) {
-                    leader.applied(atLeader, p.op(), ledger.apply(p.op()));
+                } else if (s instanceof LeaseManager.Step.Propose p) {
+                    leader.commandApplied(atLeader, p.op(), ledger.apply(p.op()));
                 }
             }
             if (!Double.isNaN(expired)) {
                 break;
             }
-            List<Holder.Step> steps = new ArrayList<>(holder.steady(t * holderRate, true));
-            for (Holder.Step s : steps) {
-                if (s instanceof Holder.Step.Send send && t < cut) {
+            List<LeaseHolder.Step> steps = new ArrayList<>(holder.setSteady(t * holderRate, true));
+            for (LeaseHolder.Step s : steps) {
+                if (s instanceof LeaseHolder.Step.Send send && t < cut) {
                     way.add(new Late(t + chance.nextDouble(0.3), at -> {
-                        for (Allotter.Step a : leader.ask(at * leaderRate, send.ask())) {
-                            if (a instanceof Allotter.Step.Confirm c) {
-                                answer(leader.confirmed(at * leaderRate, c.round()), way, at, chance, holder,
+                        for (LeaseManager.Step a : leader.handleRequest(at * leaderRate, send.ask())) {
+                            if (a instanceof LeaseManager.Step.Confirm c) {
+                                answer(leader.leadershipConfirmed(at * leaderRate, c.round()), way, at, chance, holder,
                                         holderRate);
                             }
                         }
@@ -82,13 +82,13 @@
         return lastTold - expired;
     }
 
-    private static void answer(List<Allotter.Step> steps, List<Late> way, double now, SplittableRandom chance,
-            Holder holder, double holderRate) {
-        for (Allotter.Step r : steps) {
-            if (r instanceof Allotter.Step.Reply reply && chance.nextInt(10) > 0) {
+    private static void answer(List<LeaseManager.Step> steps, List<Late> way, double now, SplittableRandom chance,
+            LeaseHolder holder, double holderRate) {
+        for (LeaseManager.Step r : steps) {
+            if (r instanceof LeaseManager.Step.Reply reply && chance.nextInt(10) > 0) {
                 for (int i = chance.nextInt(2); i >= 0; i--) {
                     way.add(new Late(now + chance.nextDouble(0.6),
-                            at -> holder.answered(at * holderRate, reply.answer())));
+                            at -> holder.handleResponse(at * holderRate, reply.answer())));
                 }
             }
         }
--- a/src/test/java/topazladder/net/CallerServerTest.java
+++ b/src/test/java/topazladder/net/CallerServerTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Timeout;
 import topazladder.Frames;
 import topazladder.Stub;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.config.Terms;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.config.SettingsReader;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Exchange;
+import topazladder.service.RequestDispatcher;
 import topazladder.service.RuntimePort;
 
 /** The callers' side alone; its event loop is held while bytes come, so that they lie unread as it ends. */
@@ -44,7 +44,7 @@
     private final Counters counters = new Counters();
     private Vertx vertx;
     private CallerServer server;
-    private Exchange exchange;
+    private RequestDispatcher dispatcher;
     private final CountDownLatch asked = new CountDownLatch(1);
     private int port;
 
@@ -53,14 +53,15 @@
         AcceptGate gate = new AcceptGate(GATE);
         vertx = Vertx.builder().withTransport(gate).with(new VertxOptions().setEventLoopPoolSize(1)).build();
         server = new CallerServer(vertx, GATE, gate::shut, counters);
-        exchange = new Exchange(() -> System.currentTimeMillis() / 1000.0, Terms.ofLines(SETTINGS), silent(),
+        dispatcher = new RequestDispatcher(() -> System.currentTimeMillis() / 1000.0, SettingsReader.ofLines(SETTINGS),
+                silent(),
                 null, server, null, counters);
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
         CountDownLatch up = new CountDownLatch(1);
         vertx.runOnContext(
-                v -> server.listen(new Address("127.0.0.1", port), exchange).onComplete(s -> up.countDown()));
+                v -> server.listen(new Address("127.0.0.1", port), dispatcher).onComplete(s -> up.countDown()));
         up.await();
     }
 
@@ -72,23 +73,23 @@
     }
 
     @Test
-            void ticketThatLiesUnreadAsTheInstanceEndsIsNeverTakenInAndResetsNothing() throws Exception {
+            void requestThatLiesUnreadAsTheInstanceEndsIsNeverTakenInAndResetsNothing() throws Exception {
         try (Stub stub = answeredOnce()) {
-            unreadAs(stub, Frames.ticket(2, "00000000000000bb", "read"), CallerServer::end);
+            unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::end);
             assertThat(stub.hear()).isEqualTo("48 on 0");
             assertThat(stub.hear()).isEqualTo("closed");
             awaitConnections(0);
             awaitConnections(0); // a turn of the event loop later the socket is given back
             assertThat(stub.wasResetAfterItsEnd()).isFalse();
-            assertThat(counters.of(Count.TICKETS_TAKEN_IN)).isEqualTo(1);
+            assertThat(counters.of(Count.REQUESTS_TAKEN_IN)).isEqualTo(1);
         }
     }
 
     @Test
-            void halfATicketThatLiesUnreadAsTheInstanceEndsResetsNothing() throws Exception {
+            void halfARequestThatLiesUnreadAsTheInstanceEndsResetsNothing() throws Exception {
         try (Stub stub = answeredOnce()) {
-            byte[] ticket = Frames.ticket(2, "00000000000000bb", "read");
-            unreadAs(stub, Arrays.copyOf(ticket, ticket.length / 2), CallerServer::end);
+            byte[] request = Frames.request(2, "00000000000000bb", "read");
+            unreadAs(stub, Arrays.copyOf(request, request.length / 2), CallerServer::end);
             assertThat(stub.hear()).isEqualTo("48 on 0");
             assertThat(stub.hear()).isEqualTo("closed");
             awaitConnections(0);
@@ -98,9 +99,9 @@
     }
 
     @Test
-            void ticketThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
+            void requestThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
         try (Stub stub = answeredOnce()) {
-            unreadAs(stub, Frames.ticket(2, "00000000000000bb", "read"), CallerServer::lastCall);
+            unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::lastCall);
             assertThat(stub.hear()).isEqualTo("48 on 0");
             assertThat(stub.hear()).isEqualTo("17 on 2 code 1");
             assertThat(stub.hear()).isEqualTo("closed");
@@ -125,7 +126,7 @@
             stub.saysNoMore();
             assertThat(stub.hear()).isEqualTo("48 on 0");
             assertThat(stub.hear()).isEqualTo("48 on 0");
-            vertx.runOnContext(v -> exchange.verdict(1, true));
+            vertx.runOnContext(v -> dispatcher.healthCheckCompleted(1, true));
             assertThat(stub.hear()).isEqualTo("33 on 1 code 0");
             assertThat(stub.hear()).isEqualTo("closed");
             assertThat(stub.wasReset()).isFalse();
@@ -145,7 +146,7 @@
                 vertx.setTimer(50, id -> over.countDown());
             });
             over.await();
-            stub.send(Frames.ticket(1, "00000000000000aa", "read"));
+            stub.send(Frames.request(1, "00000000000000aa", "read"));
             assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
         }
     }
@@ -159,7 +160,7 @@
         }
         asked.await();
         try (Stub outside = new Stub(port)) {
-            outside.send(Frames.ticket(1, "00000000000000aa", "read"));
+            outside.send(Frames.request(1, "00000000000000aa", "read"));
             CountDownLatch told = new CountDownLatch(1);
             vertx.runOnContext(v -> {
                 server.lastCall();
@@ -185,7 +186,7 @@
     /** A runtime that never says whether work gets done. */
     private RuntimePort silent() {
         return new RuntimePort() {
-            @Override public void start(String ref, String offering, byte[] body) {
+            @Override public void start(String ref, String requestClass, byte[] body) {
                 throw new AssertionError("nothing is started before the runtime is up");
             }
 
@@ -203,7 +204,7 @@
 
     private Stub answeredOnce() throws Exception {
         Stub stub = new Stub(port);
-        stub.send(Frames.ticket(1, "00000000000000aa", "read"));
+        stub.send(Frames.request(1, "00000000000000aa", "read"));
         assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
         return stub;
     }
--- a/src/test/java/topazladder/net/ReturningServerTest.java
+++ b/src/test/java/topazladder/net/ReturningServerTest.java
@@ -19,12 +19,12 @@
 import topazladder.below.How;
 import topazladder.below.Use;
 import topazladder.below.Word;
-import topazladder.config.ServiceTerms.Address;
-import topazladder.config.Terms;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.config.SettingsReader;
 import topazladder.net.codec.LineReader;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.service.Counters;
-import topazladder.service.Exchange;
+import topazladder.service.RequestDispatcher;
 
 /**
  * What one of five servers is met with on loopback by fleets of 2, 20 and 30 as it comes back, by its own ledger:
@@ -81,7 +81,7 @@
                 addresses.add(new Address("127.0.0.1", serve(i == 0)));
             }
             Counters counters = new Counters();
-            Exchange nobody = new Exchange(this::unused, Terms.ofLines("""
+            RequestDispatcher nobody = new RequestDispatcher(this::unused, SettingsReader.ofLines("""
                 Classes.count=1
                 Classes.0.Idempotency=safe
                 Classes.0.DeadlineNs=5000000000
@@ -98,7 +98,7 @@
                 for (int i = 0; i < processes; i++) {
                     Use use = new Use(new Use.Terms(SERVERS, 0.25), new SplittableRandom(chance.nextLong()));
                     uses.add(use);
-                    IndexLink link = new IndexLink(vertx, null, 32, counters);
+                    DependencyLink link = new DependencyLink(vertx, null, 32, counters);
                     link.choose(new Chosen(use, addresses, ReturningServerTest.this::now));
                     link.open(nobody);
                     double rate = ALL * (1 + i % 9) / all;
@@ -149,7 +149,7 @@
                             }
                             s.write(Buffer.buffer((l.words()[1] + " HIT 1\r\ny\r\n").getBytes(StandardCharsets.UTF_8)));
                         }
-                    } catch (Malformed e) {
+                    } catch (MalformedMessageException e) {
                         throw new AssertionError(e);
                     }
                 });
@@ -184,7 +184,7 @@
         return COLD * t + (1 - COLD) * t * t / (2 * WARM_AFTER);
     }
 
-    private record Chosen(Use use, List<Address> addresses, DoubleSupplier clock) implements IndexChoice {
+    private record Chosen(Use use, List<Address> addresses, DoubleSupplier clock) implements DependencyEndpointChoice {
         @Override public int pick(int not) {
             return use.pick(clock.getAsDouble(), not);
         }
--- a/src/test/java/topazladder/net/codec/HallMessagesTest.java
+++ b/src/test/java/topazladder/net/codec/HallMessagesTest.java
@@ -10,15 +10,15 @@
 import topazladder.below.Look;
 import topazladder.below.Report;
 import topazladder.below.Word;
-import topazladder.drain.Out;
-import topazladder.drain.Permits;
-import topazladder.drain.Serving;
-import topazladder.drain.Subject;
-import topazladder.duty.Answer;
-import topazladder.duty.Ask;
-import topazladder.duty.Member;
-import topazladder.group.Endpoint;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionController;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.disruption.LoadReport;
 import topazladder.hall.Saying;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.MemberIdentity;
 import topazladder.membership.Gossip;
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
@@ -53,45 +53,55 @@
                 new Saying.Membership(new Gossip.PingFor(7, "n3", List.of())),
                 new Saying.Membership(new Gossip.Ack(7, news)), new Saying.Membership(new Gossip.Nack(7, news)),
                 new Saying.Membership(new Gossip.Sync(true, news)),
-                new Saying.Asking(new Ask(new Member("n1", 5), 9, true, List.of(new Ask.Held("probe", 3)),
-                        List.of(new Ask.Stopped("sweep", 4, null), new Ask.Stopped("sweep", 5, "no file"))),
+                new Saying.Asking(
+                        new LeaseRequest(new MemberIdentity("n1", 5), 9, true,
+                                List.of(new LeaseRequest.Held("probe", 3)),
+                                List.of(new LeaseRequest.Stopped("sweep", 4, null),
+                                        new LeaseRequest.Stopped("sweep", 5, "no file"))),
                         "127.0.0.1:4200", HallMessages.SCHEMA,
-                        new Serving("B", 3, 10, 9.5, 0.25, 12, 40)),
-                new Saying.Asking(new Ask(new Member("n1", 5), 9, true, List.of(), List.of()), "127.0.0.1:4200",
+                        new LoadReport("B", 3, 10, 9.5, 0.25, 12, 40)),
+                new Saying.Asking(new LeaseRequest(new MemberIdentity("n1", 5), 9, true, List.of(), List.of()),
+                        "127.0.0.1:4200",
                         HallMessages.SCHEMA,
-                        Serving.NOTHING, List.of(new Report("i1", Look.ILL, 4.5, 4), new Report("i2", Look.UNTRIED, 0,
+                        LoadReport.NOTHING,
+                        List.of(new Report("i1", Look.ILL, 4.5, 4), new Report("i2", Look.UNTRIED, 0,
                                 0))),
                 new Saying.Belows(7, List.of(new Word("i1", Word.Kind.RETURNING, 9, 2.5), new Word("i2",
                         Word.Kind.AVOID, 0, 0))),
                 new Saying.Go(9, "B"),
-                new Saying.Conduct(new Member("n1", 5), 4, STEPS, "wave 1: 2 left"),
-                new Saying.Conducted(4, new View(RELEASE, List.of(new View.Sight("n2", "east", Permits.Look.STEADY, 7,
-                        new Out(new Subject(Subject.Kind.INSTANCE, "n2", "east"), Out.Why.RELEASE, Out.Phase.GONE, "r",
-                                3,
-                                7, 2, "release x"),
-                        "hall: 1 of 1 are out", new Serving("A", 3, 10, 10, 0, 12, 40)),
-                        new View.Sight("n3", "", Permits.Look.GONE, 1, null, null, null)))),
+                new Saying.Conduct(new MemberIdentity("n1", 5), 4, STEPS, "wave 1: 2 left"),
+                new Saying.Conducted(4, new View(RELEASE, List.of(
+                        new View.Sight("n2", "east", DisruptionController.Look.STEADY, 7,
+                                new Disruption(new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n2", "east"),
+                                        Disruption.Why.RELEASE, Disruption.Phase.GONE, "r",
+                                        3,
+                                        7, 2, "release x"),
+                                "hall: 1 of 1 are out", new LoadReport("A", 3, 10, 10, 0, 12, 40)),
+                        new View.Sight("n3", "", DisruptionController.Look.GONE, 1, null, null, null)))),
                 new Saying.Conducted(5, new View(null, List.of(), "n2", false)),
-                new Saying.Answering(new Answer(9, List.of(new Answer.Lease("probe", 3, 2.5, true)), 1.25)),
+                new Saying.Answering(
+                        new LeaseResponse(9, List.of(new LeaseResponse.Lease("probe", 3, 2.5, true)), 1.25)),
                 new Saying.LeaderIs("n4", "127.0.0.1:4"), new Saying.LeaderIs(""), new Saying.Nudge(),
-                new Saying.AsksToVote(new Endpoint("n1", 77)),
-                new Saying.TakenIn(new Endpoint("n1", 77), List.of(new Endpoint("n1", 0), new Endpoint("n2", 0)), 3),
+                new Saying.AsksToVote(new VoterEndpoint("n1", 77)),
+                new Saying.TakenIn(new VoterEndpoint("n1", 77),
+                        List.of(new VoterEndpoint("n1", 0), new VoterEndpoint("n2", 0)), 3),
                 new Saying.Order(1, new Saying.Command(Saying.Command.Kind.HALT, "probe", "by hand")),
                 new Saying.Told(1, false, "no"), new Saying.Found("index", true, 0.5, 12));
     }
 
     @Test
-            void whatIsSaidComesThroughAsItWasSaid() throws Malformed {
+            void whatIsSaidComesThroughAsItWasSaid() throws MalformedMessageException {
         for (Saying s : all()) {
             assertThat(HallMessages.saying(HallMessages.bytes(s))).isEqualTo(s);
         }
     }
 
     @Test
-            void whatANewerVersionSaysIsReadWhereItSaysThatItMayBe() throws Malformed {
+            void whatANewerVersionSaysIsReadWhereItSaysThatItMayBe() throws MalformedMessageException {
         Saying nudge = new Saying.Nudge();
         assertThat(HallMessages.saying(HallMessages.bytes(nudge, 9, 1))).isEqualTo(nudge);
-        assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(nudge, 9, 9))).isInstanceOf(Malformed.class)
+        assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(nudge, 9, 9)))
+                .isInstanceOf(MalformedMessageException.class)
                 .hasMessageContaining("needs schema 9");
         assertThat(HallMessages.saying(HallMessages.bytes(nudge, 0, 0))).as("an older one").isEqualTo(nudge);
     }
@@ -103,11 +113,12 @@
             many.add(STANDING);
         }
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(
-                new Saying.Membership(new Gossip.Ping(1, many))))).isInstanceOf(Malformed.class);
+                new Saying.Membership(new Gossip.Ping(1, many))))).isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(new Saying.Answering(
-                new Answer(1, List.of(new Answer.Lease("probe", 1, -2, false)), 1))))).isInstanceOf(Malformed.class);
+                new LeaseResponse(1, List.of(new LeaseResponse.Lease("probe", 1, -2, false)), 1)))))
+                        .isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(new Saying.Answering(
-                new Answer(1, List.of(), Double.NaN))))).isInstanceOf(Malformed.class);
+                new LeaseResponse(1, List.of(), Double.NaN))))).isInstanceOf(MalformedMessageException.class);
     }
 
     @Test
@@ -121,7 +132,7 @@
             }
             try {
                 HallMessages.saying(bytes);
-            } catch (Malformed e) {
+            } catch (MalformedMessageException e) {
                 assertThat(e).hasMessageMatching("(?s).+");
             }
         }
--- a/src/test/java/topazladder/net/hall/HallLinksTest.java
+++ b/src/test/java/topazladder/net/hall/HallLinksTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 
 @Timeout(30)
--- a/src/test/java/topazladder/net/hall/SqliteStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteStoreTest.java
@@ -14,25 +14,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import topazladder.drain.OutLedger;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
-import topazladder.group.Agreed;
-import topazladder.group.Endpoint;
-import topazladder.group.VoterStore;
+import topazladder.consensus.ReplicatedState;
+import topazladder.consensus.VoterEndpoint;
+import topazladder.consensus.VoterStore;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 
 /** A voter's folder: what was flushed is there again, what was not is not, and nobody else writes to it. */
 class SqliteStoreTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final Endpoint N0 = new Endpoint("n0", 0);
-    private static final Endpoint N1 = new Endpoint("n1", 44);
+    private static final VoterEndpoint N0 = new VoterEndpoint("n0", 0);
+    private static final VoterEndpoint N1 = new VoterEndpoint("n1", 44);
 
     @TempDir
     private Path folder;
 
-    private static LogEntry entry(long at, Op op) {
+    private static LogEntry entry(long at, LeaseCommand op) {
         return MODEL.createLogEntryBuilder().setIndex(at).setTerm(2).setOperation(op).build();
     }
 
@@ -52,14 +52,14 @@
             void whatWasFlushedIsThereAgainAndWhatWasNotIsNot() throws IOException {
         try (SqliteStore store = founded()) {
             store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(2).setVotedFor(N1).build());
-            store.persistLogEntries(List.of(entry(1, new Op.Lead("n1", -5)),
-                    entry(2, new Op.Define(List.of(new DutyTerms("probe", 2, 3)))),
-                    entry(3, new Op.Grant("probe", new Member("n0", 1L << 60), 0))));
+            store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n1", -5)),
+                    entry(2, new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3)))),
+                    entry(3, new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1L << 60), 0))));
             store.flush();
             store.truncateLogEntriesFrom(3);
-            store.persistLogEntries(List.of(entry(3, new Op.Halt("probe", "by hand"))));
+            store.persistLogEntries(List.of(entry(3, new LeaseCommand.Halt("probe", "by hand"))));
             store.flush();
-            store.persistLogEntries(List.of(entry(4, new Op.Resume("probe"))));
+            store.persistLogEntries(List.of(entry(4, new LeaseCommand.Resume("probe"))));
         }
         try (SqliteStore store = new SqliteStore(folder)) {
             assertThat(store.founding()).isEqualTo(new VoterStore.Founding(N0, List.of(N0, N1), 3));
@@ -67,26 +67,31 @@
             assertThat(r.getTermPersistentState().getTerm()).isEqualTo(2);
             assertThat(r.getTermPersistentState().getVotedFor()).isEqualTo(N1);
             assertThat(r.getLocalEndpointPersistentState().isVoting()).isTrue();
-            assertThat(r.getLogEntries()).extracting(LogEntry::getOperation).containsExactly(new Op.Lead("n1", -5),
-                    new Op.Define(List.of(new DutyTerms("probe", 2, 3))), new Op.Halt("probe", "by hand"));
+            assertThat(r.getLogEntries()).extracting(LogEntry::getOperation).containsExactly(
+                    new LeaseCommand.Lead("n1", -5),
+                    new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))),
+                    new LeaseCommand.Halt("probe", "by hand"));
         }
     }
 
     @Test
             void aSnapshotStandsForWhatCameBeforeItAndOneThatIsNotWholeDoesNot() throws IOException {
-        DutyLedger ledger = new DutyLedger();
-        ledger.apply(new Op.Define(List.of(new DutyTerms("probe", 2, 3))));
-        ledger.apply(new Op.Grant("probe", new Member("n0", 9), 0));
-        ledger.apply(new Op.Expire("probe", 1));
-        ledger.apply(new Op.Crashed("probe", 1));
-        ledger.apply(new Op.Halt("probe", "by hand"));
+        LeaseStateMachine ledger = new LeaseStateMachine();
+        ledger.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
+        ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
+        ledger.apply(new LeaseCommand.Expire("probe", 1));
+        ledger.apply(new LeaseCommand.Crashed("probe", 1));
+        ledger.apply(new LeaseCommand.Halt("probe", "by hand"));
         try (SqliteStore store = founded()) {
-            store.persistLogEntries(List.of(entry(1, new Op.Lead("n0", 1)), entry(2, new Op.Resume("probe"))));
-            store.persistSnapshotChunk(chunk(2, 0, 1, new Agreed.Copy(ledger.copy(), new OutLedger().copy(), null)));
+            store.persistLogEntries(
+                    List.of(entry(1, new LeaseCommand.Lead("n0", 1)), entry(2, new LeaseCommand.Resume("probe"))));
+            store.persistSnapshotChunk(
+                    chunk(2, 0, 1, new ReplicatedState.Copy(ledger.copy(), new DisruptionStateMachine().copy(), null)));
             store.flush();
             store.truncateLogEntriesUntil(2);
-            store.persistLogEntries(List.of(entry(3, new Op.Resume("probe"))));
-            store.persistSnapshotChunk(chunk(3, 0, 2, new Agreed.Copy(ledger.copy(), new OutLedger().copy(), null)));
+            store.persistLogEntries(List.of(entry(3, new LeaseCommand.Resume("probe"))));
+            store.persistSnapshotChunk(
+                    chunk(3, 0, 2, new ReplicatedState.Copy(ledger.copy(), new DisruptionStateMachine().copy(), null)));
             store.flush();
         }
         try (SqliteStore store = new SqliteStore(folder)) {
@@ -94,13 +99,13 @@
             assertThat(r.getSnapshotEntry().getIndex()).isEqualTo(2);
             assertThat(((List<?>) r.getSnapshotEntry().getOperation())).first()
                     .isInstanceOfSatisfying(SnapshotChunk.class,
-                            c -> assertThat(c.getOperation()).isEqualTo(new Agreed.Copy(ledger.copy(),
-                                    new OutLedger().copy(), null)));
+                            c -> assertThat(c.getOperation()).isEqualTo(new ReplicatedState.Copy(ledger.copy(),
+                                    new DisruptionStateMachine().copy(), null)));
             assertThat(r.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(3L);
         }
     }
 
-    private static SnapshotChunk chunk(long at, int number, int of, Agreed.Copy copy) {
+    private static SnapshotChunk chunk(long at, int number, int of, ReplicatedState.Copy copy) {
         return MODEL.createSnapshotChunkBuilder().setIndex(at).setTerm(2).setSnapshotChunkIndex(number)
                 .setSnapshotChunkCount(of).setOperation(copy).setGroupMembersView(MODEL
                         .createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(List.of(N0, N1))
@@ -129,7 +134,7 @@
     @Test
             void foundingAnewForgetsWhatWasThere() throws IOException {
         try (SqliteStore store = founded()) {
-            store.persistLogEntries(List.of(entry(1, new Op.Lead("n0", 1))));
+            store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n0", 1))));
             store.flush();
             store.found(new VoterStore.Founding(N1, List.of(N1), 4));
             assertThat(store.founding().formed()).isEqualTo(4);
--- a/src/test/java/topazladder/net/peer/PeerTest.java
+++ b/src/test/java/topazladder/net/peer/PeerTest.java
@@ -28,21 +28,21 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazladder.config.ServiceTerms.Address;
+import topazladder.config.ServiceSettings.Address;
 import topazladder.knowledge.Fact;
 import topazladder.knowledge.Learning;
 import topazladder.knowledge.Origin;
-import topazladder.net.codec.Malformed;
+import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerMessages;
 import topazladder.peer.proto.Chunk;
 import topazladder.peer.proto.Header;
 import topazladder.peering.Giving;
+import topazladder.request.LearnedEstimate;
+import topazladder.request.LearnedEstimate.Kind;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.Instance.Phase;
-import topazladder.ticket.Learned;
-import topazladder.ticket.Learned.Kind;
+import topazladder.service.InstanceLifecycle.Phase;
 
 /** A giver and askers on loopback, and between them whatever can go wrong on the way. */
 @Timeout(60)
@@ -57,7 +57,7 @@
     private final Set<String> truth = new LinkedHashSet<>();
     private List<byte[]> givenKeys = List.of(KEY);
     private Phase phase = Phase.SERVING;
-    private List<Learned> own = List.of(new Learned(Kind.RUN_TIME, "", 0.1, 10, 1));
+    private List<LearnedEstimate> own = List.of(new LearnedEstimate(Kind.RUN_TIME, "", 0.1, 10, 1));
     private PeerServer server;
     private Address at;
 
@@ -66,7 +66,7 @@
         Learning learning = new Learning(GIVER, PeerNode::seconds, List.of());
         List<Fact> heard = new ArrayList<>();
         for (int origin = 0; origin < 5; origin++) {
-            for (Kind kind : List.of(Kind.RUN_TIME, Kind.CALLS_IN_HAND, Kind.OUTGOING)) {
+            for (Kind kind : List.of(Kind.RUN_TIME, Kind.CALLS_IN_FLIGHT, Kind.COMPLETION_RATE)) {
                 heard.add(new Fact(kind, "", new Origin("o" + origin, 1, 4, 1, 9), origin + 0.5, 40,
                         PeerNode.seconds(), 3));
             }
@@ -338,7 +338,7 @@
                 .addFacts(topazladder.peer.proto.Fact.newBuilder().setKind(1).setWeight(1)).build();
         assertThat(PeerMessages.chunk(chunk.toByteArray(), 0)).extracting(Fact::kind).containsExactly(Kind.values()[0]);
         byte[] tooNew = Header.newBuilder().setSchema(9).setReadableFrom(9).build().toByteArray();
-        assertThatThrownBy(() -> PeerMessages.head(tooNew)).isInstanceOf(Malformed.class)
+        assertThatThrownBy(() -> PeerMessages.head(tooNew)).isInstanceOf(MalformedMessageException.class)
                 .hasMessage("needs a reader of schema 9, this is 1");
     }
 
@@ -355,7 +355,7 @@
                     })) {
                 try {
                     parse.of(noise);
-                } catch (Malformed e) {
+                } catch (MalformedMessageException e) {
                     assertThat(e.getMessage()).isNotEmpty();
                 }
             }
@@ -363,7 +363,7 @@
     }
 
     private interface Parse {
-        void of(byte[] bytes) throws Malformed;
+        void of(byte[] bytes) throws MalformedMessageException;
     }
 
     @Test
--- a/src/test/java/topazladder/release/ConductorTest.java
+++ b/src/test/java/topazladder/release/ConductorTest.java
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import topazladder.drain.Budget;
-import topazladder.drain.Out;
-import topazladder.drain.OutLedger;
-import topazladder.drain.OutOp;
-import topazladder.drain.Permits.Look;
-import topazladder.drain.Serving;
-import topazladder.drain.Subject;
-import topazladder.duty.DutyLedger;
-import topazladder.duty.DutyTerms;
-import topazladder.duty.Member;
-import topazladder.duty.Op;
+import topazladder.disruption.Disruption;
+import topazladder.disruption.DisruptionBudget;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.disruption.DisruptionTarget;
+import topazladder.disruption.LoadReport;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.lease.MemberIdentity;
 import topazladder.release.Place.Stage;
 import topazladder.release.Release.Phase;
 
@@ -28,8 +28,8 @@
             30,
             2, 1, false);
 
-    private final DutyLedger duties = new DutyLedger();
-    private final OutLedger outs = new OutLedger();
+    private final LeaseStateMachine duties = new LeaseStateMachine();
+    private final DisruptionStateMachine outs = new DisruptionStateMachine();
     private final ReleaseLedger ledger = new ReleaseLedger(duties, outs);
     private final Map<String, String> versions = new TreeMap<>();
     private final Map<String, Long> lives = new TreeMap<>();
@@ -37,14 +37,15 @@
     private double now;
     private Conductor conductor;
 
-    private static Subject instance(String name) {
-        return new Subject(Subject.Kind.INSTANCE, name, "");
+    private static DisruptionTarget instance(String name) {
+        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
     }
 
     @BeforeEach
             void setUp() {
-        duties.apply(new Op.Define(List.of(new DutyTerms("release", 2, 3))));
-        outs.apply(new OutOp.Budgets(List.of(new Budget("hall", Subject.Kind.INSTANCE, "", 2, 1))));
+        duties.apply(new LeaseCommand.Define(List.of(new LeaseSettings("release", 2, 3))));
+        outs.apply(new DisruptionCommand.Budgets(
+                List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", 2, 1))));
         for (int i = 0; i < 5; i++) {
             versions.put("n" + i, "A");
             lives.put("n" + i, 1L);
@@ -64,9 +65,9 @@
     /** Another takes the duty over, and knows nothing of what the one before had in mind. */
     private void conducts(String name, long seen) {
         if (seen > 0) {
-            duties.apply(new Op.Expire("release", seen));
+            duties.apply(new LeaseCommand.Expire("release", seen));
         }
-        duties.apply(new Op.Grant("release", new Member(name, 1), seen));
+        duties.apply(new LeaseCommand.Grant("release", new MemberIdentity(name, 1), seen));
         conductor = new Conductor(name, new ReleaseOp.By("release", seen + 1, 0));
     }
 
@@ -74,7 +75,7 @@
         List<View.Sight> sights = new ArrayList<>();
         versions.forEach((n, v) -> sights.add(new View.Sight(n, "", looks.get(n), lives.get(n), outs.get(instance(n)),
                 null,
-                new Serving(v, 3, 10, 9.9, 0, 12, 50))));
+                new LoadReport(v, 3, 10, 9.9, 0, 12, 50))));
         return new View(ledger.release(), sights);
     }
 
@@ -82,24 +83,24 @@
         now += 1;
         List<ReleaseOp> ops = conductor.next(now, 0, view());
         ops.forEach(ledger::apply);
-        outs.waiting().forEach(o -> outs.apply(new OutOp.Grant(o.subject(), o.request(),
+        outs.waiting().forEach(o -> outs.apply(new DisruptionCommand.Grant(o.subject(), o.request(),
                 lives.get(o.subject().name()))));
         return ops;
     }
 
     private List<String> gone() {
-        return outs.taken().stream().map(Subject::name).sorted().toList();
+        return outs.taken().stream().map(DisruptionTarget::name).sorted().toList();
     }
 
     /** It goes, and is back as that version, steady or not yet. */
     private void comesBack(String name, String as, boolean steady) {
-        Out out = outs.get(instance(name));
-        outs.apply(new OutOp.Leaves(instance(name), out.token(), lives.get(name), ""));
+        Disruption out = outs.get(instance(name));
+        outs.apply(new DisruptionCommand.Leaves(instance(name), out.token(), lives.get(name), ""));
         lives.merge(name, 1L, Long::sum);
         versions.put(name, as);
-        outs.apply(new OutOp.Returns(instance(name), lives.get(name)));
+        outs.apply(new DisruptionCommand.Returns(instance(name), lives.get(name)));
         if (steady) {
-            outs.apply(new OutOp.Steady(instance(name)));
+            outs.apply(new DisruptionCommand.Steady(instance(name)));
         }
     }
 
@@ -206,7 +207,7 @@
     @Test
             void oneThatDoesNotComeBackHaltsItAndItsPlaceStaysTaken() {
         steps(2);
-        outs.apply(new OutOp.Leaves(instance("n4"), outs.get(instance("n4")).token(), 1, ""));
+        outs.apply(new DisruptionCommand.Leaves(instance("n4"), outs.get(instance("n4")).token(), 1, ""));
         looks.put("n4", Look.GONE);
         steps(29);
         assertThat(ledger.release().phase()).isEqualTo(Phase.RUNNING);
@@ -230,8 +231,8 @@
     @Test
             void tooManyOutForOtherReasonsHaltIt() {
         step();
-        outs.apply(new OutOp.Leaves(instance("n0"), 0, 1, "a signal"));
-        outs.apply(new OutOp.Lost(instance("n1"), 1));
+        outs.apply(new DisruptionCommand.Leaves(instance("n0"), 0, 1, "a signal"));
+        outs.apply(new DisruptionCommand.Lost(instance("n1"), 1));
         steps(2);
         assertThat(ledger.release().why()).contains("2 are out for other reasons");
     }
@@ -269,7 +270,7 @@
         looks.put("n4", Look.UNSTEADY);
         ledger.apply(new ReleaseOp.Back(ReleaseOp.By.operator(0), 1));
         steps(2);
-        assertThat(outs.get(instance("n4")).phase()).isEqualTo(Out.Phase.GRANTED);
+        assertThat(outs.get(instance("n4")).phase()).isEqualTo(Disruption.Phase.GRANTED);
         comesBack("n4", "A", true);
         looks.put("n4", Look.STEADY);
         steps(4);
@@ -292,7 +293,7 @@
             void aReleaseDuringAReleaseIsRefusedAndSoIsAWayBackThatThePlanDoesNotHave() {
         assertThat(ledger.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), PLAN, ledger.release().places())).why())
                 .contains("under way");
-        ReleaseLedger other = new ReleaseLedger(duties, new OutLedger());
+        ReleaseLedger other = new ReleaseLedger(duties, new DisruptionStateMachine());
         other.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), new Plan("b", "A", "B", PLAN.waves(), PLAN.judge(),
                 30, 2,
                 1, true), ledger.release().places()));
