--- a/src/main/java/topazladder/net/codec/HallMessages.java
+++ b/src/main/java/topazladder/net/codec/HallMessages.java
@@ -21,7 +21,6 @@
 import topazladder.hall.proto.StandingMessage;
 import topazladder.hall.proto.TakenInMessage;
 import topazladder.hall.proto.ToldMessage;
-import topazladder.hall.proto.TakenInMessage;
 import topazladder.hall.proto.VoterId;
 import topazladder.lease.LeaseRequest;
 import topazladder.lease.LeaseResponse;
