--- a/src/bench/java/topazladder/AdmissionControllerBenchmark.java
+++ b/src/bench/java/topazladder/AdmissionControllerBenchmark.java
@@ -54,7 +54,8 @@
     private int next;
     private double now;
 
-    @Setup public void open() {
+    @Setup
+    public void open() {
         for (int i = 0; i < classes; i++) {
             requestClasses
                     .add(new RequestClass("route-" + i, RequestClass.Repeats.RETRIABLE, 1.8, 4.6, 1, 0, 0, false, 0));
@@ -73,7 +74,8 @@
     }
 
     /** One arrives, and the one before the last 28 ends. */
-    @Benchmark public List<Decision> request() {
+    @Benchmark
+    public List<Decision> request() {
         now += GAP;
         Request oldest = inFlight[next];
         if (oldest != null) {
@@ -87,7 +89,8 @@
     }
 
     /** A look at all that is in hand. */
-    @Benchmark public List<Decision> tick() {
+    @Benchmark
+    public List<Decision> tick() {
         now += 1e-9;
         return admissionController.timer(now, GAUGES);
     }
--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -345,7 +345,8 @@
         private final PriorityQueue<Case> entries =
                 new PriorityQueue<>(Comparator.comparingDouble((Case c) -> c.rememberedUntil));
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             if (c.requestClass.idempotency() != Repeats.IDEMPOTENT_BY_KEY) {
                 drain.take(c);
                 return;
@@ -389,7 +390,8 @@
             decisions.add(Decision.of(What.JOIN, c.request));
         }
 
-        @Override void back(Case c) {
+        @Override
+        void back(Case c) {
             // Also past its window: a try of then that is read now would wait for a run that never was.
             if (!c.ran && c.rememberedUntil > 0) {
                 entries.remove(c);
@@ -409,7 +411,8 @@
             }
         }
 
-        @Override void tend() {
+        @Override
+        void tend() {
             entries.removeIf(c -> c.rememberedUntil <= now);
         }
 
@@ -439,7 +442,8 @@
             return stop - 2 * period;
         }
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             read.add(1);
             waits.add(c.request.queuedSeconds());
             if (tooLate(c)) {
@@ -465,7 +469,8 @@
             return taken + repeats.footprint() + more <= term("memory", Double.MAX_VALUE) * MEMORY_USED;
         }
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             footprints.add(c.request.memoryKilobytes());
             // What was read takes memory already: turned away here, it frees it before anything is held.
             if (room(0)) {
@@ -486,7 +491,8 @@
         private double cut;
         private double nextUpdate = 1;
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             tally[Math.min(BINS - 1, (int) (c.request.rank() * BINS))]++;
             if (c.request.rank() < cut) {
                 giveUp(c);
@@ -496,7 +502,8 @@
             }
         }
 
-        @Override void tend() {
+        @Override
+        void tend() {
             if (now < nextUpdate) {
                 return;
             }
@@ -559,7 +566,8 @@
         private double fullFrom = Double.POSITIVE_INFINITY;
         private double heardOutgoing;
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             held.add(c);
             // One always runs, or a server that was slow for a while would never learn that it is not; but no
             // request that lay unread until nothing can be earned: started, it would only be stopped again.
@@ -605,11 +613,13 @@
             return rate <= 0 ? shortestLimit : Math.max(0, held.size() - level.target()) / rate;
         }
 
-        @Override void back(Case c) {
+        @Override
+        void back(Case c) {
             held.remove(c);
         }
 
-        @Override void tend() {
+        @Override
+        void tend() {
             for (Case c : List.copyOf(held)) {
                 if (c.place == Place.HELD && (drain.tooLate(c) || cores.on > 0 && c.hopeless(0))) {
                     giveUp(c);
@@ -675,7 +685,8 @@
             }
         }
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             c.ran = true;
             c.started = now;
             move(c, Place.RUNNING);
@@ -694,7 +705,8 @@
             move(c, Place.RUNNING);
         }
 
-        @Override void back(Case c) {
+        @Override
+        void back(Case c) {
             if (c.place == Place.RUNNING) {
                 on--;
             }
@@ -716,7 +728,8 @@
             }
         }
 
-        @Override void tend() {
+        @Override
+        void tend() {
             open.values().forEach(this::settle);
             others.add(Math.max(0, gauges.getOrDefault("on-cores", (double) on) - on));
             pressed &= on >= bound && !hold.held.isEmpty();
@@ -756,7 +769,8 @@
         private double spent; // call-seconds beyond the pace
         private double spentAt;
 
-        @Override void take(Case c) {
+        @Override
+        void take(Case c) {
             c.waitingSince = now;
             parked.add(c);
             pump();
@@ -878,13 +892,15 @@
             move(c, Place.PARKED);
         }
 
-        @Override void back(Case c) {
+        @Override
+        void back(Case c) {
             if (c.place == Place.CALLING || c.place == Place.PARKED) {
                 abandon(c);
             }
         }
 
-        @Override void tend() {
+        @Override
+        void tend() {
             lingering.removeIf(until -> until <= now);
             pump();
         }
@@ -955,7 +971,8 @@
         }
     }
 
-    @SuppressWarnings("unchecked") private <T> T term(String name, T other) {
+    @SuppressWarnings("unchecked")
+    private <T> T term(String name, T other) {
         return (T) terms.getOrDefault(name, other);
     }
 }
--- a/src/main/java/topazladder/broker/AmqpCodec.java
+++ b/src/main/java/topazladder/broker/AmqpCodec.java
@@ -56,7 +56,7 @@
         }
 
         @SuppressWarnings("unchecked")
-                Map<String, Object> table(String name) {
+        Map<String, Object> table(String name) {
             return (Map<String, Object>) arguments.get(name);
         }
     }
@@ -199,7 +199,8 @@
         };
     }
 
-    @SuppressWarnings("unchecked") private static void write(ByteBuf out, Type type, Object value) {
+    @SuppressWarnings("unchecked")
+    private static void write(ByteBuf out, Type type, Object value) {
         switch (type) {
             case OCTET -> out.writeByte(((Number) value).intValue());
             case SHORT -> out.writeShort(((Number) value).intValue());
@@ -288,7 +289,8 @@
         };
     }
 
-    @SuppressWarnings("unchecked") private static void table(ByteBuf out, Map<String, Object> table) {
+    @SuppressWarnings("unchecked")
+    private static void table(ByteBuf out, Map<String, Object> table) {
         ByteBuf part = Unpooled.buffer();
         table.forEach((name, value) -> {
             shortText(part, name);
@@ -297,7 +299,8 @@
         out.writeInt(part.readableBytes()).writeBytes(part);
     }
 
-    @SuppressWarnings("unchecked") private static void field(ByteBuf out, Object value) {
+    @SuppressWarnings("unchecked")
+    private static void field(ByteBuf out, Object value) {
         if (value instanceof Boolean b) {
             out.writeByte('t').writeBoolean(b);
         } else if (value instanceof Long || value instanceof Date) {
--- a/src/main/java/topazladder/broker/BrokerServer.java
+++ b/src/main/java/topazladder/broker/BrokerServer.java
@@ -56,11 +56,13 @@
 
     /** Does no harm. */
     public static final Script CALM = new Script() {
-        @Override public Harm received(String method, int nth) {
+        @Override
+        public Harm received(String method, int nth) {
             return Harm.NONE;
         }
 
-        @Override public Harm sent(String method, int nth) {
+        @Override
+        public Harm sent(String method, int nth) {
             return Harm.NONE;
         }
     };
--- a/src/main/java/topazladder/broker/Ledger.java
+++ b/src/main/java/topazladder/broker/Ledger.java
@@ -18,7 +18,8 @@
     /** @param delivery number of the delivery over all, or 0 where none is meant */
     public record Entry(double at, long message, long delivery, What what, String where) {
 
-        @Override public String toString() {
+        @Override
+        public String toString() {
             return String.format(Locale.ROOT, "%9.3f  message %d delivery %d %s %s", at, message, delivery,
                     what.name().toLowerCase(Locale.ROOT).replace('_', ' '), where);
         }
--- a/src/main/java/topazladder/cli/BelowsCommand.java
+++ b/src/main/java/topazladder/cli/BelowsCommand.java
@@ -21,7 +21,8 @@
     @Option(names = "--compare", description = "Beside instances that leave servers out by themselves, or none.")
     private boolean compare;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         int status = 0;
         String table;
         if (compare) {
--- a/src/main/java/topazladder/cli/Commands.java
+++ b/src/main/java/topazladder/cli/Commands.java
@@ -58,7 +58,8 @@
                 description = "Own settings, protobuf text format; without them all further parts are off.")
         private Path settings;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             Launch.serve(() -> settings == null ? ExtensionSettings.NONE : ExtensionSettingsFile.read(settings));
             return SERVING;
         }
@@ -67,7 +68,8 @@
     @Command(name = "wirehost", mixinStandardHelpOptions = true,
             description = "Decides for many instances on the simulator's wire, on standard input and output.")
     static final class WireHost implements Callable<Integer> {
-        @Override public Integer call() throws Exception {
+        @Override
+        public Integer call() throws Exception {
             Launch.wirehost();
             return 0;
         }
@@ -79,7 +81,8 @@
         @Parameters(paramLabel = "FILE")
         private Path file;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             ExtensionSettings own = ExtensionSettingsFile.read(file);
             System.out.println("core speed " + (own.coreSpeed() > 0 ? own.coreSpeed() : "unknown")
                     + (own.hall().isEmpty() ? "" : ", hall " + own.hall()));
@@ -101,7 +104,8 @@
         @Spec
         private CommandSpec spec;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             return usage(spec.commandLine());
         }
 
@@ -118,7 +122,8 @@
             @Option(names = "--out", required = true, paramLabel = "FILE", description = "Where the table goes.")
             private Path out;
 
-            @Override public Integer call() throws Exception {
+            @Override
+            public Integer call() throws Exception {
                 String table = loopback ? PeerExperiment.loopback(seeds, beside) : PeerExperiment.table(seeds);
                 Files.writeString(out, table);
                 System.out.print(table);
@@ -140,7 +145,8 @@
             @Option(names = "--out", required = true, paramLabel = "FILE", description = "Where the tables go.")
             private Path out;
 
-            @Override public Integer call() throws Exception {
+            @Override
+            public Integer call() throws Exception {
                 String tables = "# Deliveries, measured\n\n" + AmqpExperiment.schedules(schedules)
                         + AmqpExperiment.recovery()
                         + AmqpExperiment.mixed(seeds) + (requests > 0 ? AmqpExperiment.cost(requests) : "");
--- a/src/main/java/topazladder/cli/DrainCommands.java
+++ b/src/main/java/topazladder/cli/DrainCommands.java
@@ -20,7 +20,8 @@
         @Mixin
         private To to;
 
-        @Override public Integer call() throws InterruptedException {
+        @Override
+        public Integer call() throws InterruptedException {
             return to.print(to.ask(Kind.OUTS, "", ""), o -> "leader " + o.getString("leader")
                     + (o.getString("halted") == null ? "" : ", halted: " + o.getString("halted")) + "\n"
                     + FleetCommands.table(new String[] {"budget", "zone", "out", "most", "share"},
@@ -55,7 +56,8 @@
             super(Kind.DRAIN);
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return (below ? "below " : "") + member;
         }
     }
@@ -72,7 +74,8 @@
             super(Kind.UNDRAIN);
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return (below ? "below " : "") + member;
         }
     }
@@ -87,7 +90,8 @@
             super(Kind.GIVE_UP);
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return member;
         }
     }
@@ -101,7 +105,8 @@
             super(Kind.HOLD_DRAINS);
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return why;
         }
     }
--- a/src/main/java/topazladder/cli/DutiesCommand.java
+++ b/src/main/java/topazladder/cli/DutiesCommand.java
@@ -55,7 +55,8 @@
             description = "Real processes whose clocks are those of another schedule, for a replay.")
     private long clocksOf;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         int status = 0;
         String table;
         RigPlan.Pace pace = usual ? RigPlan.Pace.USUAL : RigPlan.Pace.QUICK;
--- a/src/main/java/topazladder/cli/FleetCommands.java
+++ b/src/main/java/topazladder/cli/FleetCommands.java
@@ -34,7 +34,8 @@
     @Spec
     private CommandSpec spec;
 
-    @Override public Integer call() {
+    @Override
+    public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
         return 2;
     }
@@ -57,7 +58,8 @@
             return "";
         }
 
-        @Override public Integer call() throws InterruptedException {
+        @Override
+        public Integer call() throws InterruptedException {
             return to.done(to.ask(kind, duty(), text()));
         }
     }
@@ -136,7 +138,8 @@
         @Mixin
         private To to;
 
-        @Override public Integer call() throws InterruptedException {
+        @Override
+        public Integer call() throws InterruptedException {
             return to.print(to.ask(Kind.STATUS, "", ""), o -> {
                 JsonObject group = o.getJsonObject("group");
                 JsonArray members = o.getJsonArray("members");
@@ -160,7 +163,8 @@
         @Mixin
         private To to;
 
-        @Override public Integer call() throws InterruptedException {
+        @Override
+        public Integer call() throws InterruptedException {
             return to.print(to.ask(Kind.DUTIES, "", ""), o -> "leader " + o.getString("leader") + ", term "
                     + o.getValue("term") + "\n" + table(new String[] {"duty", "holder", "token", "lease", "wanted",
                             "losses", "halted"}, o.getJsonArray("duties").stream().map(d -> (JsonObject) d)
@@ -184,11 +188,13 @@
             super(Kind.HAND_OVER);
         }
 
-        @Override String duty() {
+        @Override
+        String duty() {
             return duty;
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return member;
         }
     }
@@ -205,11 +211,13 @@
             super(Kind.HALT);
         }
 
-        @Override String duty() {
+        @Override
+        String duty() {
             return duty;
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return why;
         }
     }
@@ -223,7 +231,8 @@
             super(Kind.RESUME);
         }
 
-        @Override String duty() {
+        @Override
+        String duty() {
             return duty;
         }
     }
--- a/src/main/java/topazladder/cli/GroupCommands.java
+++ b/src/main/java/topazladder/cli/GroupCommands.java
@@ -19,7 +19,8 @@
     @Spec
     private CommandSpec spec;
 
-    @Override public Integer call() {
+    @Override
+    public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
         return 2;
     }
@@ -36,7 +37,8 @@
                 description = "To form a group anew that has lost a majority for good: higher than ever before.")
         private long formed;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             ExtensionSettings own = ExtensionSettingsFile.read(settings);
             if (own.members() == null) {
                 throw new InvalidSettingsException("the settings have no hall");
--- a/src/main/java/topazladder/cli/HallCommand.java
+++ b/src/main/java/topazladder/cli/HallCommand.java
@@ -27,7 +27,8 @@
     @Option(names = "--emulated", description = "In virtual time: each kind of trouble, by so many seeds.")
     private boolean emulated;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         Result r = emulated ? HallCampaign.emulated(processes, trial.seeds())
                 : new HallCampaign(processes, trial.seed(), load, folder).play(minutes);
         String table = HallCampaign.HEAD + r.table();
--- a/src/main/java/topazladder/cli/HollowMembersCommand.java
+++ b/src/main/java/topazladder/cli/HollowMembersCommand.java
@@ -13,7 +13,8 @@
     @Parameters(paramLabel = "FILE")
     private Path plan;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         HollowProcess.run(HollowPlan.read(plan));
         return 0;
     }
--- a/src/main/java/topazladder/cli/PathCommand.java
+++ b/src/main/java/topazladder/cli/PathCommand.java
@@ -27,7 +27,8 @@
     @Option(names = "--out", paramLabel = "FILE", description = "Where the table goes as well.")
     private Path out;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         String table = PathExperiment.table(classes, tenants, rate, seconds, heapMb);
         System.out.print(table);
         if (out != null) {
--- a/src/main/java/topazladder/cli/RegionsCommand.java
+++ b/src/main/java/topazladder/cli/RegionsCommand.java
@@ -27,7 +27,8 @@
     @Option(names = "--out", paramLabel = "FILE", description = "Where the table goes as well.")
     private Path out;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         RegionsExperiment regions = new RegionsExperiment(members, voters, System.err);
         regions.crashes(RegionsExperiment.fitting(crashes, members), seed);
         regions.regionApart(apart, seed);
--- a/src/main/java/topazladder/cli/ReleaseCommands.java
+++ b/src/main/java/topazladder/cli/ReleaseCommands.java
@@ -28,7 +28,8 @@
     @Spec
     private CommandSpec spec;
 
-    @Override public Integer call() {
+    @Override
+    public Integer call() {
         spec.commandLine().usage(spec.commandLine().getErr());
         return 2;
     }
@@ -46,7 +47,8 @@
         @Parameters(paramLabel = "PLAN")
         private Path plan;
 
-        @Override public Integer call() {
+        @Override
+        public Integer call() {
             Plan p = RolloutPlanFile.of(read(plan));
             System.out.println(p.name() + ": " + p.from() + " to " + p.to() + " in " + p.waves().size()
                     + " waves and the rest" + (p.oneWay() ? ", with no way back" : ""));
@@ -63,7 +65,8 @@
             super(Kind.RELEASE_START);
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             String all = read(plan);
             RolloutPlanFile.of(all);
             return all;
@@ -79,7 +82,8 @@
             super(Kind.RELEASE_HALT);
         }
 
-        @Override String text() {
+        @Override
+        String text() {
             return why;
         }
     }
@@ -111,7 +115,8 @@
         @Option(names = "--watch", description = "Again every second until it is halted or done.")
         private boolean watch;
 
-        @Override public Integer call() throws InterruptedException {
+        @Override
+        public Integer call() throws InterruptedException {
             String[] phase = new String[1];
             int status;
             do {
--- a/src/main/java/topazladder/cli/ReleasesCommand.java
+++ b/src/main/java/topazladder/cli/ReleasesCommand.java
@@ -30,7 +30,8 @@
     @Option(names = "--judged", description = "In virtual time, versions that are worse, and one that is not.")
     private boolean judged;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         int status = 0;
         String table;
         if (cuts > 0 && plants) {
--- a/src/main/java/topazladder/cli/ScaleCommand.java
+++ b/src/main/java/topazladder/cli/ScaleCommand.java
@@ -57,7 +57,8 @@
             + " was stopped goes on from there (${DEFAULT-VALUE}).")
     private Path folder;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         if (quick) {
             sizes = List.of(20, 40, 80);
             heldBack = 40;
--- a/src/main/java/topazladder/cli/SearchCommand.java
+++ b/src/main/java/topazladder/cli/SearchCommand.java
@@ -21,7 +21,8 @@
     @Option(names = "--out", paramLabel = "FILE", description = "Where the table goes as well.")
     private Path out;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         Result r = SearchExperiment.search(depth, states, plants);
         String table = SearchExperiment.HEAD + r.table();
         System.out.print(table);
--- a/src/main/java/topazladder/cli/SubsetsCommand.java
+++ b/src/main/java/topazladder/cli/SubsetsCommand.java
@@ -23,7 +23,8 @@
             description = "Of all cores by what callers want (${DEFAULT-VALUE}).")
     private List<Double> loads;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         StringBuilder table = new StringBuilder("| load, instances used | seed | heard within 1 s | median age s |"
                 + " held back | sent in vain | worth earned | cores spent on reading what was turned away |\n"
                 + "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
--- a/src/main/java/topazladder/cli/WorstCommand.java
+++ b/src/main/java/topazladder/cli/WorstCommand.java
@@ -22,7 +22,8 @@
     @Option(names = "--folder", paramLabel = "FOLDER", description = "Where the shortest schedules go.")
     private Path folder;
 
-    @Override public Integer call() throws Exception {
+    @Override
+    public Integer call() throws Exception {
         Result r = WorstExperiment.search(trial.seed(), processes, rounds, folder);
         String table = WorstExperiment.HEAD + r.table();
         trial.tell(table, "the worst", List.of("start", "worst", "shows"));
--- a/src/main/java/topazladder/config/ExtensionSettings.java
+++ b/src/main/java/topazladder/config/ExtensionSettings.java
@@ -55,15 +55,18 @@
             return bytes.clone();
         }
 
-        @Override public boolean equals(Object other) {
+        @Override
+        public boolean equals(Object other) {
             return other instanceof Secret s && Arrays.equals(bytes, s.bytes);
         }
 
-        @Override public int hashCode() {
+        @Override
+        public int hashCode() {
             return Objects.hash(bytes.length);
         }
 
-        @Override public String toString() {
+        @Override
+        public String toString() {
             return "(secret)";
         }
     }
--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -637,13 +637,15 @@
     }
 
     private final class Voice implements Transport {
-        @Override public void send(RaftEndpoint to, RaftMessage message) {
+        @Override
+        public void send(RaftEndpoint to, RaftMessage message) {
             if (!over) {
                 world.send((VoterEndpoint) to, message);
             }
         }
 
-        @Override public boolean isReachable(RaftEndpoint to) {
+        @Override
+        public boolean isReachable(RaftEndpoint to) {
             return true; // a link that is down is found by silence, as one that loses what it is given
         }
     }
@@ -675,45 +677,55 @@
             }
         }
 
-        @Override public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
+        @Override
+        public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
             write(() -> store.persistAndFlushLocalEndpoint(endpoint));
         }
 
-        @Override public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+        @Override
+        public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
             write(() -> store.persistAndFlushInitialGroupMembers(members));
         }
 
-        @Override public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
+        @Override
+        public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
             write(() -> store.persistAndFlushTerm(term));
         }
 
-        @Override public void persistLogEntries(List<LogEntry> entries) throws IOException {
+        @Override
+        public void persistLogEntries(List<LogEntry> entries) throws IOException {
             write(() -> store.persistLogEntries(entries));
         }
 
-        @Override public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
+        @Override
+        public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
             write(() -> store.persistSnapshotChunk(chunk));
         }
 
-        @Override public void truncateLogEntriesFrom(long index) throws IOException {
+        @Override
+        public void truncateLogEntriesFrom(long index) throws IOException {
             write(() -> store.truncateLogEntriesFrom(index));
         }
 
-        @Override public void truncateLogEntriesUntil(long index) throws IOException {
+        @Override
+        public void truncateLogEntriesUntil(long index) throws IOException {
             write(() -> store.truncateLogEntriesUntil(index));
         }
 
-        @Override public void deleteSnapshotChunks(long index, int count) throws IOException {
+        @Override
+        public void deleteSnapshotChunks(long index, int count) throws IOException {
             write(() -> store.deleteSnapshotChunks(index, count));
         }
 
-        @Override public void flush() throws IOException {
+        @Override
+        public void flush() throws IOException {
             write(store::flush);
         }
     }
 
     private final class Machine implements StateMachine {
-        @Override public Object runOperation(long index, Object operation) {
+        @Override
+        public Object runOperation(long index, Object operation) {
             if (operation instanceof Confirm) {
                 return Boolean.TRUE;
             }
@@ -743,15 +755,18 @@
             return outcome;
         }
 
-        @Override public void takeSnapshot(long index, Consumer<Object> chunks) {
+        @Override
+        public void takeSnapshot(long index, Consumer<Object> chunks) {
             chunks.accept(agreed.copy());
         }
 
-        @Override public void installSnapshot(long index, List<Object> chunks) {
+        @Override
+        public void installSnapshot(long index, List<Object> chunks) {
             agreed.replace((ReplicatedState.Copy) chunks.get(0));
         }
 
-        @Override public Object getNewTermOperation() {
+        @Override
+        public Object getNewTermOperation() {
             ownNonce = chance.nextLong();
             return new LeaseCommand.Lead(here.toString(), ownNonce);
         }
--- a/src/main/java/topazladder/consensus/InMemoryVoterStore.java
+++ b/src/main/java/topazladder/consensus/InMemoryVoterStore.java
@@ -60,35 +60,41 @@
         }
     }
 
-    @Override public Founding founding() {
+    @Override
+    public Founding founding() {
         return founding;
     }
 
-    @Override public void found(Founding f) throws IOException {
+    @Override
+    public void found(Founding f) throws IOException {
         write();
         founding = f;
         now = new PersistedRaftState();
         kept = now.copy();
     }
 
-    @Override public RestoredRaftState restored() {
+    @Override
+    public RestoredRaftState restored() {
         now = kept.copy();
         return kept.restored();
     }
 
-    @Override public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
+    @Override
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
         write();
         now.endpoint(endpoint);
         kept = now.copy();
     }
 
-    @Override public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+    @Override
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
         write();
         now.members(members);
         kept = now.copy();
     }
 
-    @Override public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
+    @Override
+    public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
         write();
         now.term(term);
         kept = now.copy();
@@ -102,37 +108,44 @@
         voted = what;
     }
 
-    @Override public void persistLogEntries(List<LogEntry> entries) throws IOException {
+    @Override
+    public void persistLogEntries(List<LogEntry> entries) throws IOException {
         write();
         entries.forEach(now::entry);
     }
 
-    @Override public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
+    @Override
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         write();
         now.chunk(chunk);
     }
 
-    @Override public void truncateLogEntriesFrom(long index) throws IOException {
+    @Override
+    public void truncateLogEntriesFrom(long index) throws IOException {
         write();
         now.dropFrom(index);
     }
 
-    @Override public void truncateLogEntriesUntil(long index) throws IOException {
+    @Override
+    public void truncateLogEntriesUntil(long index) throws IOException {
         write();
         now.dropUntil(index);
     }
 
-    @Override public void deleteSnapshotChunks(long index, int count) throws IOException {
+    @Override
+    public void deleteSnapshotChunks(long index, int count) throws IOException {
         write();
         now.dropChunks(index);
     }
 
-    @Override public void flush() throws IOException {
+    @Override
+    public void flush() throws IOException {
         write();
         kept = now.copy();
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         // nothing is held
     }
 }
--- a/src/main/java/topazladder/consensus/RaftTiming.java
+++ b/src/main/java/topazladder/consensus/RaftTiming.java
@@ -45,19 +45,23 @@
 
     Clock clock(DoubleSupplier seconds) {
         return new Clock() {
-            @Override public ZoneId getZone() {
+            @Override
+            public ZoneId getZone() {
                 return ZoneOffset.UTC;
             }
 
-            @Override public Clock withZone(ZoneId zone) {
+            @Override
+            public Clock withZone(ZoneId zone) {
                 return this;
             }
 
-            @Override public Instant instant() {
+            @Override
+            public Instant instant() {
                 return Instant.ofEpochMilli(millis());
             }
 
-            @Override public long millis() {
+            @Override
+            public long millis() {
                 return Math.round(seconds.getAsDouble() * factor * 1000);
             }
         };
@@ -65,15 +69,18 @@
 
     RaftNodeExecutor executor(Timers timers) {
         return new RaftNodeExecutor() {
-            @Override public void execute(Runnable task) {
+            @Override
+            public void execute(Runnable task) {
                 timers.in(0, task);
             }
 
-            @Override public void submit(Runnable task) {
+            @Override
+            public void submit(Runnable task) {
                 timers.in(0, task);
             }
 
-            @Override public void schedule(Runnable task, long delay, TimeUnit unit) {
+            @Override
+            public void schedule(Runnable task, long delay, TimeUnit unit) {
                 timers.in(unit.toNanos(delay) / 1e9 / factor, task);
             }
         };
--- a/src/main/java/topazladder/consensus/VoterEndpoint.java
+++ b/src/main/java/topazladder/consensus/VoterEndpoint.java
@@ -11,7 +11,8 @@
 public record VoterEndpoint(String name, long birth) implements RaftEndpoint {
     private static final char BETWEEN = ':';
 
-    @Override public Object getId() {
+    @Override
+    public Object getId() {
         return toString();
     }
 
@@ -23,7 +24,8 @@
         return new VoterEndpoint(id.substring(0, at), Long.parseLong(id.substring(at + 1), Character.MAX_RADIX));
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return name + BETWEEN + Long.toString(birth, Character.MAX_RADIX);
     }
 }
--- a/src/main/java/topazladder/consensus/VoterStore.java
+++ b/src/main/java/topazladder/consensus/VoterStore.java
@@ -24,5 +24,6 @@
     /** What was flushed; what was not is dropped. Null where nothing was written by the group yet. */
     RestoredRaftState restored();
 
-    @Override void close();
+    @Override
+    void close();
 }
--- a/src/main/java/topazladder/delivery/Consumer.java
+++ b/src/main/java/topazladder/delivery/Consumer.java
@@ -72,15 +72,18 @@
             this.mapped = mapped;
         }
 
-        @Override public void answer(Response a) {
+        @Override
+        public void answer(Response a) {
             answered(this, a.how(), a);
         }
 
-        @Override public void unusable(Response a) {
+        @Override
+        public void unusable(Response a) {
             answered(this, null, a);
         }
 
-        @Override public void health(boolean good, Double level) {
+        @Override
+        public void health(boolean good, Double level) {
             throw new IllegalStateException("no delivery asks for health");
         }
     }
--- a/src/main/java/topazladder/disruption/DisruptionTarget.java
+++ b/src/main/java/topazladder/disruption/DisruptionTarget.java
@@ -12,20 +12,24 @@
 
     public enum Kind { INSTANCE, BELOW }
 
-    @Override public boolean equals(Object other) {
+    @Override
+    public boolean equals(Object other) {
         return other instanceof DisruptionTarget s && kind == s.kind && name.equals(s.name);
     }
 
-    @Override public int hashCode() {
+    @Override
+    public int hashCode() {
         return Objects.hash(kind, name);
     }
 
-    @Override public int compareTo(DisruptionTarget other) {
+    @Override
+    public int compareTo(DisruptionTarget other) {
         int byKind = kind.compareTo(other.kind);
         return byKind != 0 ? byKind : name.compareTo(other.name);
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return (kind == Kind.BELOW ? "below " : "") + name;
     }
 }
--- a/src/main/java/topazladder/emulator/Branch.java
+++ b/src/main/java/topazladder/emulator/Branch.java
@@ -148,15 +148,18 @@
     /** A request that somebody sends now; reading it takes the cores. Its answer comes a link's time later. */
     void take(IncomingRequest arrival, Consumer<Response> then) {
         time.in(LINK, () -> runtime.read(reading, () -> dispatcher.dispatch(arrival, new Caller() {
-            @Override public void answer(Response a) {
+            @Override
+            public void answer(Response a) {
                 time.in(LINK, () -> then.accept(a));
             }
 
-            @Override public void unusable(Response a) {
+            @Override
+            public void unusable(Response a) {
                 throw new IllegalStateException("the emulator sent what can't be decided on");
             }
 
-            @Override public void health(boolean good, Double heard) {}
+            @Override
+            public void health(boolean good, Double heard) {}
         })));
     }
 
@@ -179,41 +182,51 @@
 
     // ---- The runtime
 
-    @Override public void start(String ref, String requestClass, byte[] body) {
+    @Override
+    public void start(String ref, String requestClass, byte[] body) {
         time.in(LINK, () -> runtime.start(ref, body));
     }
 
-    @Override public void give(String ref, byte[] reply) {
+    @Override
+    public void give(String ref, byte[] reply) {
         time.in(LINK, () -> runtime.goOn(ref, false));
     }
 
-    @Override public void omit(String ref, long notice) {
+    @Override
+    public void omit(String ref, long notice) {
         time.in(LINK, () -> runtime.goOn(ref, true));
     }
 
-    @Override public void askGauges() {
+    @Override
+    public void askGauges() {
         time.in(2 * LINK, () -> dispatcher.gaugesReceived(runtime.gauges()));
     }
 
-    @Override public void askWhetherWorkGetsDone(long tag) {
+    @Override
+    public void askWhetherWorkGetsDone(long tag) {
         time.in(2 * LINK, () -> dispatcher.healthCheckCompleted(tag, true));
     }
 
-    @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
+    @Override
+    public void ended(String ref, Outcome how, double elapsed, byte[] result) {
         time.in(LINK, () -> dispatcher.runEnded(ref, how, elapsed, result));
     }
 
-    @Override public void wants(String ref, long notice, byte[] body) {
+    @Override
+    public void wants(String ref, long notice, byte[] body) {
         calls.wanted(ref, notice, body);
     }
 
     // ---- Callers' connections
 
-    @Override public void closeIdle(double seconds) {}
+    @Override
+    public void closeIdle(double seconds) {}
 
-    @Override public void lastCall() {}
+    @Override
+    public void lastCall() {}
 
-    @Override public int connections() {
+    @Override
+    public int connections() {
         return 0;
     }
 }
--- a/src/main/java/topazladder/emulator/Calls.java
+++ b/src/main/java/topazladder/emulator/Calls.java
@@ -39,7 +39,8 @@
         time.in(LINK, () -> dispatcher.dependencyCallRequested(ref, notice, body));
     }
 
-    @Override public void call(String ref, double patience, boolean repeatable, byte[] body) {
+    @Override
+    public void call(String ref, double patience, boolean repeatable, byte[] body) {
         double mine = time.getAsDouble();
         begun.put(ref, mine);
         below.call(prefix + ref, Double.parseDouble(new String(body, StandardCharsets.US_ASCII)),
@@ -56,7 +57,8 @@
         }
     }
 
-    @Override public void giveUp(String ref) {
+    @Override
+    public void giveUp(String ref) {
         begun.remove(ref);
         below.giveUp(prefix + ref);
     }
--- a/src/main/java/topazladder/emulator/DeliveryTrial.java
+++ b/src/main/java/topazladder/emulator/DeliveryTrial.java
@@ -134,7 +134,8 @@
             consumer.leave();
         }
 
-        @Override public void start(String ref, String requestClass, byte[] body) {
+        @Override
+        public void start(String ref, String requestClass, byte[] body) {
             long number = number(body);
             runs.add(new Run(name, number, requestClass, time.getAsDouble(), arrived.getOrDefault(ref,
                     time.getAsDouble())));
@@ -142,38 +143,47 @@
             time.in(0.0005, () -> runtime.start(ref, body));
         }
 
-        @Override public void give(String ref, byte[] reply) {
+        @Override
+        public void give(String ref, byte[] reply) {
             time.in(0.0005, () -> runtime.goOn(ref, false));
         }
 
-        @Override public void omit(String ref, long notice) {
+        @Override
+        public void omit(String ref, long notice) {
             time.in(0.0005, () -> runtime.goOn(ref, true));
         }
 
-        @Override public void askGauges() {
+        @Override
+        public void askGauges() {
             time.in(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
         }
 
-        @Override public void askWhetherWorkGetsDone(long tag) {
+        @Override
+        public void askWhetherWorkGetsDone(long tag) {
             time.in(0.001, () -> dispatcher.healthCheckCompleted(tag, true));
         }
 
-        @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
+        @Override
+        public void ended(String ref, Outcome how, double elapsed, byte[] result) {
             if (how == Outcome.SUCCEEDED) {
                 done.add(number(bodies.get(ref)));
             }
             time.in(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
         }
 
-        @Override public void wants(String ref, long notice, byte[] body) {
+        @Override
+        public void wants(String ref, long notice, byte[] body) {
             calls.wanted(ref, notice, body);
         }
 
-        @Override public void closeIdle(double seconds) {}
+        @Override
+        public void closeIdle(double seconds) {}
 
-        @Override public void lastCall() {}
+        @Override
+        public void lastCall() {}
 
-        @Override public int connections() {
+        @Override
+        public int connections() {
             return consumer.open();
         }
     }
@@ -300,15 +310,18 @@
                 new IncomingRequest(ref, "order-place", null, time.getAsDouble(), false, 10, 0.5, "m" + number,
                         body),
                 new Caller() {
-                    @Override public void answer(Response a) {
+                    @Override
+                    public void answer(Response a) {
                         if (a.how() == How.SERVED) {
                             servedToCallers.add(number);
                         }
                     }
 
-                    @Override public void unusable(Response a) {}
+                    @Override
+                    public void unusable(Response a) {}
 
-                    @Override public void health(boolean good, Double level) {}
+                    @Override
+                    public void health(boolean good, Double level) {}
                 });
     }
 
--- a/src/main/java/topazladder/emulator/MixedTrial.java
+++ b/src/main/java/topazladder/emulator/MixedTrial.java
@@ -86,28 +86,34 @@
             instance.runtimeConnected(false);
         }
 
-        @Override public void start(String ref, String requestClass, byte[] body) {
+        @Override
+        public void start(String ref, String requestClass, byte[] body) {
             names.put(ref, MixedTrial.name(body));
             runtime.start(ref, body);
         }
 
-        @Override public void give(String ref, byte[] reply) {
+        @Override
+        public void give(String ref, byte[] reply) {
             runtime.goOn(ref, false);
         }
 
-        @Override public void omit(String ref, long notice) {
+        @Override
+        public void omit(String ref, long notice) {
             runtime.goOn(ref, true);
         }
 
-        @Override public void askGauges() {
+        @Override
+        public void askGauges() {
             time.in(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
         }
 
-        @Override public void askWhetherWorkGetsDone(long tag) {
+        @Override
+        public void askWhetherWorkGetsDone(long tag) {
             dispatcher.healthCheckCompleted(tag, true);
         }
 
-        @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
+        @Override
+        public void ended(String ref, Outcome how, double elapsed, byte[] result) {
             String name = names.remove(ref);
             Wanted w = wanted.get(name);
             boolean inTime = time.getAsDouble() - sentAt.get(name) <= w.kind().requestClass().latencyObjectiveSeconds();
@@ -120,15 +126,19 @@
             time.in(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
         }
 
-        @Override public void wants(String ref, long notice, byte[] body) {
+        @Override
+        public void wants(String ref, long notice, byte[] body) {
             calls.wanted(ref, notice, body);
         }
 
-        @Override public void closeIdle(double seconds) {}
+        @Override
+        public void closeIdle(double seconds) {}
 
-        @Override public void lastCall() {}
+        @Override
+        public void lastCall() {}
 
-        @Override public int connections() {
+        @Override
+        public int connections() {
             return 0;
         }
     }
@@ -200,15 +210,18 @@
                     () -> machine.dispatcher.dispatch(new IncomingRequest("c" + name, w.kind().requestClass()
                             .name(), null,
                             sent, false, 10, w.rank(), fingerprint, body), new Caller() {
-                                @Override public void answer(Response a) {
+                                @Override
+                                public void answer(Response a) {
                                     if (a.how() != How.SERVED) {
                                         wanted.remove(name);
                                     }
                                 }
 
-                                @Override public void unusable(Response a) {}
+                                @Override
+                                public void unusable(Response a) {}
 
-                                @Override public void health(boolean good, Double level) {}
+                                @Override
+                                public void health(boolean good, Double level) {}
                             }));
         }
         time.in(traffic.gap(rate), () -> next(traffic, habits, rate, machine, broker, number + 1));
--- a/src/main/java/topazladder/emulator/PeerTrial.java
+++ b/src/main/java/topazladder/emulator/PeerTrial.java
@@ -62,7 +62,8 @@
             return slower;
         }
 
-        @Override public String toString() {
+        @Override
+        public String toString() {
             return name().toLowerCase(Locale.ROOT);
         }
     }
@@ -83,7 +84,8 @@
         /** From a peer that was itself in trouble: its runs five times as long, a tenth finished. */
         TROUBLED;
 
-        @Override public String toString() {
+        @Override
+        public String toString() {
             return name().toLowerCase(Locale.ROOT).replace('_', ' ');
         }
     }
--- a/src/main/java/topazladder/emulator/Timeline.java
+++ b/src/main/java/topazladder/emulator/Timeline.java
@@ -19,11 +19,13 @@
         now = start;
     }
 
-    @Override public double getAsDouble() {
+    @Override
+    public double getAsDouble() {
         return now;
     }
 
-    @Override public void in(double seconds, Runnable what) {
+    @Override
+    public void in(double seconds, Runnable what) {
         due.add(new Due(now + Math.max(0, seconds), order++, what));
     }
 
--- a/src/main/java/topazladder/emulator/VirtualLink.java
+++ b/src/main/java/topazladder/emulator/VirtualLink.java
@@ -189,24 +189,29 @@
 
     // ---- The port
 
-    @Override public void prefetch(String queue, int most) {
+    @Override
+    public void prefetch(String queue, int most) {
         windows.put(queue, most);
         on(queue, c -> c.prefetch(most));
     }
 
-    @Override public void stop(String queue) {
+    @Override
+    public void stop(String queue) {
         on(queue, c -> c.cancel(who + "/" + queue));
     }
 
-    @Override public void acknowledge(String queue, long tag) {
+    @Override
+    public void acknowledge(String queue, long tag) {
         on(queue, c -> c.acknowledge(tag, false));
     }
 
-    @Override public void reject(String queue, long tag, boolean back) {
+    @Override
+    public void reject(String queue, long tag, boolean back) {
         on(queue, c -> c.reject(tag, false, back));
     }
 
-    @Override public void publish(long number, Publication p) {
+    @Override
+    public void publish(long number, Publication p) {
         int mine = generation;
         toBroker(() -> {
             boolean ok;
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -753,13 +753,15 @@
                         new ReplicatedState(ledgerOfDuties, ledgerOfOuts, Planted.releases(plant, ledgerOfDuties,
                                 ledgerOfOuts, released::add));
                 voter = new VoterNode(terms, disk, timers, clock, own.split(), new VoterNode.World() {
-                    @Override public void say(String to, Saying what) {
+                    @Override
+                    public void say(String to, Saying what) {
                         if (to.equals(name) || member.membership().other(to) != null || askers.contains(to)) {
                             send(Node.this, to, member.located(what));
                         }
                     }
 
-                    @Override public void failed(Throwable why) {
+                    @Override
+                    public void failed(Throwable why) {
                         happened(name + " has no seat: " + why);
                     }
                 }, agreed, Planted.leaseManager(plant, agreed.duties()),
@@ -925,7 +927,8 @@
         }
 
         private final class MemberWorld implements MemberNode.World {
-            @Override public void drain(long token, String version) {
+            @Override
+            public void drain(long token, String version) {
                 outs.agreed(time.getAsDouble(), index);
                 happened(name + '#' + life + " goes out as agreed under " + token + " to be " + version);
                 if (setup.roll() == null || version.isEmpty()) {
@@ -969,20 +972,23 @@
                 loops = does == Supervisor.Does.LOOPS ? LOOPS : 0;
             }
 
-            @Override public void conducted(Saying.Conducted what) {
+            @Override
+            public void conducted(Saying.Conducted what) {
                 if (conductor != null) {
                     conductor.shown(what);
                 }
             }
 
-            @Override public void say(String to, String address, Saying what) {
+            @Override
+            public void say(String to, String address, Saying what) {
                 // Whose address is not known can't be spoken to, as on sockets.
                 if (address != null || to.equals(name) || askers.contains(to)) {
                     send(Node.this, to.isEmpty() ? address : to, what);
                 }
             }
 
-            @Override public void start(String duty, long token) {
+            @Override
+            public void start(String duty, long token) {
                 happened(name + '#' + life + " takes " + duty + " under " + token);
                 if (duty.equals(CONDUCTS)) {
                     conductor.start(token, () -> {
@@ -994,7 +1000,8 @@
                 work(duty, token, clock(), OptionalLong.of(token));
             }
 
-            @Override public void stop(String duty, long token, double within) {
+            @Override
+            public void stop(String duty, long token, double within) {
                 happened(name + '#' + life + " stops " + duty + " under " + token);
                 if (duty.equals(CONDUCTS)) {
                     conductor.stop();
--- a/src/main/java/topazladder/emulator/hall/LeaseModel.java
+++ b/src/main/java/topazladder/emulator/hall/LeaseModel.java
@@ -122,7 +122,8 @@
         return l == leaders[0] ? 0 : 1;
     }
 
-    @Override public List<String> choices() {
+    @Override
+    public List<String> choices() {
         List<String> all = way.choices();
         if (steps < bounds.steps()) {
             all.add("time goes on");
@@ -138,7 +139,8 @@
         return all;
     }
 
-    @Override public void take(int choice) {
+    @Override
+    public void take(int choice) {
         int before = way.take(choice, w -> {
             comes(w);
             look();
@@ -249,11 +251,13 @@
         }
     }
 
-    @Override public String broken() {
+    @Override
+    public String broken() {
         return broken;
     }
 
-    @Override public List<Object> parts() {
+    @Override
+    public List<Object> parts() {
         List<Object> all = new ArrayList<>();
         for (int l = 0; l < LEADERS; l++) {
             all.add(leaders[l].leaseManager);
--- a/src/main/java/topazladder/emulator/hall/PermitModel.java
+++ b/src/main/java/topazladder/emulator/hall/PermitModel.java
@@ -118,7 +118,8 @@
         leaders[l].permits.membersObserved(now, looks);
     }
 
-    @Override public List<String> choices() {
+    @Override
+    public List<String> choices() {
         List<String> all = way.choices();
         if (steps < bounds.steps()) {
             all.add("time goes on");
@@ -136,7 +137,8 @@
         return all;
     }
 
-    @Override public void take(int choice) {
+    @Override
+    public void take(int choice) {
         int before = way.take(choice, this::comes, lost -> {});
         if (before < 0) {
             return;
@@ -228,11 +230,13 @@
         states[m] = State.DOWN;
     }
 
-    @Override public String broken() {
+    @Override
+    public String broken() {
         return broken;
     }
 
-    @Override public List<Object> parts() {
+    @Override
+    public List<Object> parts() {
         List<Object> all = new ArrayList<>();
         for (Leader l : leaders) {
             all.add(l.ledger);
--- a/src/main/java/topazladder/emulator/hall/PlanModel.java
+++ b/src/main/java/topazladder/emulator/hall/PlanModel.java
@@ -117,7 +117,8 @@
         way.add(new Way.Shown(conductor, new View(releases.release(), List.copyOf(sights))));
     }
 
-    @Override public List<String> choices() {
+    @Override
+    public List<String> choices() {
         List<String> all = new ArrayList<>();
         if (releases.release().over()) {
             return all;
@@ -137,7 +138,8 @@
         return all;
     }
 
-    @Override public void take(int choice) {
+    @Override
+    public void take(int choice) {
         // Whoever said what is lost asks again after a while; so nothing hangs for good.
         int before = way.take(choice, this::comes, lost -> show(lost instanceof Way.Shown s ? s.conductor()
                 : ((Way.Proposed) lost).conductor()));
@@ -230,11 +232,13 @@
         next[m] = as.isEmpty() ? versions[m] : as;
     }
 
-    @Override public String broken() {
+    @Override
+    public String broken() {
         return broken;
     }
 
-    @Override public List<Object> parts() {
+    @Override
+    public List<Object> parts() {
         List<Object> all = new ArrayList<>(List.of(duties, outs, releases));
         all.addAll(conductors);
         all.add(way);
--- a/src/main/java/topazladder/emulator/hall/Planted.java
+++ b/src/main/java/topazladder/emulator/hall/Planted.java
@@ -44,17 +44,20 @@
             private double lastSent;
             private long lastNumber;
 
-            @Override protected double from(double asked, double now) {
+            @Override
+            protected double from(double asked, double now) {
                 return plant == Plant.COUNTS_FROM_THE_ANSWER ? now
                         : plant == Plant.TAKES_ANY_ANSWER ? Math.max(asked, lastSent) : asked;
             }
 
-            @Override public List<Step> handleResponse(double now, LeaseResponse a) {
+            @Override
+            public List<Step> handleResponse(double now, LeaseResponse a) {
                 return super.handleResponse(now, plant == Plant.TAKES_ANY_ANSWER && a.number() < lastNumber
                         ? new LeaseResponse(lastNumber, a.leases(), a.askAgainIn()) : a);
             }
 
-            @Override public List<Step> tick(double now) {
+            @Override
+            public List<Step> tick(double now) {
                 List<Step> steps = super.tick(now);
                 for (Step s : steps) {
                     if (s instanceof Step.Send send) {
@@ -69,23 +72,28 @@
 
     static LeaseManager leaseManager(Plant plant, LeaseStateMachine ledger) {
         return new LeaseManager(ledger) {
-            @Override protected double firstUntil(double now, LeaseSettings terms) {
+            @Override
+            protected double firstUntil(double now, LeaseSettings terms) {
                 return plant == Plant.NEW_LEADER_DOES_NOT_WAIT ? now : super.firstUntil(now, terms);
             }
 
-            @Override protected double surelyOver(LeaseSettings terms) {
+            @Override
+            protected double surelyOver(LeaseSettings terms) {
                 return plant == Plant.CLOCKS_IGNORED ? terms.lease() : super.surelyOver(terms);
             }
 
-            @Override protected boolean over(double now, LeaseState s) {
+            @Override
+            protected boolean over(double now, LeaseState s) {
                 return super.over(now + (plant == Plant.EXPIRES_EARLY ? EARLY * s.terms().lease() : 0), s);
             }
 
-            @Override protected boolean renewable(LeaseCommand underWay) {
+            @Override
+            protected boolean renewable(LeaseCommand underWay) {
                 return plant == Plant.RENEWS_WHAT_ENDS || super.renewable(underWay);
             }
 
-            @Override public List<Step> handleRequest(double now, LeaseRequest ask) {
+            @Override
+            public List<Step> handleRequest(double now, LeaseRequest ask) {
                 List<Step> steps = new ArrayList<>(super.handleRequest(now, ask));
                 if (plant == Plant.RELEASES_ANY_TOKEN && isLeader()) {
                     ask.stopped()
@@ -94,7 +102,8 @@
                 return plant == Plant.ANSWERS_ALONE ? alone(now, steps) : steps;
             }
 
-            @Override public List<Step> tick(double now) {
+            @Override
+            public List<Step> tick(double now) {
                 List<Step> steps = new ArrayList<>(super.tick(now));
                 if (plant == Plant.GRANTS_WHILE_HELD && isLeader()) {
                     for (LeaseState s : ledger.all()) {
@@ -124,7 +133,8 @@
 
     static LeaseStateMachine ledger(Plant plant) {
         return new LeaseStateMachine() {
-            @Override protected String refused(LeaseState s, LeaseCommand op) {
+            @Override
+            protected String refused(LeaseState s, LeaseCommand op) {
                 if (plant == Plant.GRANTS_WHILE_HELD && op instanceof LeaseCommand.Grant
                         || plant == Plant.RELEASES_ANY_TOKEN && op instanceof LeaseCommand.Release) {
                     return null;
@@ -132,7 +142,8 @@
                 return super.refused(s, op);
             }
 
-            @Override protected long next(LeaseState s) {
+            @Override
+            protected long next(LeaseState s) {
                 return plant == Plant.SAME_TOKEN && s.token() > 0 ? s.token() : super.next(s);
             }
         };
@@ -142,7 +153,8 @@
         return new Conductor(self, by) {
             private boolean begun;
 
-            @Override public List<ReleaseOp> next(double now, long atMillis, View v) {
+            @Override
+            public List<ReleaseOp> next(double now, long atMillis, View v) {
                 List<ReleaseOp> ops = new ArrayList<>(super.next(now, atMillis, v));
                 if (plant == Plant.A_STEP_TWICE && !begun && v.release() != null && !v.release().over()) {
                     // As one that goes by its own list, from its first line.
@@ -153,14 +165,16 @@
                 return ops;
             }
 
-            @Override protected boolean isMoved(Release r, View.Sight s) {
+            @Override
+            protected boolean isMoved(Release r, View.Sight s) {
                 return plant == Plant.TAKES_ANY_RETURN_FOR_MOVED
                         ? s.out() == null && s.look() != DisruptionController.Look.GONE
                                 && r.place(s.name()).attempt() > 0 || super.isMoved(r, s)
                         : super.isMoved(r, s);
             }
 
-            @Override protected void judged(List<Judge.Look> looks) {
+            @Override
+            protected void judged(List<Judge.Look> looks) {
                 super.judged(plant != Plant.JUDGES_B_BY_ITSELF ? looks : looks.stream().flatMap(l -> l.moved()
                         ? java.util.stream.Stream.of(l, new Judge.Look(l.name(), l.zone(), false, l.share(),
                                 l.failed(), l.megabytes()))
@@ -173,7 +187,8 @@
     static ReleaseLedger releases(Plant plant, LeaseStateMachine duties, DisruptionStateMachine outs,
             Consumer<String> broken) {
         return new ReleaseLedger(duties, outs) {
-            @Override public Outcome apply(ReleaseOp op) {
+            @Override
+            public Outcome apply(ReleaseOp op) {
                 LeaseState duty = op.by().conducts() ? duties.get(op.by().duty()) : null;
                 Outcome outcome = super.apply(op);
                 if (outcome.done() && op.by().conducts() && (duty == null || !duty.held()
@@ -183,17 +198,20 @@
                 return outcome;
             }
 
-            @Override protected String notTheConductor(ReleaseOp.By by) {
+            @Override
+            protected String notTheConductor(ReleaseOp.By by) {
                 return plant == Plant.OBEYS_AN_EARLIER_CONDUCTOR ? null : super.notTheConductor(by);
             }
 
-            @Override protected String refused(ReleaseOp.Ask a) {
+            @Override
+            protected String refused(ReleaseOp.Ask a) {
                 return plant == Plant.VOTERS_TOGETHER && release().place(a.place()).stage() == Place.Stage.LEFT
                         && a.attempt() == release().place(a.place()).attempt() + 1
                         || plant == Plant.A_STEP_TWICE && release().place(a.place()) != null ? null : super.refused(a);
             }
 
-            @Override protected void withdraw() {
+            @Override
+            protected void withdraw() {
                 if (plant != Plant.A_HALT_LEAVES_PERMISSIONS) {
                     super.withdraw();
                 }
@@ -203,19 +221,22 @@
 
     static DisruptionStateMachine outs(Plant plant) {
         return new DisruptionStateMachine() {
-            @Override public Outcome apply(DisruptionCommand op) {
+            @Override
+            public Outcome apply(DisruptionCommand op) {
                 if (plant == Plant.FREES_THE_LOST && op instanceof DisruptionCommand.Lost l) {
                     return super.apply(new DisruptionCommand.GivenUp(l.subject(), ""));
                 }
                 return super.apply(op);
             }
 
-            @Override protected String refuses(DisruptionTarget one, Collection<DisruptionTarget> besides) {
+            @Override
+            protected String refuses(DisruptionTarget one, Collection<DisruptionTarget> besides) {
                 return plant == Plant.NO_BUDGET_BELOW && one.kind() == DisruptionTarget.Kind.BELOW ? null
                         : super.refuses(one, besides);
             }
 
-            @Override protected Outcome leaves(DisruptionCommand.Leaves l) {
+            @Override
+            protected Outcome leaves(DisruptionCommand.Leaves l) {
                 return plant == Plant.ANY_PERMISSION_COUNTS && l.token() > 0 ? new Outcome(l.token(), null)
                         : super.leaves(l);
             }
@@ -224,12 +245,14 @@
 
     static DisruptionController permits(Plant plant, DisruptionStateMachine ledger, double lostAfter) {
         return new DisruptionController(ledger, lostAfter) {
-            @Override protected boolean countsAsOut(Seen l) {
+            @Override
+            protected boolean countsAsOut(Seen l) {
                 return plant != Plant.COUNTS_THE_COLD_AS_THERE
                         && !(plant == Plant.FREES_THE_LOST && l.look() == Look.GONE) && super.countsAsOut(l);
             }
 
-            @Override protected boolean steady(double now, DisruptionTarget s, Seen l) {
+            @Override
+            protected boolean steady(double now, DisruptionTarget s, Seen l) {
                 return plant == Plant.COUNTS_THE_COLD_AS_THERE || super.steady(now, s, l);
             }
         };
@@ -237,19 +260,23 @@
 
     static Verdicts verdicts(Plant plant, DisruptionStateMachine ledger) {
         return new Verdicts(ledger) {
-            @Override protected boolean ill(int ill, int tried, int watchers) {
+            @Override
+            protected boolean ill(int ill, int tried, int watchers) {
                 return plant == Plant.ONE_WATCHER_IS_ENOUGH ? ill > 0 : super.ill(ill, tried, watchers);
             }
 
-            @Override protected boolean tooMany(int ill, int servers) {
+            @Override
+            protected boolean tooMany(int ill, int servers) {
                 return plant != Plant.MOST_ILL_COUNTS && super.tooMany(ill, servers);
             }
 
-            @Override protected boolean believed(boolean tellsOfServers) {
+            @Override
+            protected boolean believed(boolean tellsOfServers) {
                 return plant == Plant.MOST_ILL_COUNTS || super.believed(tellsOfServers);
             }
 
-            @Override public List<DisruptionCommand> tick(double now) {
+            @Override
+            public List<DisruptionCommand> tick(double now) {
                 List<DisruptionCommand> ops = super.tick(now);
                 return plant != Plant.NEVER_TRIED_AGAIN ? ops
                         : ops.stream().filter(o -> !(o instanceof DisruptionCommand.Rejoins)).toList();
@@ -259,15 +286,18 @@
 
     static Use use(Plant plant, Use.Terms terms, RandomGenerator chance) {
         return new Use(terms, chance) {
-            @Override protected double ramp(double seconds) {
+            @Override
+            protected double ramp(double seconds) {
                 return plant == Plant.COMES_BACK_AT_ONCE ? 1 : super.ramp(seconds);
             }
 
-            @Override protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
+            @Override
+            protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
                 return plant == Plant.LEAVES_OUT_BY_ITSELF || super.mayLeaveOut(allowed, alone, leftOut);
             }
 
-            @Override protected boolean tooMany(long ill, long known) {
+            @Override
+            protected boolean tooMany(long ill, long known) {
                 return plant != Plant.LEAVES_OUT_BY_ITSELF && plant != Plant.MOST_ILL_COUNTS
                         && super.tooMany(ill, known);
             }
@@ -294,7 +324,8 @@
             this.plant = plant;
         }
 
-        @Override public void crash() {
+        @Override
+        public void crash() {
             super.crash();
             if (plant == Plant.FORGETS_ITS_VOTE) {
                 forgetTerm();
@@ -303,12 +334,14 @@
             }
         }
 
-        @Override public void wipe() {
+        @Override
+        public void wipe() {
             before = founding();
             super.wipe();
         }
 
-        @Override public Founding founding() {
+        @Override
+        public Founding founding() {
             Founding now = super.founding();
             return now == null && plant == Plant.VOTES_AS_ITS_OLD_SELF ? before : now;
         }
--- a/src/main/java/topazladder/emulator/hall/Servers.java
+++ b/src/main/java/topazladder/emulator/hall/Servers.java
@@ -57,7 +57,8 @@
             return now >= at && now < at + seconds + NOTICED;
         }
 
-        @Override public String toString() {
+        @Override
+        public String toString() {
             return String.format(Locale.ROOT, "%.2f s: %s of s%d and n%d for %.1f s", at, kind.name().toLowerCase(
                     Locale.ROOT), server, instance, seconds);
         }
--- a/src/main/java/topazladder/experiment/BelowsExperiment.java
+++ b/src/main/java/topazladder/experiment/BelowsExperiment.java
@@ -111,11 +111,13 @@
         ways.put("by agreement", Use::new);
         ways.put("each by itself", Single::new);
         ways.put("none is left out", (terms, chance) -> new Use(terms, chance) {
-            @Override public void told(double now, long of, List<Word> words) {
+            @Override
+            public void told(double now, long of, List<Word> words) {
                 // goes on as it is
             }
 
-            @Override protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
+            @Override
+            protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
                 return false;
             }
         });
@@ -144,15 +146,18 @@
             super(terms, chance);
         }
 
-        @Override public void told(double now, long of, List<Word> words) {
+        @Override
+        public void told(double now, long of, List<Word> words) {
             // the hall has no say
         }
 
-        @Override protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
+        @Override
+        protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
             return true;
         }
 
-        @Override protected boolean tooMany(long ill, long known) {
+        @Override
+        protected boolean tooMany(long ill, long known) {
             return false;
         }
     }
--- a/src/main/java/topazladder/faults/Fault.java
+++ b/src/main/java/topazladder/faults/Fault.java
@@ -93,7 +93,8 @@
         return who == LEADER ? "the leader" : who == HOLDER ? "the holder" : who == -1 ? "all" : "n" + who;
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return String.format(Locale.ROOT, "%.2f s: %s of %s%s for %.2f s%s", at, kind.word(), name(who),
                 other >= 0 ? " with " + other : "", seconds, amount > 0 ? " by " + amount : "");
     }
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -123,11 +123,13 @@
             replica.close(() -> {});
         }
         replica = new ConsensusReplica(store, replicaTerms, timers, clock, chance, new ConsensusReplica.World() {
-            @Override public void send(VoterEndpoint to, RaftMessage message) {
+            @Override
+            public void send(VoterEndpoint to, RaftMessage message) {
                 world.say(to.name(), new Saying.Consensus(message));
             }
 
-            @Override public void reply(MemberIdentity to, LeaseResponse answer) {
+            @Override
+            public void reply(MemberIdentity to, LeaseResponse answer) {
                 world.say(to.name(), new Saying.Answering(answer));
                 if (verdicts.watches(to.name())) {
                     world.say(to.name(), new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to
@@ -135,19 +137,23 @@
                 }
             }
 
-            @Override public void nudge(MemberIdentity to) {
+            @Override
+            public void nudge(MemberIdentity to) {
                 world.say(to.name(), new Saying.Nudge());
             }
 
-            @Override public void mayGo(String member, long token) {
+            @Override
+            public void mayGo(String member, long token) {
                 world.say(member, new Saying.MayGo(token));
             }
 
-            @Override public void go(String member, long token, String version) {
+            @Override
+            public void go(String member, long token, String version) {
                 world.say(member, new Saying.Go(token, version));
             }
 
-            @Override public void failed(Throwable why) {
+            @Override
+            public void failed(Throwable why) {
                 VoterNode.this.failed(why);
             }
         }, agreed, leaseManager, permits, verdicts);
--- a/src/main/java/topazladder/knowledge/Knowledge.java
+++ b/src/main/java/topazladder/knowledge/Knowledge.java
@@ -159,15 +159,18 @@
         return all;
     }
 
-    @Override public boolean equals(Object other) {
+    @Override
+    public boolean equals(Object other) {
         return other instanceof Knowledge k && facts.equals(k.facts);
     }
 
-    @Override public int hashCode() {
+    @Override
+    public int hashCode() {
         return facts.hashCode();
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return byOrigin().toString();
     }
 }
--- a/src/main/java/topazladder/lease/MemberIdentity.java
+++ b/src/main/java/topazladder/lease/MemberIdentity.java
@@ -8,12 +8,14 @@
  */
 public record MemberIdentity(String name, long life) implements Comparable<MemberIdentity> {
 
-    @Override public int compareTo(MemberIdentity other) {
+    @Override
+    public int compareTo(MemberIdentity other) {
         int byName = name.compareTo(other.name);
         return byName != 0 ? byName : Long.compare(life, other.life);
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return name + '#' + Long.toString(life, 36);
     }
 }
--- a/src/main/java/topazladder/net/AcceptGate.java
+++ b/src/main/java/topazladder/net/AcceptGate.java
@@ -30,7 +30,8 @@
         return open.get() >= most;
     }
 
-    @Override public void channelRead(ChannelHandlerContext listening, Object accepted) {
+    @Override
+    public void channelRead(ChannelHandlerContext listening, Object accepted) {
         Channel parent = listening.channel();
         if (open.incrementAndGet() >= most) {
             parent.config().setAutoRead(false);
@@ -45,21 +46,26 @@
         listening.fireChannelRead(accepted);
     }
 
-    @Override public String name() {
+    @Override
+    public String name() {
         return "nio";
     }
 
-    @Override public boolean available() {
+    @Override
+    public boolean available() {
         return true;
     }
 
-    @Override public Throwable unavailabilityCause() {
+    @Override
+    public Throwable unavailabilityCause() {
         return null;
     }
 
-    @Override public io.vertx.core.spi.transport.Transport implementation() {
+    @Override
+    public io.vertx.core.spi.transport.Transport implementation() {
         return new NioTransport() {
-            @Override public void configure(NetServerOptions options, boolean domainSocket, ServerBootstrap server) {
+            @Override
+            public void configure(NetServerOptions options, boolean domainSocket, ServerBootstrap server) {
                 super.configure(options, domainSocket, server);
                 server.handler(AcceptGate.this);
             }
--- a/src/main/java/topazladder/net/CallerConnection.java
+++ b/src/main/java/topazladder/net/CallerConnection.java
@@ -281,7 +281,8 @@
             this.stream = stream;
         }
 
-        @Override public void answer(Response answer) {
+        @Override
+        public void answer(Response answer) {
             if (open.remove(stream) != null) {
                 takenBack = 0;
                 write(CallerFrames.answer(stream, answer));
@@ -289,14 +290,16 @@
             }
         }
 
-        @Override public void unusable(Response answer) {
+        @Override
+        public void unusable(Response answer) {
             answer(answer);
             if (++unusable >= MOST_UNUSABLE) {
                 part(Count.CONNECTIONS_ENDED_AS_UNUSABLE, "too many requests that can't be decided on");
             }
         }
 
-        @Override public void health(boolean good, Double level) {
+        @Override
+        public void health(boolean good, Double level) {
             if (open.remove(stream) != null) {
                 write(CallerFrames.health(stream, good, level));
                 closeIfAllIsSaid();
--- a/src/main/java/topazladder/net/CallerServer.java
+++ b/src/main/java/topazladder/net/CallerServer.java
@@ -104,7 +104,8 @@
         connections.remove(c);
     }
 
-    @Override public void closeIdle(double seconds) {
+    @Override
+    public void closeIdle(double seconds) {
         idle = seconds;
     }
 
@@ -129,7 +130,8 @@
         }
     }
 
-    @Override public void lastCall() {
+    @Override
+    public void lastCall() {
         lastCall = true;
         new ArrayList<>(connections).forEach(CallerConnection::lastCall);
         stopListening(true);
@@ -157,7 +159,8 @@
         new ArrayList<>(connections).forEach(CallerConnection::hangUp);
     }
 
-    @Override public int connections() {
+    @Override
+    public int connections() {
         return connections.size();
     }
 }
--- a/src/main/java/topazladder/net/DependencyLink.java
+++ b/src/main/java/topazladder/net/DependencyLink.java
@@ -106,7 +106,8 @@
         }
     }
 
-    @Override public void call(String ref, double patience, boolean repeatable, byte[] body) {
+    @Override
+    public void call(String ref, double patience, boolean repeatable, byte[] body) {
         giveUp(ref);
         Call call = new Call(ref, repeatable, patience, body);
         calls.put(ref, call);
@@ -118,7 +119,8 @@
         place(call);
     }
 
-    @Override public void giveUp(String ref) {
+    @Override
+    public void giveUp(String ref) {
         Call call = calls.get(ref);
         if (call != null) {
             call.leave();
--- a/src/main/java/topazladder/net/HalfClose.java
+++ b/src/main/java/topazladder/net/HalfClose.java
@@ -23,7 +23,8 @@
         ChannelHandlerContext context = ((NetSocketInternal) socket).channelHandlerContext();
         context.channel().config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
         context.pipeline().addFirst(new ChannelInboundHandlerAdapter() {
-            @Override public void userEventTriggered(ChannelHandlerContext at, Object event) throws Exception {
+            @Override
+            public void userEventTriggered(ChannelHandlerContext at, Object event) throws Exception {
                 super.userEventTriggered(at, event);
                 if (event == ChannelInputShutdownEvent.INSTANCE) {
                     heardAll.run();
--- a/src/main/java/topazladder/net/RuntimeLink.java
+++ b/src/main/java/topazladder/net/RuntimeLink.java
@@ -290,19 +290,23 @@
         }
     }
 
-    @Override public void start(String ref, String requestClass, byte[] body) {
+    @Override
+    public void start(String ref, String requestClass, byte[] body) {
         command(ref, true, RuntimeLines.start(ref, requestClass, body));
     }
 
-    @Override public void give(String ref, byte[] reply) {
+    @Override
+    public void give(String ref, byte[] reply) {
         command(ref, false, RuntimeLines.give(ref, reply));
     }
 
-    @Override public void omit(String ref, long notice) {
+    @Override
+    public void omit(String ref, long notice) {
         command(ref, false, RuntimeLines.omit(ref, notice));
     }
 
-    @Override public void askGauges() {
+    @Override
+    public void askGauges() {
         if (socket != null && ++unanswered > MOST_UNANSWERED && System.nanoTime() - lastWord > SILENT_NS) {
             unanswered = 0;
             lastWord = System.nanoTime();
@@ -315,7 +319,8 @@
         }
     }
 
-    @Override public void askWhetherWorkGetsDone(long tag) {
+    @Override
+    public void askWhetherWorkGetsDone(long tag) {
         if (socket == null) {
             dispatcher.healthCheckCompleted(tag, false); // nobody would ever tell
         }
--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -159,15 +159,18 @@
     /** What a part has to settle holds the stop back as an open connection does. */
     private Callers withParts(Callers server) {
         return new Callers() {
-            @Override public void closeIdle(double seconds) {
+            @Override
+            public void closeIdle(double seconds) {
                 server.closeIdle(seconds);
             }
 
-            @Override public void lastCall() {
+            @Override
+            public void lastCall() {
                 server.lastCall();
             }
 
-            @Override public int connections() {
+            @Override
+            public int connections() {
                 return server.connections() + parts.stream().mapToInt(InstanceExtension::busy).sum();
             }
         };
--- a/src/main/java/topazladder/net/amqp/AmqpLink.java
+++ b/src/main/java/topazladder/net/amqp/AmqpLink.java
@@ -60,25 +60,31 @@
     private static final int CLOSING_MS = 300;
     /** Runs at once what the library hands over: it only passes it on to the event loop. */
     private static final ExecutorService AT_ONCE = new AbstractExecutorService() {
-        @Override public void execute(Runnable what) {
+        @Override
+        public void execute(Runnable what) {
             what.run();
         }
 
-        @Override public void shutdown() {}
+        @Override
+        public void shutdown() {}
 
-        @Override public List<Runnable> shutdownNow() {
+        @Override
+        public List<Runnable> shutdownNow() {
             return List.of();
         }
 
-        @Override public boolean isShutdown() {
+        @Override
+        public boolean isShutdown() {
             return false;
         }
 
-        @Override public boolean isTerminated() {
+        @Override
+        public boolean isTerminated() {
             return false;
         }
 
-        @Override public boolean awaitTermination(long timeout, TimeUnit unit) {
+        @Override
+        public boolean awaitTermination(long timeout, TimeUnit unit) {
             return true;
         }
     };
@@ -327,11 +333,13 @@
             c.addShutdownListener(cause -> onLoop(mine, () -> lost(reason(cause))));
         }
         s.publishing.addBlockedListener(new BlockedListener() {
-            @Override public void handleBlocked(String reason) {
+            @Override
+            public void handleBlocked(String reason) {
                 LOG.warn("broker {} takes no messages for now: {}", to.name(), reason);
             }
 
-            @Override public void handleUnblocked() {
+            @Override
+            public void handleUnblocked() {
                 LOG.info("broker {} takes messages again", to.name());
             }
         });
@@ -345,7 +353,8 @@
             }
         });
         s.copies.addConfirmListener(new ConfirmListener() {
-            @Override public void handleAck(long sequence, boolean multiple) {
+            @Override
+            public void handleAck(long sequence, boolean multiple) {
                 Map<Long, Long> told = multiple ? s.unconfirmed.headMap(sequence, true)
                         : s.unconfirmed.subMap(sequence, true, sequence, true);
                 for (Map.Entry<Long, Long> e : new ArrayList<>(told.entrySet())) {
@@ -355,7 +364,8 @@
                 }
             }
 
-            @Override public void handleNack(long sequence, boolean multiple) {
+            @Override
+            public void handleNack(long sequence, boolean multiple) {
                 // Whether a queue has it nobody can tell; with its link it is settled as unknown.
                 onLoop(mine, () -> lost("the broker could not take a message"));
             }
@@ -475,7 +485,8 @@
         takes.add(() -> {
             c.basicQos(window, true);
             c.basicConsume(queue, false, queue, new DefaultConsumer(c) {
-                @Override public void handleDelivery(String tag, Envelope e, BasicProperties p, byte[] body) {
+                @Override
+                public void handleDelivery(String tag, Envelope e, BasicProperties p, byte[] body) {
                     Delivery d = delivery(queue, e, p, body);
                     onLoop(mine, () -> {
                         if (s.channels.get(queue) == c) {
@@ -484,7 +495,8 @@
                     });
                 }
 
-                @Override public void handleCancel(String tag) {
+                @Override
+                public void handleCancel(String tag) {
                     onLoop(mine, () -> {
                         LOG.warn("broker {} cancelled the consumer of {}", terms.name(), queue);
                         vertx.setTimer(Math.max(1, Math.round(jitter.next() * 1000)), id -> {
@@ -527,24 +539,29 @@
         void run(Channel c) throws Exception;
     }
 
-    @Override public void prefetch(String queue, int most) {
+    @Override
+    public void prefetch(String queue, int most) {
         windows.put(queue, most);
         on(queue, c -> c.basicQos(most, true));
     }
 
-    @Override public void stop(String queue) {
+    @Override
+    public void stop(String queue) {
         on(queue, c -> c.basicCancel(queue));
     }
 
-    @Override public void acknowledge(String queue, long tag) {
+    @Override
+    public void acknowledge(String queue, long tag) {
         on(queue, c -> c.basicAck(tag, false));
     }
 
-    @Override public void reject(String queue, long tag, boolean back) {
+    @Override
+    public void reject(String queue, long tag, boolean back) {
         on(queue, c -> c.basicReject(tag, back));
     }
 
-    @Override public void publish(long number, Publication p) {
+    @Override
+    public void publish(long number, Publication p) {
         Session s = session;
         if (s == null) {
             return;
--- a/src/main/java/topazladder/net/amqp/AmqpNode.java
+++ b/src/main/java/topazladder/net/amqp/AmqpNode.java
@@ -55,22 +55,26 @@
         Source s = sources.get(broker);
         s.link().holdBack(queue);
         return new ConsumeWork(vertx, new ConsumeWork.Queue() {
-            @Override public void begin() {
+            @Override
+            public void begin() {
                 s.link().begin(queue);
             }
 
-            @Override public void end() {
+            @Override
+            public void end() {
                 s.link().holdBack(queue);
             }
 
-            @Override public void giveBack() {
+            @Override
+            public void giveBack() {
                 s.link().giveBack(queue);
             }
         }, () -> s.consumer().open(queue));
     }
 
     /** Links are taken once the module decides: a message is not asked for that nobody could judge. */
-    @Override public void open() {
+    @Override
+    public void open() {
         vertx.setPeriodic(LOOK_MS, LOOK_MS, id -> {
             if (!opened && !leaving && instance.phase() == Phase.SERVING) {
                 opened = true;
@@ -82,7 +86,8 @@
         });
     }
 
-    @Override public void reload(ExtensionSettings settings) {
+    @Override
+    public void reload(ExtensionSettings settings) {
         for (BrokerSettings b : settings.brokers()) {
             Source had = sources.get(b.name());
             if (had == null || !had.terms().queues().equals(b.queues())) {
@@ -93,18 +98,21 @@
         }
     }
 
-    @Override public void leave() {
+    @Override
+    public void leave() {
         leaving = true;
         if (opened) {
             sources.values().forEach(s -> s.consumer().leave());
         }
     }
 
-    @Override public int busy() {
+    @Override
+    public int busy() {
         return sources.values().stream().filter(s -> s.link().isUp()).mapToInt(s -> s.consumer().open()).sum();
     }
 
-    @Override public void close(Runnable done) {
+    @Override
+    public void close(Runnable done) {
         AtomicInteger left = new AtomicInteger(sources.size());
         sources.values().forEach(s -> s.link().close(() -> {
             if (left.decrementAndGet() == 0) {
--- a/src/main/java/topazladder/net/amqp/ConsumeWork.java
+++ b/src/main/java/topazladder/net/amqp/ConsumeWork.java
@@ -39,7 +39,8 @@
         this.inFlight = inFlight;
     }
 
-    @Override public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
+    @Override
+    public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
         queue.begin();
         // Past its leave it must not go on, whether anybody has told it to stop or not.
         look = vertx.setPeriodic(LOOK_MS, id -> {
@@ -51,7 +52,8 @@
         });
     }
 
-    @Override public void stop(double within, Runnable done) {
+    @Override
+    public void stop(double within, Runnable done) {
         vertx.cancelTimer(look);
         queue.end();
         long until = System.nanoTime() + Math.round(within * 0.8 * 1e9);
--- a/src/main/java/topazladder/net/amqp/Pem.java
+++ b/src/main/java/topazladder/net/amqp/Pem.java
@@ -61,11 +61,13 @@
 
     /** Takes a broker at a numeric address by the name that its certificate bears. */
     private record Named(X509TrustManager trust, String name) implements X509TrustManager {
-        @Override public void checkClientTrusted(X509Certificate[] chain, String kind) throws CertificateException {
+        @Override
+        public void checkClientTrusted(X509Certificate[] chain, String kind) throws CertificateException {
             trust.checkClientTrusted(chain, kind);
         }
 
-        @Override public void checkServerTrusted(X509Certificate[] chain, String kind) throws CertificateException {
+        @Override
+        public void checkServerTrusted(X509Certificate[] chain, String kind) throws CertificateException {
             trust.checkServerTrusted(chain, kind);
             Collection<List<?>> names = chain[0].getSubjectAlternativeNames();
             // A name of type 2 is that of a host.
@@ -75,7 +77,8 @@
             }
         }
 
-        @Override public X509Certificate[] getAcceptedIssuers() {
+        @Override
+        public X509Certificate[] getAcceptedIssuers() {
             return trust.getAcceptedIssuers();
         }
     }
--- a/src/main/java/topazladder/net/hall/ConductWork.java
+++ b/src/main/java/topazladder/net/hall/ConductWork.java
@@ -9,11 +9,13 @@
 /** Conducting releases, as a duty. */
 record ConductWork(ConductorNode conductor) implements LeasedTask {
 
-    @Override public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
+    @Override
+    public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
         conductor.start(token, leave);
     }
 
-    @Override public void stop(double within, Runnable done) {
+    @Override
+    public void stop(double within, Runnable done) {
         conductor.stop();
         done.run();
     }
--- a/src/main/java/topazladder/net/hall/GroupThread.java
+++ b/src/main/java/topazladder/net/hall/GroupThread.java
@@ -29,7 +29,8 @@
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
-    @Override public void in(double seconds, Runnable what) {
+    @Override
+    public void in(double seconds, Runnable what) {
         try {
             thread.schedule(() -> {
                 try {
--- a/src/main/java/topazladder/net/hall/HallClock.java
+++ b/src/main/java/topazladder/net/hall/HallClock.java
@@ -28,7 +28,8 @@
         now = lastMonotonic * rate;
     }
 
-    @Override public double getAsDouble() {
+    @Override
+    public double getAsDouble() {
         double m = monotonic.getAsDouble();
         double t = timeOfDay.getAsDouble();
         double passed = m - lastMonotonic;
--- a/src/main/java/topazladder/net/hall/HallDoor.java
+++ b/src/main/java/topazladder/net/hall/HallDoor.java
@@ -179,7 +179,8 @@
             }
         }
 
-        @Override public void tell(Saying what) {
+        @Override
+        public void tell(Saying what) {
             byte[] bytes = HallMessages.bytes(what);
             for (int at = 0; at < bytes.length || at == 0; at += PeerFrames.LONGEST) {
                 int to = Math.min(bytes.length, at + PeerFrames.LONGEST);
--- a/src/main/java/topazladder/net/hall/HallLinks.java
+++ b/src/main/java/topazladder/net/hall/HallLinks.java
@@ -83,7 +83,8 @@
     }
 
     /** For whoever looks into what does not come through. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         StringBuilder all = new StringBuilder();
         links.forEach((to, l) -> all.append(' ').append(to.port()).append(l.seal == null ? " ungreeted" : " ")
                 .append(l.said).append('/').append(l.heard).append(" waiting ").append(l.waiting.size()).append(';'));
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -100,7 +100,8 @@
      * Where they hear who have asked and may not be known otherwise yet: a hall that joins asks before it is told of.
      */
     private final Map<String, String> askers = new LinkedHashMap<>(16, 0.75f, true) {
-        @Override protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
             return size() > MOST_ASKERS;
         }
     };
@@ -207,11 +208,13 @@
     private VoterNode voter(SqliteStore store) {
         DoubleSupplier groupClock = () -> monotonic() * settings.clockRate();
         return new VoterNode(hall, store, thread, groupClock, chance.split(), new VoterNode.World() {
-            @Override public void say(String to, Saying what) {
+            @Override
+            public void say(String to, Saying what) {
                 loop.runOnContext(v -> HallNode.this.say(to, null, member.located(what)));
             }
 
-            @Override public void failed(Throwable why) {
+            @Override
+            public void failed(Throwable why) {
                 LOG.error("{} does not vote for now: {}", name, why.toString());
                 loop.runOnContext(v -> counters.add(Count.REPLICAS_LOST));
             }
@@ -264,7 +267,8 @@
 
     // ---- Part
 
-    @Override public void open() {
+    @Override
+    public void open() {
         member.open();
         repeat(WELL_MS, () -> member.well(phase.get() == Phase.SERVING && !leaving));
         repeat(LOOK_MS, () -> member.serving(meter.look(monotonic(), counted.get(), megabytes())));
@@ -281,7 +285,8 @@
         timers.add(vertx.setPeriodic(1, everyMs, id -> what.run()));
     }
 
-    @Override public void reload(ExtensionSettings other) {
+    @Override
+    public void reload(ExtensionSettings other) {
         if (other.members() == null) {
             LOG.warn("the hall can't be left without a restart");
             return;
@@ -300,12 +305,14 @@
         }
     }
 
-    @Override public void leave() {
+    @Override
+    public void leave() {
         leaving = true;
         member.leave();
     }
 
-    @Override public int busy() {
+    @Override
+    public int busy() {
         return member.clear() ? 0 : 1;
     }
 
@@ -320,7 +327,8 @@
         member.close();
     }
 
-    @Override public void close(Runnable done) {
+    @Override
+    public void close(Runnable done) {
         timers.forEach(vertx::cancelTimer);
         member.close();
         Runnable end = () -> {
@@ -595,11 +603,13 @@
     }
 
     private final class World implements MemberNode.World {
-        @Override public void say(String to, String address, Saying what) {
+        @Override
+        public void say(String to, String address, Saying what) {
             HallNode.this.say(to, address, what);
         }
 
-        @Override public void start(String duty, long token) {
+        @Override
+        public void start(String duty, long token) {
             counters.add(Count.DUTIES_TAKEN);
             LeasedTask work = works.get(duty);
             if (work == null) {
@@ -610,12 +620,14 @@
                     .mapToLong(Long::longValue).findFirst(), why -> member.stopped(duty, token, why));
         }
 
-        @Override public void stop(String duty, long token, double within) {
+        @Override
+        public void stop(String duty, long token, double within) {
             counters.add(Count.DUTIES_STOPPED);
             works.get(duty).stop(within, () -> loop.runOnContext(v -> member.stopped(duty, token, null)));
         }
 
-        @Override public void drain(long token, String version) {
+        @Override
+        public void drain(long token, String version) {
             if (version.isEmpty() || settings.nextFile() == null) {
                 drain.accept(settings.notice());
                 return;
@@ -630,13 +642,15 @@
                     .onComplete(done -> drain.accept(settings.notice()));
         }
 
-        @Override public void conducted(Saying.Conducted what) {
+        @Override
+        public void conducted(Saying.Conducted what) {
             if (conductor != null) {
                 conductor.shown(what);
             }
         }
 
-        @Override public void changed(Standing now, Standing before) {
+        @Override
+        public void changed(Standing now, Standing before) {
             if (now.state() == Standing.State.SUSPECTED) {
                 counters.add(Count.MEMBERS_SUSPECTED);
             } else if (now.state() == Standing.State.GONE) {
--- a/src/main/java/topazladder/net/hall/PoolChoice.java
+++ b/src/main/java/topazladder/net/hall/PoolChoice.java
@@ -23,29 +23,35 @@
         this.noticed = noticed;
     }
 
-    @Override public int pick(int not) {
+    @Override
+    public int pick(int not) {
         return use.pick(clock.getAsDouble(), not);
     }
 
-    @Override public Address at(int server) {
+    @Override
+    public Address at(int server) {
         return addresses.get(server);
     }
 
-    @Override public boolean uses(int server) {
+    @Override
+    public boolean uses(int server) {
         Use.State s = use.state(use.terms().servers().get(server));
         return s != Use.State.OUT && s != Use.State.OWN_OUT;
     }
 
-    @Override public void ended(int server, How how) {
+    @Override
+    public void ended(int server, How how) {
         use.ended(clock.getAsDouble(), server, how);
         noticed.run();
     }
 
-    @Override public void dropped(int server) {
+    @Override
+    public void dropped(int server) {
         use.dropped(server);
     }
 
-    @Override public boolean mayRepeat() {
+    @Override
+    public boolean mayRepeat() {
         return use.mayRepeat();
     }
 }
--- a/src/main/java/topazladder/net/hall/ProbeWork.java
+++ b/src/main/java/topazladder/net/hall/ProbeWork.java
@@ -36,7 +36,8 @@
         client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(CONNECT_MS));
     }
 
-    @Override public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
+    @Override
+    public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
         int mine = ++generation;
         timer = vertx.setPeriodic(1, Math.max(1, Math.round(terms.every() * 1000)), id -> probe(mine, leave));
     }
@@ -58,7 +59,8 @@
         }
     }
 
-    @Override public void stop(double within, Runnable done) {
+    @Override
+    public void stop(double within, Runnable done) {
         generation++;
         vertx.cancelTimer(timer);
         done.run();
--- a/src/main/java/topazladder/net/hall/SqliteStore.java
+++ b/src/main/java/topazladder/net/hall/SqliteStore.java
@@ -153,7 +153,8 @@
         return rows.isEmpty() ? null : rows.get(0);
     }
 
-    @Override public void flush() throws IOException {
+    @Override
+    public void flush() throws IOException {
         sql(() -> {
             try (Statement s = db.createStatement()) {
                 s.execute("commit");
@@ -177,7 +178,8 @@
 
     // ---- as whom it votes
 
-    @Override public Founding founding() {
+    @Override
+    public Founding founding() {
         try {
             byte[] here = word("here");
             if (here == null) {
@@ -192,7 +194,8 @@
         }
     }
 
-    @Override public void found(Founding f) throws IOException {
+    @Override
+    public void found(Founding f) throws IOException {
         rollBack();
         run("delete from word");
         run("delete from entry");
@@ -205,18 +208,21 @@
 
     // ---- what the library keeps
 
-    @Override public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
+    @Override
+    public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
         word("endpoint", MembersView.newBuilder().setLogIndex(endpoint.isVoting() ? 1 : 0)
                 .addMembers(endpoint.getLocalEndpoint().getId().toString()).build().toByteArray());
         flush();
     }
 
-    @Override public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
+    @Override
+    public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
         word("members", GroupMessages.view(members).toByteArray());
         flush();
     }
 
-    @Override public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
+    @Override
+    public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
         MembersView.Builder b = MembersView.newBuilder().setLogIndex(term.getTerm());
         if (term.getVotedFor() != null) {
             b.addMembers(term.getVotedFor().getId().toString());
@@ -225,30 +231,36 @@
         flush();
     }
 
-    @Override public void persistLogEntries(List<LogEntry> entries) throws IOException {
+    @Override
+    public void persistLogEntries(List<LogEntry> entries) throws IOException {
         for (LogEntry e : entries) {
             run("insert or replace into entry values (?, ?)", e.getIndex(), GroupMessages.entry(e).toByteArray());
         }
     }
 
-    @Override public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
+    @Override
+    public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
         run("insert or replace into chunk values (?, ?, ?)", chunk.getIndex(), chunk.getSnapshotChunkIndex(),
                 GroupMessages.chunk(chunk).toByteArray());
     }
 
-    @Override public void truncateLogEntriesFrom(long index) throws IOException {
+    @Override
+    public void truncateLogEntriesFrom(long index) throws IOException {
         run("delete from entry where at >= ?", index);
     }
 
-    @Override public void truncateLogEntriesUntil(long index) throws IOException {
+    @Override
+    public void truncateLogEntriesUntil(long index) throws IOException {
         run("delete from entry where at <= ?", index);
     }
 
-    @Override public void deleteSnapshotChunks(long index, int count) throws IOException {
+    @Override
+    public void deleteSnapshotChunks(long index, int count) throws IOException {
         run("delete from chunk where at = ?", index);
     }
 
-    @Override public RestoredRaftState restored() {
+    @Override
+    public RestoredRaftState restored() {
         try {
             rollBack();
             PersistedRaftState kept = new PersistedRaftState();
@@ -286,7 +298,8 @@
         }
     }
 
-    @Override public void close() {
+    @Override
+    public void close() {
         try {
             db.close();
         } catch (SQLException e) {
--- a/src/main/java/topazladder/net/hall/TouchWork.java
+++ b/src/main/java/topazladder/net/hall/TouchWork.java
@@ -37,7 +37,8 @@
         client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(CONNECT_MS));
     }
 
-    @Override public void start(long token, Supplier<OptionalLong> mayGoOn, Consumer<String> failed) {
+    @Override
+    public void start(long token, Supplier<OptionalLong> mayGoOn, Consumer<String> failed) {
         leave = mayGoOn;
         int mine = ++generation;
         connect(mine);
@@ -74,7 +75,8 @@
                 .ifPresent(token -> socket.write(Buffer.buffer("touch " + duty + ' ' + token + ' ' + holder + '\n')));
     }
 
-    @Override public void stop(double within, Runnable done) {
+    @Override
+    public void stop(double within, Runnable done) {
         generation++;
         vertx.cancelTimer(timer);
         if (socket != null) {
--- a/src/main/java/topazladder/net/peer/PeerNode.java
+++ b/src/main/java/topazladder/net/peer/PeerNode.java
@@ -113,7 +113,8 @@
                 peer.address().host() + ":" + peer.address().port(), peer.hall())).toList();
     }
 
-    @Override public void open() {
+    @Override
+    public void open() {
         if (server != null) {
             server.listen(settings.listen()).onFailure(e -> LOG.error("no peer can ask at {}:{}: {}",
                     settings.listen().host(), settings.listen().port(), e.getMessage()));
@@ -127,7 +128,8 @@
     }
 
     /** Keys and peers are those of now; where it listens needs a restart. */
-    @Override public void reload(ExtensionSettings own) {
+    @Override
+    public void reload(ExtensionSettings own) {
         if (own.peering() == null) {
             LOG.warn("peering can't be switched off without a restart");
             return;
@@ -139,7 +141,8 @@
         }
     }
 
-    @Override public void close(Runnable done) {
+    @Override
+    public void close(Runnable done) {
         closed = true;
         vertx.cancelTimer(wake);
         asker.close();
@@ -182,22 +185,26 @@
         instance.resumeServing();
     }
 
-    @Override public void heard(int number, Collection<Fact> facts) {
+    @Override
+    public void heard(int number, Collection<Fact> facts) {
         asking.heard(number);
         learning.hear(facts);
     }
 
-    @Override public void whole(int number) {
+    @Override
+    public void whole(int number) {
         counters.add(Count.SHARES_TAKEN);
         carryOut(asking.learned(seconds(), number));
     }
 
-    @Override public void later(int number, double comeBackIn) {
+    @Override
+    public void later(int number, double comeBackIn) {
         counters.add(Count.SHARES_PUT_OFF);
         carryOut(asking.later(seconds(), number, comeBackIn));
     }
 
-    @Override public void failed(int number, String why) {
+    @Override
+    public void failed(int number, String why) {
         counters.add(Count.PEERS_FAILED);
         LOG.debug("peer asked at try {} failed: {}", number, why);
         carryOut(asking.failed(seconds(), number));
--- a/src/main/java/topazladder/peering/Asking.java
+++ b/src/main/java/topazladder/peering/Asking.java
@@ -218,7 +218,8 @@
         return open.isEmpty() && !next.isEmpty() ? Math.min(at, notBefore) : at;
     }
 
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return phase.name().toLowerCase(Locale.ROOT).replace('_', ' ') + " after " + number + " tries";
     }
 }
--- a/src/main/java/topazladder/release/Judge.java
+++ b/src/main/java/topazladder/release/Judge.java
@@ -155,7 +155,8 @@
     }
 
     /** For operators: the difference of payoff and its bounds. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         Series all = payoff.get(ALL);
         return all == null ? "nothing compared yet" : String.format(Locale.ROOT,
                 "payoff %+.2f%% ± %.2f%% after %d looks", 100 * all.mean, 100 * (Math.min(1, all.radius(terms.error()))
--- a/src/main/java/topazladder/rig/HallRig.java
+++ b/src/main/java/topazladder/rig/HallRig.java
@@ -111,11 +111,13 @@
 
     private FaultInjector.Roles roles() {
         return new FaultInjector.Roles() {
-            @Override public int leader() throws Exception {
+            @Override
+            public int leader() throws Exception {
                 return HallRig.this.leader();
             }
 
-            @Override public int holder() throws Exception {
+            @Override
+            public int holder() throws Exception {
                 return HallRig.this.holder();
             }
         };
@@ -485,7 +487,8 @@
         return processes.logs(lines);
     }
 
-    @Override public void close() throws Exception {
+    @Override
+    public void close() throws Exception {
         if (supervisor != null) {
             supervisor.end();
         }
--- a/src/main/java/topazladder/rig/HollowMembers.java
+++ b/src/main/java/topazladder/rig/HollowMembers.java
@@ -195,7 +195,8 @@
         return all;
     }
 
-    @Override public void close() throws Exception {
+    @Override
+    public void close() throws Exception {
         for (Hollow h : members) {
             onLoop(h, () -> h.stop(true));
         }
--- a/src/main/java/topazladder/rig/HollowProcess.java
+++ b/src/main/java/topazladder/rig/HollowProcess.java
@@ -84,7 +84,8 @@
         return new JsonObject(line);
     }
 
-    @Override public void close() throws InterruptedException {
+    @Override
+    public void close() throws InterruptedException {
         commands.close();
         if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS)) {
             process.destroyForcibly().waitFor();
--- a/src/main/java/topazladder/rig/LiveRuntime.java
+++ b/src/main/java/topazladder/rig/LiveRuntime.java
@@ -154,14 +154,16 @@
         }
     }
 
-    @Override public void ended(String ref, Outcome how, double elapsed, byte[] result) {
+    @Override
+    public void ended(String ref, Outcome how, double elapsed, byte[] result) {
         watch.ended(ref);
         notice("end " + ++number + " " + ref + (how == Outcome.SUCCEEDED ? " PASS " : " FAIL ")
                 + Math.round(elapsed * 1000),
                 result);
     }
 
-    @Override public void wants(String ref, long notice, byte[] body) {
+    @Override
+    public void wants(String ref, long notice, byte[] body) {
         // The run's own number of the notice is not used: the numbers here count ends as well.
         notice("wants " + ++number + " " + ref, new String(body, StandardCharsets.US_ASCII)
                 .getBytes(StandardCharsets.US_ASCII));
--- a/src/main/java/topazladder/rig/PathRig.java
+++ b/src/main/java/topazladder/rig/PathRig.java
@@ -98,11 +98,13 @@
         OnLoop.get(vertx, () -> {
             runtime.up(new Runtime.Shape(CORES, 1, 1, 1, 2), false);
             runtime.watch(new LiveRuntime.Watch() {
-                @Override public void started(String ref) {
+                @Override
+                public void started(String ref) {
                     record(intendedAt.remove(ref), toRuntime);
                 }
 
-                @Override public void ended(String ref) {
+                @Override
+                public void ended(String ref) {
                     endedAt.put(ref, System.nanoTime());
                 }
             });
@@ -211,7 +213,8 @@
         }
     }
 
-    @Override public void close() throws Exception {
+    @Override
+    public void close() throws Exception {
         over = true;
         if (process != null) {
             Programs.end(List.of(process));
--- a/src/main/java/topazladder/rig/ProcessSupervisor.java
+++ b/src/main/java/topazladder/rig/ProcessSupervisor.java
@@ -88,7 +88,8 @@
         join();
     }
 
-    @Override public void run() {
+    @Override
+    public void run() {
         try {
             while (!over) {
                 for (int i = 0; i < count; i++) {
--- a/src/main/java/topazladder/rig/RigLoad.java
+++ b/src/main/java/topazladder/rig/RigLoad.java
@@ -53,15 +53,18 @@
     /** Tells the ledger of requests what becomes of processes; from any thread. */
     RigProcesses.Listener listener() {
         return new RigProcesses.Listener() {
-            @Override public void stalled(int process, boolean still) {
+            @Override
+            public void stalled(int process, boolean still) {
                 vertx.runOnContext(v -> requests.stands(process, System.nanoTime() / 1e9, still));
             }
 
-            @Override public void ended(int process, boolean inOrder) {
+            @Override
+            public void ended(int process, boolean inOrder) {
                 vertx.runOnContext(v -> requests.ended(process, inOrder));
             }
 
-            @Override public void forgot(int process) {
+            @Override
+            public void forgot(int process) {
                 vertx.runOnContext(v -> requests.forgets(process));
             }
         };
--- a/src/main/java/topazladder/rig/ScaleCluster.java
+++ b/src/main/java/topazladder/rig/ScaleCluster.java
@@ -289,7 +289,8 @@
         return all;
     }
 
-    @Override public void close() throws Exception {
+    @Override
+    public void close() throws Exception {
         for (HollowProcess p : hollow) {
             p.close();
         }
--- a/src/main/java/topazladder/service/Counters.java
+++ b/src/main/java/topazladder/service/Counters.java
@@ -39,7 +39,8 @@
     }
 
     /** Those that ever counted, on one line. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return Arrays.stream(Count.values()).filter(c -> of(c) > 0)
                 .map(c -> c.name().toLowerCase(Locale.ROOT).replace('_', '-') + "=" + of(c))
                 .collect(Collectors.joining(" "));
--- a/src/main/java/topazladder/service/RequestDispatcher.java
+++ b/src/main/java/topazladder/service/RequestDispatcher.java
@@ -132,7 +132,8 @@
     }
 
     /** What is in hand, for whoever asks. */
-    @Override public String toString() {
+    @Override
+    public String toString() {
         return "in-hand=" + byRef.size() + " owed=" + owed + " fingerprints=" + fingerprints.size() + " level="
                 + (level == null ? "none" : level) + " gauges=" + gauges;
     }
--- a/src/test/java/topazladder/AdmissionControllerTest.java
+++ b/src/test/java/topazladder/AdmissionControllerTest.java
@@ -13,25 +13,25 @@
 class AdmissionControllerTest {
 
     @Test
-            void heldRequestIsAnsweredOnceItCanNoLongerPay() {
+    void heldRequestIsAnsweredOnceItCanNoLongerPay() {
         new Desk().open().arrive("a", READ).arrive("b", READ)
                 .until(3).runEnds("a", Outcome.SUCCEEDED).until(6).matches("answers");
     }
 
     @Test
-            void runningRequestIsAnsweredAtItsDueTimeAlthoughItRunsOn() {
+    void runningRequestIsAnsweredAtItsDueTimeAlthoughItRunsOn() {
         new Desk().open().arrive("a", PLACE).until(6).runEnds("a", Outcome.CANCELLED).arrive("b", READ)
                 .matches("running-past-due");
     }
 
     @Test
-            void dueTimeCountsFromArrivalAtTheMachine() {
+    void dueTimeCountsFromArrivalAtTheMachine() {
         new Desk().open().arrive("a", LATE, 0.5, 4, null).arrive("b", READ, 0.5, 4, null).until(2)
                 .matches("due-from-arrival");
     }
 
     @Test
-            void heldCopiesOfAFingerprintRunOnce() {
+    void heldCopiesOfAFingerprintRunOnce() {
         new Desk().open().arrive("x", PLACE).arrive("a", PLACE).arrive("a2", PLACE, 0.3, 0, "a")
                 .at(0.4).runEnds("x", Outcome.SUCCEEDED).at(0.8).runEnds("a", Outcome.SUCCEEDED).at(0.9)
                 .runEnds("a2", Outcome.SUCCEEDED)
@@ -39,20 +39,20 @@
     }
 
     @Test
-            void repeatOfARequestThatNeverRanTakesItsPlace() {
+    void repeatOfARequestThatNeverRanTakesItsPlace() {
         new Desk().open().arrive("x", READ).arrive("a", PLACE).arrive("a2", PLACE, 0.3, 0, "a")
                 .callerGone("a").at(0.4).runEnds("x", Outcome.SUCCEEDED).matches("heir");
     }
 
     @Test
-            void callWithAnEffectIsMadeAgainOnlyIfTheLastNeverRan() {
+    void callWithAnEffectIsMadeAgainOnlyIfTheLastNeverRan() {
         new Desk().open().arrive("a", ISSUE).at(0.2).wantsCall("a").callEnds("a", Outcome.REJECTED)
                 .until(0.6).callEnds("a", Outcome.TIMED_OUT).runEnds("a", Outcome.CANCELLED)
                 .arrive("b", READ).wantsCall("b").callEnds("b", Outcome.FAILED).matches("calls");
     }
 
     @Test
-            void memoryHoldsHeldRunningAndRemembered() {
+    void memoryHoldsHeldRunningAndRemembered() {
         Desk desk = new Desk().with("memory", 400.0).open();
         for (int i = 0; i < 8; i++) {
             desk.arrive("p" + i, PLACE);
@@ -61,7 +61,7 @@
     }
 
     @Test
-            void fingerprintsTakeMemoryToTheEndOfTheirWindowsAlsoOfRunsThatAreOver() {
+    void fingerprintsTakeMemoryToTheEndOfTheirWindowsAlsoOfRunsThatAreOver() {
         Desk desk = new Desk().open();
         desk.quietly(d -> {
             for (int i = 0; i < 16; i++) {
@@ -73,14 +73,14 @@
     }
 
     @Test
-            void drainRunsNothingPastTheGraceAndAnswersAllBeforeTheStop() {
+    void drainRunsNothingPastTheGraceAndAnswersAllBeforeTheStop() {
         new Desk().open().arrive("a", PLACE).arrive("b", PLACE).leave(4).until(1.5)
                 .arrive("early", PLACE, 0.3, 0.6, null).arrive("late", PLACE, 0.3, 0.1, null)
                 .until(4).matches("drain");
     }
 
     @Test
-            void coldServerKeepsItsCrowdBelowWhatItSurvives() {
+    void coldServerKeepsItsCrowdBelowWhatItSurvives() {
         Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
                 .with("warm-after", 16.0).open();
         for (int i = 0; i < 4; i++) {
@@ -90,19 +90,19 @@
     }
 
     @Test
-            void levelRisesInStepsUnderOverloadIsEnforcedAndFallsWhenTheHoldIsShort() {
+    void levelRisesInStepsUnderOverloadIsEnforcedAndFallsWhenTheHoldIsShort() {
         Desk desk = new Desk().with("memory", 100000.0).open();
         desk.flood(3, 0.1).until(4.5).matches("level");
     }
 
     @Test
-            void rejectedRequestsAreNotToWalkOnWhereAllHaveWalkedBefore() {
+    void rejectedRequestsAreNotToWalkOnWhereAllHaveWalkedBefore() {
         new Desk().open().arrive("x", PLACE).arrive("a", READ, 0.2, 2.5, null)
                 .arrive("b", READ, 0.2, 2.5, "gone").arrive("c", READ, 0.2, 2.5, null).matches("walking-on");
     }
 
     @Test
-            void spoiltCallIsMadeAgainOnceWhereThatMayBeDoneAndWaitedForNoLongerThanFourTimesTheUsual() {
+    void spoiltCallIsMadeAgainOnceWhereThatMayBeDoneAndWaitedForNoLongerThanFourTimesTheUsual() {
         Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
         for (int i = 0; i < 40; i++) {
             desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 0.1)
@@ -114,7 +114,7 @@
     }
 
     @Test
-            void callThatCanNotBeLeftOutIsMadeHoweverSlowTheLastWere() {
+    void callThatCanNotBeLeftOutIsMadeHoweverSlowTheLastWere() {
         Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
         for (int i = 0; i < 4; i++) {
             desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 3).runEnds("w",
@@ -124,7 +124,7 @@
     }
 
     @Test
-            void callsArePacedWhileTheyTakeLongAndThoseThatCanBeLeftOutGiveWay() {
+    void callsArePacedWhileTheyTakeLongAndThoseThatCanBeLeftOutGiveWay() {
         Desk desk = new Desk().with("below", "common").with("calls-share", 1.0).with("calls-span", 5.0)
                 .with("cores", 4.0).with("memory", 10000.0).open();
         for (int i = 0; i < 45; i++) {
@@ -140,7 +140,7 @@
     }
 
     @Test
-            void requestsParkedForACallCountInTheCrowdThatMayComeBack() {
+    void requestsParkedForACallCountInTheCrowdThatMayComeBack() {
         Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
                 .with("warm-after", 16.0).with("below", "common").with("calls-share", 0.1).open();
         for (int i = 0; i < 3; i++) {
@@ -150,7 +150,7 @@
     }
 
     @Test
-            void connectionsOfSeldomCallersAreClosedWhileCoresIdleAndKeptWhileNewcomersCrowd() {
+    void connectionsOfSeldomCallersAreClosedWhileCoresIdleAndKeptWhileNewcomersCrowd() {
         Desk desk = new Desk().with("callers", 100.0).with("idle-most", 30.0).open();
         for (int i = 0; i < 16; i++) {
             desk.until(i * 0.5).quietly(d -> d.arrive("a", READ).runEnds("a", Outcome.SUCCEEDED));
@@ -161,13 +161,13 @@
     }
 
     @Test
-            void withNothingLearnedFromOthersAllIsRuledAsItWasBeforeThatCouldBe() {
+    void withNothingLearnedFromOthersAllIsRuledAsItWasBeforeThatCouldBe() {
         new Desk().with("cores", 2.0).with("memory", 2000.0).with("below", "common").with("calls-share", 2.0)
                 .open().play(20261201, 160).matches("unlearned");
     }
 
     @Test
-            void whatOthersFinishTurnsAwayAtOnceWhatCanNotCome() {
+    void whatOthersFinishTurnsAwayAtOnceWhatCanNotCome() {
         Desk desk = new Desk().with("memory", 10000.0).open();
         desk.learn(Kind.COMPLETION_RATE, "", 1, 30).learn(Kind.RUN_TIME, "read", 0.4, 3);
         for (int i = 0; i < 5; i++) {
@@ -177,7 +177,7 @@
     }
 
     @Test
-            void learnedRunTimesGrowWithTheColdOnesSlownessAndNeverMakeHopelessWhatCouldStart() {
+    void learnedRunTimesGrowWithTheColdOnesSlownessAndNeverMakeHopelessWhatCouldStart() {
         Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
                 .with("warm-after", 16.0).open();
         desk.learn(Kind.RUN_TIME, "read", 0.3, 3).learn(Kind.RUN_TIME, "place", 99, 3)
@@ -188,7 +188,7 @@
     }
 
     @Test
-            void learnedCallsLiftNoBoundOnWhatLiesBelowAndOwnOnesOverruleThem() {
+    void learnedCallsLiftNoBoundOnWhatLiesBelowAndOwnOnesOverruleThem() {
         Desk desk = new Desk().with("below", "common").with("calls-share", 2.0).with("calls-span", 5.0)
                 .with("cores", 4.0).with("memory", 10000.0).open();
         desk.learn(Kind.CALLS_IN_FLIGHT, "", 1e9, 1000).quietly(d -> d.arrive("f", READ).wantsCall("f")
@@ -200,7 +200,7 @@
     }
 
     @Test
-            void onlyWhatIsAllOwnAndOfAWarmServerIsToldToOthers() {
+    void onlyWhatIsAllOwnAndOfAWarmServerIsToldToOthers() {
         Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
         desk.learn(Kind.RUN_TIME, "read", 0.9, 3).tells();
         for (int i = 0; i < 10; i++) {
--- a/src/test/java/topazladder/AmqpServiceTest.java
+++ b/src/test/java/topazladder/AmqpServiceTest.java
@@ -64,7 +64,7 @@
     private int notices;
 
     @BeforeEach
-            void listen() throws Exception {
+    void listen() throws Exception {
         runtime = new Peer();
         broker = onLoop(() -> {
             Broker b = new Broker(() -> System.nanoTime() / 1e9,
@@ -87,7 +87,7 @@
     }
 
     @AfterEach
-            void stop() throws Exception {
+    void stop() throws Exception {
         if (service != null) {
             service.leave();
             exit.get(20, TimeUnit.SECONDS);
@@ -185,18 +185,20 @@
 
     private static Script harm(String method, int nth, Harm harm, boolean received) {
         return new Script() {
-            @Override public Harm received(String m, int n) {
+            @Override
+            public Harm received(String m, int n) {
                 return received && m.equals(method) && n == nth ? harm : Harm.NONE;
             }
 
-            @Override public Harm sent(String m, int n) {
+            @Override
+            public Harm sent(String m, int n) {
                 return !received && m.equals(method) && n == nth ? harm : Harm.NONE;
             }
         };
     }
 
     @Test
-            void aDeliveryRunsIsAnsweredAndAcknowledged() throws Exception {
+    void aDeliveryRunsIsAnsweredAndAcknowledged() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
         publish("1", "place", "F", "order", "answers");
         passes(begins("place", "order"), "done");
@@ -206,7 +208,7 @@
     }
 
     @Test
-            void anAcknowledgementThatIsLostWithItsLinkLeadsToNoSecondRun() throws Exception {
+    void anAcknowledgementThatIsLostWithItsLinkLeadsToNoSecondRun() throws Exception {
         onLoop(() -> {
             server.script(harm("basic.ack", 1, Harm.LOSE_AND_CUT, true));
             return null;
@@ -221,7 +223,7 @@
     }
 
     @Test
-            void aBindingMessageThatCameBeforeIsNeverRunAgainWhereNothingIsKnownOfIt() throws Exception {
+    void aBindingMessageThatCameBeforeIsNeverRunAgainWhereNothingIsKnownOfIt() throws Exception {
         publish("1", "invoice", null, "bill", null);
         onLoop(() -> {
             // Another instance had it, and went with its link.
@@ -237,7 +239,7 @@
     }
 
     @Test
-            void theSameOrderFromACallerAndFromTheBrokerRunsOnce() throws Exception {
+    void theSameOrderFromACallerAndFromTheBrokerRunsOnce() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
         String said = "";
         while (!said.startsWith("33 on 1 code 0")) {
@@ -257,7 +259,7 @@
     }
 
     @Test
-            void whatCanNotBeMappedOrIsTooLargeIsDeadLetteredWithItsReasonAndNeverRuns() throws Exception {
+    void whatCanNotBeMappedOrIsTooLargeIsDeadLetteredWithItsReasonAndNeverRuns() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
         publish("1", "unheard-of", null, "a", null);
         publish("2", "place", null, "b", null);
@@ -272,7 +274,7 @@
     }
 
     @Test
-            void onTheNoticeToLeaveWhatHasNotBegunGoesBackAtOnceAndWhatRunsIsSettled() throws Exception {
+    void onTheNoticeToLeaveWhatHasNotBegunGoesBackAtOnceAndWhatRunsIsSettled() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
         publish("1", "place", "A", "one", null);
         String first = begins("place", "one");
@@ -292,7 +294,7 @@
     }
 
     @Test
-            void theBrokerVanishesInTheMiddleOfADrainAndTheInstanceEndsInTime() throws Exception {
+    void theBrokerVanishesInTheMiddleOfADrainAndTheInstanceEndsInTime() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
         publish("1", "place", "A", "one", null);
         String ref = begins("place", "one");
@@ -307,7 +309,7 @@
     }
 
     @Test
-            void linksThatAreCutWithinAFrameOrLieAboutASizeOrGoSilentAreTakenAnew() throws Exception {
+    void linksThatAreCutWithinAFrameOrLieAboutASizeOrGoSilentAreTakenAnew() throws Exception {
         for (Harm harm : List.of(Harm.CUT_WITHIN, Harm.WRONG_SIZE, Harm.STALL)) {
             onLoop(() -> {
                 server.script(harm("basic.deliver", 1, harm, false));
@@ -325,7 +327,7 @@
     }
 
     @Test
-            void aCancelledConsumerAndAChannelErrorEndNothingElse() throws Exception {
+    void aCancelledConsumerAndAChannelErrorEndNothingElse() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
         publish("1", "read", null, "one", null);
         passes(begins("read", "one"), "x");
@@ -346,7 +348,7 @@
     }
 
     @Test
-            void aWrongPasswordIsToldAndTriedAgainUntilItIsRight() throws Exception {
+    void aWrongPasswordIsToldAndTriedAgainUntilItIsRight() throws Exception {
         Files.writeString(folder.resolve("password"), "wrong\n");
         serve("user: \"desk\" password_file: \"password\"");
         until(() -> server.taken() >= 2);
@@ -358,7 +360,7 @@
     }
 
     @Test
-            void theExampleDeclaresItsTopologyAndADelayedMessageComesBackToItsQueue() throws Exception {
+    void theExampleDeclaresItsTopologyAndADelayedMessageComesBackToItsQueue() throws Exception {
         Files.writeString(folder.resolve("broker.password"), "secret\n");
         String example = Files.readString(Path.of("deploy", "amqp.example.txtpb"))
                 .replace("127.0.0.1:5672", "127.0.0.1:" + brokerPort).replace("=order-place", "=place")
@@ -383,7 +385,7 @@
     }
 
     @Test
-            void aReloadMovesToAnotherBroker() throws Exception {
+    void aReloadMovesToAnotherBroker() throws Exception {
         BrokerServer next = new BrokerServer(vertx, broker, new BrokerServer.Terms("desk", "secret", 1, 8192),
                 new NetServerOptions());
         int other = await(next.listen(free()).toCompletionStage().toCompletableFuture());
@@ -397,7 +399,7 @@
     }
 
     @Test
-            void tenThousandThatWaitAreTakenAsManyAsThereIsRoomFor() throws Exception {
+    void tenThousandThatWaitAreTakenAsManyAsThereIsRoomFor() throws Exception {
         for (int i = 0; i < 10_000; i++) {
             int n = i;
             if (n % 1000 == 0) {
@@ -422,7 +424,7 @@
     }
 
     @Test
-            void tlsWithACertificateOfItsOwnInPlaceOfAPassword() throws Exception {
+    void tlsWithACertificateOfItsOwnInPlaceOfAPassword() throws Exception {
         keys("broker", "DNS:broker.test");
         keys("desk", "DNS:desk.test");
         BrokerServer secure = new BrokerServer(vertx, broker, new BrokerServer.Terms(null, null, 1, 8192),
--- a/src/test/java/topazladder/ClusterSettingsTest.java
+++ b/src/test/java/topazladder/ClusterSettingsTest.java
@@ -46,13 +46,13 @@
             "voters: 'n1' below { servers { name: 'a b' address: '127.0.0.1:1' } } | hall.below.servers[0].name",
             "voters: 'n1' below { alone: 0.9 servers { name: 'a' address: '127.0.0.1:1' } } | hall.below.alone",
     })
-            void whatIsWrongInItsSettingsIsToldByItsKey(String hall, String told) {
+    void whatIsWrongInItsSettingsIsToldByItsKey(String hall, String told) {
         assertThatThrownBy(() -> settings(hall.replace('\'', '"'))).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining(told);
     }
 
     @Test
-            void aHallNeedsAPeersAddress() throws IOException {
+    void aHallNeedsAPeersAddress() throws IOException {
         Files.write(folder.resolve("key"), KEY);
         assertThatThrownBy(() -> ExtensionSettingsFile.of("hall { }", folder))
                 .hasMessageContaining("hall needs peering");
--- a/src/test/java/topazladder/CodecTest.java
+++ b/src/test/java/topazladder/CodecTest.java
@@ -28,7 +28,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 3, 10, 10_000})
-            void framesAreReadFromPiecesOfAnySize(int piece) throws MalformedMessageException {
+    void framesAreReadFromPiecesOfAnySize(int piece) throws MalformedMessageException {
         byte[] gone = Frames.frame(18, 7);
         byte[] check = Frames.frame(32, 1, Frames.fields("inner", "1"));
         byte[] all = Arrays.copyOf(REQUEST, REQUEST.length + gone.length + check.length);
@@ -52,7 +52,7 @@
     }
 
     @Test
-            void lengthsAreTakenUpToTheirBoundsAndNotPast() throws MalformedMessageException {
+    void lengthsAreTakenUpToTheirBoundsAndNotPast() throws MalformedMessageException {
         assertThat(read(Frames.frame(16, 1, Frames.fields(), new byte[262_138]))).isInstanceOf(
                 CallerMessage.Unusable.class);
         FrameReader pieces = new FrameReader();
@@ -70,7 +70,7 @@
     }
 
     @Test
-            void malformedFramesAreToldFromBadRequests() throws MalformedMessageException {
+    void malformedFramesAreToldFromBadRequests() throws MalformedMessageException {
         malformed(Frames.frame(17, 1), "a frame of type 17");
         malformed(Frames.frame(16, 0, Frames.fields()), "a request on stream 0");
         malformed(Frames.frame(16, 1), "fields cut short");
@@ -91,7 +91,7 @@
     }
 
     @Test
-            void answersCarryWhatWasRuled() {
+    void answersCarryWhatWasRuled() {
         assertThat(Frames.text(cut(CallerFrames.answer(3, new Response(How.SERVED, 0.25, 0, false,
                 "result".getBytes(StandardCharsets.UTF_8)))))).isEqualTo("17 on 3 code 0 pressure=0.25 result");
         assertThat(
@@ -106,7 +106,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 7, 1000})
-            void linesAreReadFromPiecesOfAnySize(int piece) throws MalformedMessageException {
+    void linesAreReadFromPiecesOfAnySize(int piece) throws MalformedMessageException {
         String said = "ready EMPTY 120\r\nend 1 9b1f PASS 31.5 4\r\na\r\nb\r\nend 2 9b20 NOOP 0 0\r\n\r\n"
                 + "wants 3 9b21 2\r\n\r\n\r\nload c5 0.5 3 0.25 7\r\nverdict 8 FAIL\r\n"
                 + "nack start 9b22\r\ninfo 4 a b\r\n";
@@ -130,14 +130,14 @@
     @ValueSource(strings = {"hello\r\n", "ready FULL 3\r\n", "ready EMPTY\r\n", "end 1 9b1f GOOD 3 0\r\n\r\n",
             "end x 9b1f PASS 3 0\r\n\r\n", "end 1 9b1f PASS 3 2\r\nabc\r\n", "wants 1 9b1f -2\r\n", "load c1 NaN\r\n",
             "ready EMPTY 3\n", "\r\n", " \r\n", "  \r\n", "wants 1 9b1f 99999999\r\n"})
-            void linesThatAreNoNoticeAreMalformed(String said) {
+    void linesThatAreNoNoticeAreMalformed(String said) {
         LineReader reader = RuntimeLines.reader();
         reader.feed(said.getBytes(StandardCharsets.UTF_8));
         assertThatThrownBy(() -> RuntimeLines.notice(reader.next())).isInstanceOf(MalformedMessageException.class);
     }
 
     @Test
-            void repliesOfTheIndexAreTold() throws MalformedMessageException {
+    void repliesOfTheIndexAreTold() throws MalformedMessageException {
         LineReader reader = IndexLines.reader();
         reader.feed("a HIT 3\r\nx\r\n\r\nb SHED\r\nc BROKEN\r\nd SLOW\r\ne NOBODY\r\n"
                 .getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/topazladder/DeliverySchedulesTest.java
+++ b/src/test/java/topazladder/DeliverySchedulesTest.java
@@ -11,7 +11,7 @@
 class DeliverySchedulesTest {
 
     @Test
-            void noScheduleOfFaultsBreaksARule() {
+    void noScheduleOfFaultsBreaksARule() {
         LongStream.range(1, 81).parallel().forEach(seed -> {
             Result r = DeliveryTrial.play(seed, true);
             assertThat(r.breaks()).as("seed " + seed + " " + r.schedule()).isEmpty();
@@ -20,7 +20,7 @@
     }
 
     @Test
-            void theSameSeedPlaysTheSame() {
+    void theSameSeedPlaysTheSame() {
         assertThat(DeliveryTrial.play(11, true)).isEqualTo(DeliveryTrial.play(11, true));
     }
 }
--- a/src/test/java/topazladder/Desk.java
+++ b/src/test/java/topazladder/Desk.java
@@ -452,7 +452,8 @@
 
     private Caller caller(String name) {
         return new Caller() {
-            @Override public void answer(Response a) {
+            @Override
+            public void answer(Response a) {
                 if (name.equals(broken)) {
                     throw new IllegalStateException("a fault, as the test wants it");
                 }
@@ -462,59 +463,72 @@
                         + (a.stayAway() > 0 ? ", stay away" : "") + (a.notElsewhere() ? ", not elsewhere" : ""));
             }
 
-            @Override public void unusable(Response a) {
+            @Override
+            public void unusable(Response a) {
                 write("  " + name + " is unusable");
             }
 
-            @Override public void health(boolean good, Double level) {
+            @Override
+            public void health(boolean good, Double level) {
                 write("  " + name + " is " + (good ? "good" : "bad"));
             }
         };
     }
 
-    @Override public void start(String ref, String requestClass, byte[] body) {
+    @Override
+    public void start(String ref, String requestClass, byte[] body) {
         write("  start " + ref);
     }
 
-    @Override public void give(String ref, byte[] reply) {
+    @Override
+    public void give(String ref, byte[] reply) {
         write("  give " + ref + " " + reply.length + " bytes");
     }
 
-    @Override public void omit(String ref, long notice) {
+    @Override
+    public void omit(String ref, long notice) {
         write("  omit the call of notice " + notice + " for " + ref);
     }
 
-    @Override public void askGauges() {
+    @Override
+    public void askGauges() {
         if (!deaf) {
             dispatcher.gaugesReceived(new double[] {1, 2});
         }
     }
 
-    @Override public void askWhetherWorkGetsDone(long tag) {
+    @Override
+    public void askWhetherWorkGetsDone(long tag) {
         write("  does work get done? " + tag);
     }
 
-    @Override public void call(String ref, double patience, boolean repeatable, byte[] body) {
+    @Override
+    public void call(String ref, double patience, boolean repeatable, byte[] body) {
         write(String.format(Locale.ROOT, "  call for %s, %d bytes, %.1f s", ref, body.length, patience));
     }
 
-    @Override public void giveUp(String ref) {
+    @Override
+    public void giveUp(String ref) {
         write("  give up the call of " + ref);
     }
 
-    @Override public void closeIdle(double seconds) {
+    @Override
+    public void closeIdle(double seconds) {
         write("  close idle");
     }
 
-    @Override public void lastCall() {
+    @Override
+    public void lastCall() {
         write("  last call");
     }
 
-    @Override public int connections() {
+    @Override
+    public int connections() {
         return 1;
     }
 
-    @Override public void in(double seconds, Runnable what) {
+    @Override
+    public void in(double seconds, Runnable what) {
         timers.add(new Due(now + seconds, order++, what));
     }
 }
--- a/src/test/java/topazladder/EndingsTest.java
+++ b/src/test/java/topazladder/EndingsTest.java
@@ -17,7 +17,7 @@
 class EndingsTest extends ServiceBench {
 
     @Test
-            void callerThatSendsNoMoreIsAnsweredAllThatIsOpenAndThenClosedOn() throws Exception {
+    void callerThatSendsNoMoreIsAnsweredAllThatIsOpenAndThenClosedOn() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "read"), Frames.request(2, B, "read"));
@@ -36,7 +36,7 @@
     }
 
     @Test
-            void callerThatRestsThroughTheDrainIsToldAndEndedInOrderBeforeTheKill() throws Exception {
+    void callerThatRestsThroughTheDrainIsToldAndEndedInOrderBeforeTheKill() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub rests = up()) {
             rests.send(Frames.request(1, A, "read"));
@@ -55,7 +55,7 @@
     }
 
     @Test
-            void noticeBeforeTheRuntimeIsUpTellsWhoeverIsConnectedBeforeItCloses() throws Exception {
+    void noticeBeforeTheRuntimeIsUpTellsWhoeverIsConnectedBeforeItCloses() throws Exception {
         try (Stub stub = new Stub(port)) {
             stub.send(Frames.request(1, A, "read"));
             assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
@@ -71,7 +71,7 @@
     }
 
     @Test
-            void runThatEndsAsTheLinkIsTakenUpAgainIsNotStartedASecondTime() throws Exception {
+    void runThatEndsAsTheLinkIsTakenUpAgainIsNotStartedASecondTime() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"));
@@ -87,7 +87,7 @@
     }
 
     @Test
-            void startThatWasLostWithTheLinkIsFailedAndThenShownNeverToHaveRun() throws Exception {
+    void startThatWasLostWithTheLinkIsFailedAndThenShownNeverToHaveRun() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             // It has seen how long such a run takes: nine milliseconds.
@@ -117,7 +117,7 @@
     }
 
     @Test
-            void startThatWasRuledWhileThereWasNoLinkIsInNoDoubt() throws Exception {
+    void startThatWasRuledWhileThereWasNoLinkIsInNoDoubt() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             runtime.hangUp();
@@ -133,7 +133,7 @@
     }
 
     @Test
-            void linkThatMovesIsLeftOnceAllThatWasWrittenToItIsShownToBeRead() throws Exception {
+    void linkThatMovesIsLeftOnceAllThatWasWrittenToItIsShownToBeRead() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer left = runtime; Peer next = new Peer()) {
             // It has seen how long such a run takes: nine milliseconds.
@@ -161,7 +161,7 @@
     }
 
     @Test
-            void linkOnWhichTheRuntimeSaysNothingIsTakenAnewWithAllThatIsUnderWay() throws Exception {
+    void linkOnWhichTheRuntimeSaysNothingIsTakenAnewWithAllThatIsUnderWay() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer silent = runtime) {
             stub.send(Frames.request(1, A, "place", "replay", "F"));
@@ -178,7 +178,7 @@
     }
 
     @Test
-            void deepCheckIsAnsweredThoughTheLinkItWasAskedOnIsLost() throws Exception {
+    void deepCheckIsAnsweredThoughTheLinkItWasAskedOnIsLost() throws Exception {
         try (Stub deep = new Stub(port)) {
             deep.send(Frames.frame(32, 1, Frames.fields("inner", "1")));
             assertThat(runtime.hear()).isEqualTo("selftest 1");
@@ -189,7 +189,7 @@
     }
 
     @Test
-            void idleCallersThatFillTheTableLeaveRoomForLinksBelowAndForNewcomers() throws Exception {
+    void idleCallersThatFillTheTableLeaveRoomForLinksBelowAndForNewcomers() throws Exception {
         stop();
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
@@ -226,7 +226,7 @@
     }
 
     @Test
-            void whatComesLateOnALinkThatWasLeftTearsNoLineOfTheNext() throws Exception {
+    void whatComesLateOnALinkThatWasLeftTearsNoLineOfTheNext() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer left = runtime; Peer next = new Peer()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"));
@@ -250,7 +250,7 @@
     }
 
     @Test
-            void requestsUnderWayAndTheirRepeatsSurviveAReloadInTheMiddleOfTheDrain() throws Exception {
+    void requestsUnderWayAndTheirRepeatsSurviveAReloadInTheMiddleOfTheDrain() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer left = runtime; Peer next = new Peer()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"));
@@ -269,7 +269,7 @@
     }
 
     @Test
-            void indexThatIsSlowToDialCostsItsOwnCallAlone() throws Exception {
+    void indexThatIsSlowToDialCostsItsOwnCallAlone() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         List<Socket> waiting = new ArrayList<>();
         try (Stub stub = up(); ServerSocket slow = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -300,7 +300,7 @@
     }
 
     @Test
-            void newcomerIsAnsweredThoughAllInTheTableAreOwedSomething() throws Exception {
+    void newcomerIsAnsweredThoughAllInTheTableAreOwedSomething() throws Exception {
         stop();
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
--- a/src/test/java/topazladder/HallServiceTest.java
+++ b/src/test/java/topazladder/HallServiceTest.java
@@ -73,7 +73,7 @@
     }
 
     @BeforeEach
-            void start() throws Exception {
+    void start() throws Exception {
         port = free();
         touched = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         touched.setSoTimeout(20_000);
@@ -96,7 +96,7 @@
     }
 
     @AfterEach
-            void end() throws Exception {
+    void end() throws Exception {
         service.leave();
         assertThat(exit.get(20, TimeUnit.SECONDS)).isZero();
         runtime.close();
@@ -114,7 +114,7 @@
     }
 
     @Test
-            void itHoldsItsDutyUnderATokenAndAnOperatorHaltsAndResumesIt() throws Exception {
+    void itHoldsItsDutyUnderATokenAndAnOperatorHaltsAndResumesIt() throws Exception {
         assertThat(token()).isEqualTo(1);
         JsonObject status = new JsonObject(ask(KEY, Kind.STATUS, "", "").text());
         assertThat(status.getJsonObject("group").getString("leader")).isEqualTo("n1");
@@ -137,7 +137,7 @@
     }
 
     @Test
-            void whoeverHasAnotherKeyIsNotAnsweredAndChangesNothing() throws Exception {
+    void whoeverHasAnotherKeyIsNotAnsweredAndChangesNothing() throws Exception {
         Saying.Told told = ask("another key of enough bytes".getBytes(StandardCharsets.US_ASCII), Kind.HALT,
                 "price-clock", "");
         assertThat(told.done()).isFalse();
@@ -195,7 +195,8 @@
             assertThat(frame[0]).isIn((byte) Type.HEARD.ordinal(), (byte) Type.TOLD.ordinal());
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             socket.close();
         }
     }
@@ -205,7 +206,7 @@
     }
 
     @Test
-            void aFrameThatComesTwiceOrOutOfItsPlaceEndsItsConnectionAlone() throws Exception {
+    void aFrameThatComesTwiceOrOutOfItsPlaceEndsItsConnectionAlone() throws Exception {
         try (Link good = new Link().greeted(); Link twice = new Link().greeted(); Link gap = new Link().greeted()) {
             byte[] frame = twice.seal.frame(Type.SAY, 1, nudge());
             twice.say(frame);
@@ -218,7 +219,7 @@
     }
 
     @Test
-            void aRecordedConnectionIsWorthNothingOnAnother() throws Exception {
+    void aRecordedConnectionIsWorthNothingOnAnother() throws Exception {
         byte[] recorded;
         try (Link link = new Link().greeted()) {
             link.say(link.seal.frame(Type.SAY, 1, HallMessages.bytes(new Saying.Order(1,
@@ -232,7 +233,7 @@
     }
 
     @Test
-            void noiseAndWhatNeedsANewerVersionEndTheirConnectionAndNoMore() throws Exception {
+    void noiseAndWhatNeedsANewerVersionEndTheirConnectionAndNoMore() throws Exception {
         long before = token();
         try (Link noise = new Link(); Link newer = new Link().greeted(); Link unknown = new Link().greeted()) {
             noise.say("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -249,7 +250,7 @@
     }
 
     @Test
-            void aFolderThatIsFoundedIsNotFoundedAgainButFormedAnew() throws Exception {
+    void aFolderThatIsFoundedIsNotFoundedAgainButFormedAnew() throws Exception {
         ExtensionSettings own = settings("voters: \"n1\" folder: \"other\"");
         Founding.found("n1", own.members(), 0);
         assertThatThrownBy(() -> Founding.found("n1", own.members(), 0)).isInstanceOf(InvalidSettingsException.class)
--- a/src/test/java/topazladder/PackedProgramIT.java
+++ b/src/test/java/topazladder/PackedProgramIT.java
@@ -28,7 +28,7 @@
     private Path folder;
 
     @Test
-            void thePlainProgramOpensNoLibraryOfTheOtherPartsAndLoadsNoneOfTheirClasses() throws Exception {
+    void thePlainProgramOpensNoLibraryOfTheOtherPartsAndLoadsNoneOfTheirClasses() throws Exception {
         Path log = folder.resolve("log");
         Process plain = start(log, List.of("-Xlog:class+load:file=" + folder.resolve("classes")), "serve");
         try {
@@ -56,7 +56,7 @@
 
     /** Started by nohup, the Java machine installs no handler: a day of the mass bench was lost without a word. */
     @Test
-            void whereSighupIsIgnoredAtTheStartOneLineSaysThatNothingIsReadAnew() throws Exception {
+    void whereSighupIsIgnoredAtTheStartOneLineSaysThatNothingIsReadAnew() throws Exception {
         Path log = folder.resolve("log");
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; exec \"$0\" -jar \"$1\" serve",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), JAR.toString());
@@ -76,7 +76,7 @@
     }
 
     @Test
-            void ownSettingsSwitchOnAPartAndWhatIsWrongInThemIsOneLine() throws Exception {
+    void ownSettingsSwitchOnAPartAndWhatIsWrongInThemIsOneLine() throws Exception {
         Files.writeString(folder.resolve("key"), "sixteen or more bytes\n");
         Path settings = folder.resolve("own.txtpb");
         Files.writeString(settings, "peering { key_file: \"key\" peers { name: \"p\" address: \"127.0.0.1:9\" } }");
@@ -97,7 +97,7 @@
     }
 
     @Test
-            void thePlainProgramCarriesNoNativeLibrarySoItsSocketsAreTheJavaMachinesOwn() throws IOException {
+    void thePlainProgramCarriesNoNativeLibrarySoItsSocketsAreTheJavaMachinesOwn() throws IOException {
         // Netty's native transports (epoll, io_uring) bring splice, sendfile and io_uring, which the mass bench
         // refuses; without a native library in target/lib, Vert.x stays on NIO. The unix-common jar carries classes
         // only.
@@ -114,7 +114,7 @@
     }
 
     @Test
-            void underATraceTheRunLineServesOnIpv4AloneAndNeitherForksNorSplicesNorSendsFiles() throws Exception {
+    void underATraceTheRunLineServesOnIpv4AloneAndNeitherForksNorSplicesNorSendsFiles() throws Exception {
         // The mass bench refuses fork, io_uring, splice and sendfile, and only TCP and UDP over IPv4 are led to it.
         // Without java.net.preferIPv4Stack the Java machine opens every socket as IPv6 (266 in one such start); with
         // it, one IPv6 socket stays: the probe by which the Java machine's net library learns whether IPv6 exists. The
@@ -147,7 +147,7 @@
     }
 
     @Test
-            void noticeWhileItsConfigurationIsStillReadEndsItInOrder() throws Exception {
+    void noticeWhileItsConfigurationIsStillReadEndsItInOrder() throws Exception {
         Path fifo = folder.resolve("config");
         Process made = new ProcessBuilder("mkfifo", fifo.toString()).start();
         assertThat(made.waitFor(20, TimeUnit.SECONDS) && made.exitValue() == 0).isTrue();
--- a/src/test/java/topazladder/Peer.java
+++ b/src/test/java/topazladder/Peer.java
@@ -86,7 +86,8 @@
         return line.toString().trim();
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         server.close();
         if (link != null) {
             link.close();
--- a/src/test/java/topazladder/PeerPairsTest.java
+++ b/src/test/java/topazladder/PeerPairsTest.java
@@ -15,7 +15,7 @@
 class PeerPairsTest {
 
     @Test
-            void aToldOneLosesLessBeyondNoiseThanOneThatReturnsAlone() {
+    void aToldOneLosesLessBeyondNoiseThanOneThatReturnsAlone() {
         for (Condition condition : EnumSet.of(Condition.ORDINARY, Condition.OVERLOAD)) {
             Result r = PeerExperiment.pairs(condition, Told.ALL, Set.of(), 40);
             assertThat(r.lost().lessBeyondNoise()).as(condition + ": " + r.lost().row()).isTrue();
@@ -23,7 +23,7 @@
     }
 
     @Test
-            void staleForeignCutOrTroubledItIsNeverWorseBeyondNoise() {
+    void staleForeignCutOrTroubledItIsNeverWorseBeyondNoise() {
         SoftAssertions soft = new SoftAssertions();
         for (Condition condition : Condition.values()) {
             for (Told told : EnumSet.of(Told.HOUR_OLD, Told.STALE, Told.FOREIGN, Told.CUT, Told.TROUBLED)) {
@@ -36,7 +36,7 @@
     }
 
     @Test
-            void theSameSeedGivesTheSameFigures() {
+    void theSameSeedGivesTheSameFigures() {
         assertThat(PeerExperiment.pairs(Condition.OVERLOAD, Told.ALL, Set.of(), 2).lost().row())
                 .isEqualTo(PeerExperiment.pairs(Condition.OVERLOAD, Told.ALL, Set.of(), 2).lost().row());
     }
--- a/src/test/java/topazladder/PeeringServiceTest.java
+++ b/src/test/java/topazladder/PeeringServiceTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-            void aPeerThatNeverSpeaksHoldsServingBackNoLongerThanTheBound() throws Exception {
+    void aPeerThatNeverSpeaksHoldsServingBackNoLongerThanTheBound() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
         int port = free();
         try (Peer runtime = new Peer(); ServerSocket silent = listening()) {
@@ -81,7 +81,7 @@
     }
 
     @Test
-            void aNewListInTheMiddleOfAskingLeadsToWhoeverIsNew() throws Exception {
+    void aNewListInTheMiddleOfAskingLeadsToWhoeverIsNew() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
         try (Peer runtime = new Peer(); ServerSocket silent = listening(); ServerSocket fresh = listening()) {
             ExtensionSettings old = settings("hedge_after: 0.05 try_for: 600 " + peer("p", silent));
@@ -103,7 +103,7 @@
     }
 
     @Test
-            void aNoticeToLeaveWhileServingIsHeldBackEndsIt() throws Exception {
+    void aNoticeToLeaveWhileServingIsHeldBackEndsIt() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
         try (Peer runtime = new Peer(); ServerSocket silent = listening()) {
             ServiceInstance service =
@@ -130,7 +130,7 @@
     }
 
     @Test
-            void defaultsAreThoseOfThePages() throws IOException {
+    void defaultsAreThoseOfThePages() throws IOException {
         ExtensionSettings.Peering p = settings("").peering();
         assertThat(p.waitAtMost()).isEqualTo(0.5);
         assertThat(p.tries()).isEqualTo(6);
@@ -153,7 +153,7 @@
                     + " CALLS_IN_HAND, OUTGOING]: WEATHER",
             "machine { core_speed: -2 } | machine.core_speed should be a number from 0.0 to 1000.0: -2.0",
             "machine { weather: 1 } | settings: line 1: 1:11: Input contains unknown fields and/or extensions:"})
-            void whatIsWrongIsNamedByItsKey(String text, String error) throws IOException {
+    void whatIsWrongIsNamedByItsKey(String text, String error) throws IOException {
         settings("");
         assertThatThrownBy(() -> ExtensionSettingsFile.of(text, folder)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageStartingWith(error);
--- a/src/test/java/topazladder/RequestDispatcherTest.java
+++ b/src/test/java/topazladder/RequestDispatcherTest.java
@@ -7,7 +7,7 @@
 class RequestDispatcherTest {
 
     @Test
-            void repeatOfAFingerprintIsAnsweredFromTheOneRunToTheEndOfItsWindow() {
+    void repeatOfAFingerprintIsAnsweredFromTheOneRunToTheEndOfItsWindow() {
         new Floor().open().arrive("a", "place", "F").until(0.1).arrive("a2", "place", "F")
                 .ends("a", Outcome.SUCCEEDED, "result").until(1).arrive("a3", "place", "F")
                 .until(12).arrive("a4", "place", "F", 1012, "acme")
@@ -15,21 +15,21 @@
     }
 
     @Test
-            void tryThatCameWithinTheWindowButWasReadAfterAPauseIsNotRunAgain() {
+    void tryThatCameWithinTheWindowButWasReadAfterAPauseIsNotRunAgain() {
         new Floor().open().arrive("a", "place", "F").ends("a", Outcome.SUCCEEDED, "result").pause(14)
                 .arrive("a2", "place", "F", 1011.9, "acme").until(14.2).arrive("a3", "place", "F", 1011.99, "acme")
                 .matches("service-late-repeat");
     }
 
     @Test
-            void fingerprintWithAnotherBodyGetsNoResultOfTheFirstAndNeverRuns() {
+    void fingerprintWithAnotherBodyGetsNoResultOfTheFirstAndNeverRuns() {
         new Floor().open().arrive("a", "place", "F", 1000, "acme", "one").arrive("b", "place", "F", 1000, "acme", "two")
                 .ends("a", Outcome.SUCCEEDED, "result").arrive("b2", "place", "F", 1000, "acme", "two")
                 .arrive("a2", "place", "F", 1000, "acme", "one").countsAndPhase().matches("service-other-body");
     }
 
     @Test
-            void resultOfARunThatNobodyWaitsForIsKeptForARepeat() {
+    void resultOfARunThatNobodyWaitsForIsKeptForARepeat() {
         new Floor().open().arrive("a", "place", "F").gone("a").arrive("a2", "place", "F")
                 .ends("a", Outcome.SUCCEEDED, "result")
                 .arrive("b", "place", "G").ends("b", Outcome.CANCELLED, "").arrive("b2", "place", "G")
@@ -37,7 +37,7 @@
     }
 
     @Test
-            void heldRequestWhoseCallerIsGoneNeverRunsAndItsRepeatDoes() {
+    void heldRequestWhoseCallerIsGoneNeverRunsAndItsRepeatDoes() {
         new Floor().open().quietly(f -> {
             for (int i = 0; i < 2; i++) {
                 f.arrive("r" + i, "read", null);
@@ -47,7 +47,7 @@
     }
 
     @Test
-            void resultsPastTheirBoundAreLetGoButTheirRequestsNeverRunAgain() {
+    void resultsPastTheirBoundAreLetGoButTheirRequestsNeverRunAgain() {
         new Floor().open().quietly(f -> {
             for (int i = 0; i < 9; i++) {
                 f.arrive("a" + i, "place", "F" + i).endsWith("a" + i, 1 << 20);
@@ -56,7 +56,7 @@
     }
 
     @Test
-            void callsAreMadeGivenLeftOutAndGivenUp() {
+    void callsAreMadeGivenLeftOutAndGivenUp() {
         new Floor().open().arrive("a", "place", "F").wants("a", 7).replies("a", Outcome.SUCCEEDED)
                 .wants("a", 9).replies("a", Outcome.CONNECTION_LOST).ends("a", Outcome.CANCELLED, "")
                 .arrive("b", "check", null).wants("b", 12).replies("b", Outcome.UNREACHABLE)
@@ -66,21 +66,21 @@
     }
 
     @Test
-            void drainTakesWithinTheGraceAnswersAllAndExitsBeforeTheKill() {
+    void drainTakesWithinTheGraceAnswersAllAndExitsBeforeTheKill() {
         new Floor().open().arrive("a", "read", null).until(1).leave().arrive("b", "read", null)
                 .check("h", false).until(2.5).arrive("late", "read", null).leave().until(3)
                 .ends("a", Outcome.SUCCEEDED, "x").until(6).matches("service-drain");
     }
 
     @Test
-            void noticeBeforeTheRuntimeIsUpEndsAsSoonAsWhoeverIsConnectedIsTold() {
+    void noticeBeforeTheRuntimeIsUpEndsAsSoonAsWhoeverIsConnectedIsTold() {
         new Floor().listens().arrive("a", "read", null).check("h", false).leave().leave()
                 .arrive("b", "read", null).until(1).countsAndPhase()
                 .matches("service-leave-early");
     }
 
     @Test
-            void requestThatCanNotBeDecidedOnIsAnsweredOnceAndNeverReachesTheModule() {
+    void requestThatCanNotBeDecidedOnIsAnsweredOnceAndNeverReachesTheModule() {
         new Floor().open().arrive("a", "unheard-of", null).arrive("b", "read", null, 1000, "nobody")
                 .arrive("c", "read", "F").arrive("d", "place", null).arrive("e", "read", null)
                 .arrive("e", "read", null).arrive("long-ago", "read", null, 1, "acme")
@@ -89,32 +89,32 @@
     }
 
     @Test
-            void timersThatComeLateAfterAPauseAnswerWhatIsDueAtOnce() {
+    void timersThatComeLateAfterAPauseAnswerWhatIsDueAtOnce() {
         new Floor().open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
                 .arrive("a", "read", null).pause(8).until(8.1).arrive("b", "read", null, 1001, "acme").until(8.2)
                 .matches("service-pause");
     }
 
     @Test
-            void gaugesOfALostLinkAreNotTakenForFresh() {
+    void gaugesOfALostLinkAreNotTakenForFresh() {
         new Floor().open().until(0.2).inFlight().linkLost().until(0.4).inFlight().matches("service-gauges");
     }
 
     @Test
-            void deepCheckAsksTheRuntimeUntilTheModuleRulesOnHealth() {
+    void deepCheckAsksTheRuntimeUntilTheModuleRulesOnHealth() {
         new Floor().listens().check("h1", true).check("h2", false).verdict(1, true).verdict(1, true).open()
                 .check("h3", true).matches("service-checks");
     }
 
     @Test
-            void requestThatTheRuntimeDidNotStartIsFailedAndMayRunAnotherTime() {
+    void requestThatTheRuntimeDidNotStartIsFailedAndMayRunAnotherTime() {
         new Floor().open().arrive("a", "place", "F").arrive("a2", "place", "F").nacked("a").nacked("a")
                 .arrive("a3", "place", "F").countsAndPhase()
                 .matches("service-nack");
     }
 
     @Test
-            void resultThatIsNotKeptForWantOfRoomStillGoesToThoseThatWaitForIt() {
+    void resultThatIsNotKeptForWantOfRoomStillGoesToThoseThatWaitForIt() {
         new Floor().open().quietly(f -> {
             for (int i = 0; i < 8; i++) {
                 f.arrive("a" + i, "place", "F" + i).endsWith("a" + i, 1 << 20);
@@ -124,27 +124,27 @@
     }
 
     @Test
-            void triesThatBothLayUnreadPastAShortWindowRunOnce() {
+    void triesThatBothLayUnreadPastAShortWindowRunOnce() {
         new Floor(SHORT_WINDOW).open().pause(1.5).arrive("a", "place", "F", 1000, "acme")
                 .arrive("a2", "place", "F", 1000.9, "acme").ends("a", Outcome.SUCCEEDED, "result")
                 .until(3).arrive("a3", "place", "F", 1003, "acme").matches("service-unread-past-window");
     }
 
     @Test
-            void windowIsCountedFromACallersClockThatIsAhead() {
+    void windowIsCountedFromACallersClockThatIsAhead() {
         new Floor(SHORT_WINDOW).open().arrive("a", "place", "F", 1000.5, "acme").ends("a", Outcome.SUCCEEDED, "result")
                 .until(1.4).arrive("a2", "place", "F", 1001.5, "acme").matches("service-clock-ahead");
     }
 
     @Test
-            void tryOfARequestThatNeverRanIsNotLeftToWaitForItsRun() {
+    void tryOfARequestThatNeverRanIsNotLeftToWaitForItsRun() {
         new Floor(SHORT_WINDOW).open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
                 .arrive("a", "place", "F").until(1.5).gone("a").arrive("a2", "place", "F", 1000.9, "acme")
                 .ends("r0", Outcome.SUCCEEDED, "x").matches("service-forgotten-past-window");
     }
 
     @Test
-            void startInDoubtWaitsForASignThenIsFailedAndOnlyThenStartedAgain() {
+    void startInDoubtWaitsForASignThenIsFailedAndOnlyThenStartedAgain() {
         new Floor().open().quietly(f -> f.arrive("w", "place", "E").until(0.4).ends("w", Outcome.SUCCEEDED, "x"))
                 .arrive("a", "place", "F").arrive("r", "read", null).doubtful("a").doubtful("r")
                 .until(0.7).arrive("a2", "place", "F").until(2.2).ends("a", Outcome.NOT_STARTED, "")
@@ -152,7 +152,7 @@
     }
 
     @Test
-            void runInDoubtThatShowsASignGoesOn() {
+    void runInDoubtThatShowsASignGoesOn() {
         new Floor().open().quietly(f -> f.arrive("w", "place", "E").until(0.4).ends("w", Outcome.SUCCEEDED, "x"))
                 .arrive("a", "place", "F").doubtful("a").until(0.5).wants("a", 7).until(2)
                 .replies("a", Outcome.SUCCEEDED)
@@ -160,19 +160,19 @@
     }
 
     @Test
-            void deepCheckOfALostLinkIsAnswered() {
+    void deepCheckOfALostLinkIsAnswered() {
         new Floor().listens().check("h1", true).linkLost().verdict(1, true).matches("service-check-lost");
     }
 
     @Test
-            void faultOverOneAnswerCostsNoOtherRequestItsOwnNorTheTimers() {
+    void faultOverOneAnswerCostsNoOtherRequestItsOwnNorTheTimers() {
         new Floor().open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
                 .arrive("a", "read", null).arrive("b", "read", null).breaksOn("a").until(2.5)
                 .arrive("c", "read", null).until(8).countsAndPhase().matches("service-fault");
     }
 
     @Test
-            void resultInTheTickOfTheDueTimeIsTheOneAnswerAndAfterItNone() {
+    void resultInTheTickOfTheDueTimeIsTheOneAnswerAndAfterItNone() {
         new Floor().open().arrive("a", "place", "F").until(4.85).pause(4.9).ends("a", Outcome.SUCCEEDED, "result")
                 .until(6)
                 .arrive("b", "place", "G").until(10.95).ends("b", Outcome.SUCCEEDED, "result").until(12)
@@ -180,7 +180,7 @@
     }
 
     @Test
-            void replyInTheTickOfTheDueTimeIsGivenAndAfterItTheCallIsGivenUpOnce() {
+    void replyInTheTickOfTheDueTimeIsGivenAndAfterItTheCallIsGivenUpOnce() {
         new Floor().open().arrive("a", "place", "F").wants("a", 1).until(1.85).pause(1.9)
                 .replies("a", Outcome.SUCCEEDED)
                 .until(2).ends("a", Outcome.SUCCEEDED, "result").arrive("b", "place", "G").wants("b", 2).until(6.95)
@@ -189,21 +189,21 @@
     }
 
     @Test
-            void heldRequestIsNotStartedInTheTickInWhichItIsGivenUp() {
+    void heldRequestIsNotStartedInTheTickInWhichItIsGivenUp() {
         new Floor().open().quietly(f -> f.arrive("r0", "read", null).arrive("r1", "read", null))
                 .arrive("a", "place", "F").until(2.11).ends("r0", Outcome.SUCCEEDED, "x").until(3)
                 .arrive("b", "place", "G").countsAndPhase().matches("service-due-held");
     }
 
     @Test
-            void repeatWhoseDueTimeComesFirstIsAnsweredAtItAndTheResultGoesToTheOthers() {
+    void repeatWhoseDueTimeComesFirstIsAnsweredAtItAndTheResultGoesToTheOthers() {
         new Floor().open().arrive("a", "place", "F").arrive("a2", "place", "F", 997, "acme")
                 .arrive("a3", "place", "F").until(1.95).ends("a", Outcome.SUCCEEDED, "result").until(3).countsAndPhase()
                 .matches("service-due-repeated");
     }
 
     @Test
-            void giveUpThatCrossesTheAnswerChangesNothing() {
+    void giveUpThatCrossesTheAnswerChangesNothing() {
         new Floor().open().arrive("a", "place", "F").ends("a", Outcome.SUCCEEDED, "result").gone("a").until(1)
                 .arrive("a2", "place", "F").countsAndPhase().matches("service-give-up-crosses");
     }
--- a/src/test/java/topazladder/RolloutPlanFileTest.java
+++ b/src/test/java/topazladder/RolloutPlanFileTest.java
@@ -20,7 +20,7 @@
     }
 
     @Test
-            void theExampleIsAPlan() throws IOException {
+    void theExampleIsAPlan() throws IOException {
         Plan p = RolloutPlanFile.of(Files.readString(Path.of("deploy/release.example.txtpb")));
         assertThat(p.waves()).hasSize(3);
         assertThat(p.target(false)).isEqualTo("2026.12");
@@ -28,7 +28,7 @@
     }
 
     @Test
-            void whatIsWrongIsSaidWithItsPlace() {
+    void whatIsWrongIsSaidWithItsPlace() {
         refused("name: 3", "line 1");
         refused("from { name: \"A\" } to { name: \"A\" }" + WAVES, "two versions");
         refused("from { name: \"A\" } to { name: \"B\" }", "waves");
@@ -37,7 +37,7 @@
     }
 
     @Test
-            void aPlanWithoutAWayBackHasToSaySo() {
+    void aPlanWithoutAWayBackHasToSaySo() {
         String oneWay = "from { name: \"A\" writes: 4 reads: 4 } to { name: \"B\" writes: 5 reads: 5 }" + WAVES;
         refused(oneWay, "no way back");
         assertThat(RolloutPlanFile.of(oneWay + " one_way: true").oneWay()).isTrue();
--- a/src/test/java/topazladder/RunLineTest.java
+++ b/src/test/java/topazladder/RunLineTest.java
@@ -28,7 +28,7 @@
     private Path folder;
 
     @Test
-            void aLimitUnderOneHundredAndTwentyMegabytesGivesAThirdOfItAsHeapWithoutAnyOtherProgram() throws Exception {
+    void aLimitUnderOneHundredAndTwentyMegabytesGivesAThirdOfItAsHeapWithoutAnyOtherProgram() throws Exception {
         Played played = play("{\"name\":\"n3\",\"stop_ms\":3200,"
                 + "\"limits\":{\"cores\":0.5,\"memory_mb\":64,\"sockets\":384},\"settings\":{}}");
         assertThat(played.error).isEmpty();
@@ -37,8 +37,8 @@
     }
 
     @Test
-            void theLimitIsTakenFromLimitsEvenWhenTheSettingsNameAMemoryFirstAndSpacesStandAfterTheColon()
-                    throws Exception {
+    void theLimitIsTakenFromLimitsEvenWhenTheSettingsNameAMemoryFirstAndSpacesStandAfterTheColon()
+            throws Exception {
         Played played = play("{\n  \"settings\": {\"runtime\": {\"memory_mb\": 512}},\n  \"limits\": {\"cores\": 1.0,\n"
                 + "    \"memory_mb\":   96, \"sockets\": 512}\n}");
         assertThat(played.error).isEmpty();
@@ -46,7 +46,7 @@
     }
 
     @Test
-            void largeLimitsAndAMissingOrForeignConfigurationGiveFortyMegabytes() throws Exception {
+    void largeLimitsAndAMissingOrForeignConfigurationGiveFortyMegabytes() throws Exception {
         assertThat(play("{\"limits\":{\"memory_mb\":192}}").arguments).contains("-Xmx40m");
         assertThat(play("{\"name\":\"n7\",\"seed\":\"31\"}").arguments).contains("-Xmx40m");
         Played none = play(null);
@@ -55,7 +55,7 @@
     }
 
     @Test
-            void underATraceTheLineForksNothingAndExecutesOnlyTheProgramItEndsIn() throws Exception {
+    void underATraceTheLineForksNothingAndExecutesOnlyTheProgramItEndsIn() throws Exception {
         assumeTrue(Files.isExecutable(Path.of("/usr/bin/strace")), "strace is not on this machine");
         Path trace = folder.resolve("trace");
         Path config = folder.resolve("config.json");
@@ -70,7 +70,7 @@
     }
 
     @Test
-            void withForkRefusedAsTheMassBenchDoesTheLineStillStartsJavaSizedByTheLimit() throws Exception {
+    void withForkRefusedAsTheMassBenchDoesTheLineStillStartsJavaSizedByTheLimit() throws Exception {
         // strace makes every fork and clone fail with ENOSYS, as the bench's filter does; the line before this one
         // stopped there with "Cannot fork" and status 2, a failed start.
         assumeTrue(Files.isExecutable(Path.of("/usr/bin/strace")), "strace is not on this machine");
--- a/src/test/java/topazladder/ServiceBench.java
+++ b/src/test/java/topazladder/ServiceBench.java
@@ -28,7 +28,7 @@
     ServiceInstance service;
 
     @BeforeEach
-            void start() throws IOException {
+    void start() throws IOException {
         start("");
     }
 
@@ -51,7 +51,7 @@
     }
 
     @AfterEach
-            void stop() throws Exception {
+    void stop() throws Exception {
         service.leave();
         exit.get(20, TimeUnit.SECONDS);
         runtime.close();
--- a/src/test/java/topazladder/ServiceSettingsTest.java
+++ b/src/test/java/topazladder/ServiceSettingsTest.java
@@ -25,7 +25,7 @@
            "Orgs":[{"Name":"acme","Share":0.4,"QuotaPerS":79.0}],"TickNs":2000000}}""";
 
     @Test
-            void configurationIsReadAsTheSimulatorsFirstMessageIs() {
+    void configurationIsReadAsTheSimulatorsFirstMessageIs() {
         ServiceSettings read = ServiceSettings.of(CONFIG, Map.of());
         assertThat(read.name()).isEqualTo("n3");
         assertThat(read.listen()).isEqualTo(new ServiceSettings.Address("127.0.0.1", 4100));
@@ -59,7 +59,7 @@
     /** Each name was compared with all before it; and more than 10,000 were refused. */
     @Test
     @Timeout(5)
-            void manyClassesAndTenantsAreReadAndStillEachNameOnce() {
+    void manyClassesAndTenantsAreReadAndStillEachNameOnce() {
         int classes = 5_200;
         int tenants = 33_000;
         StringBuilder lines = new StringBuilder("Extra.Cores=6\nExtra.MemoryKb=1000\nClasses.count=" + classes
@@ -80,7 +80,7 @@
     }
 
     @Test
-            void environmentGoesBeforeTheFileAndTheLastTierHasNoIndex() {
+    void environmentGoesBeforeTheFileAndTheLastTierHasNoIndex() {
         ServiceSettings read = ServiceSettings.of(CONFIG.replace("\"index\":\"127.0.0.4:9042\",", ""),
                 Map.of("GW_NAME", "n7", "GW_LISTEN", "127.0.0.9:4200"));
         assertThat(read.name()).isEqualTo("n7");
@@ -121,7 +121,7 @@
                 "stop_ms":3200 | "stop_ms":1e300 | stop_ms should be a number of at most 86400000: 1.0E300
                 {"name" | ["name" | GW_CONFIG: the file should hold one JSON object
                 """)
-            void faultyKeyIsNamed(String what, String instead, String message) {
+    void faultyKeyIsNamed(String what, String instead, String message) {
         assertThat(CONFIG).contains(what);
         assertThatThrownBy(() -> ServiceSettings.of(CONFIG.replace(what, instead), Map.of()))
                 .isInstanceOf(InvalidSettingsException.class).hasMessage(message);
@@ -129,13 +129,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "null", "[]", "7", "{\"name\"", "{} {}"})
-            void whatIsNoObjectIsTold(String text) {
+    void whatIsNoObjectIsTold(String text) {
         assertThatThrownBy(() -> ServiceSettings.of(text, Map.of("GW_NAME", "n", "GW_LISTEN", "127.0.0.1:4100")))
                 .isInstanceOf(InvalidSettingsException.class);
     }
 
     @Test
-            void fileThatIsMissingIsTold() {
+    void fileThatIsMissingIsTold() {
         assertThatThrownBy(() -> ServiceSettings.read(Map.of())).isInstanceOf(InvalidSettingsException.class)
                 .hasMessage("GW_CONFIG is missing; expected the path of the configuration file");
         assertThatThrownBy(() -> ServiceSettings.read(Map.of("GW_CONFIG", "/no/such/file")))
--- a/src/test/java/topazladder/ServiceTest.java
+++ b/src/test/java/topazladder/ServiceTest.java
@@ -23,7 +23,7 @@
 @Timeout(60)
 class ServiceTest extends ServiceBench {
     @Test
-            void manyOpenRequestsAreAnsweredInAnyOrder() throws IOException {
+    void manyOpenRequestsAreAnsweredInAnyOrder() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "read"), Frames.request(2, B, "read"));
@@ -36,7 +36,7 @@
     }
 
     @Test
-            void repeatOnAnotherConnectionIsAnsweredFromTheOneRun() throws IOException {
+    void repeatOnAnotherConnectionIsAnsweredFromTheOneRun() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub one = up(); Stub two = new Stub(port)) {
             one.send(Frames.request(1, A, "place", "replay", "F"));
@@ -50,7 +50,7 @@
     }
 
     @Test
-            void malformedFrameEndsItsConnectionWithAllThatIsOpenOnItAndNoOther() throws IOException {
+    void malformedFrameEndsItsConnectionWithAllThatIsOpenOnItAndNoOther() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub bad = up(); Stub good = new Stub(port)) {
             bad.send(Frames.request(1, A, "read"), Frames.request(1, B, "read"), Frames.request(3, C, "read"));
@@ -66,7 +66,7 @@
     }
 
     @Test
-            void badRequestInASoundFrameGetsOneFailedAnswerAndTheConnectionGoesOn() throws IOException {
+    void badRequestInASoundFrameGetsOneFailedAnswerAndTheConnectionGoesOn() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, "x", "read"), Frames.request(2, A, "unheard-of"), Frames.request(3, B, "read"));
@@ -79,7 +79,7 @@
     }
 
     @Test
-            void callerThatAsksForTooMuchOrGoesOnWithWhatIsUnusableLosesAllOnItsConnection() throws IOException {
+    void callerThatAsksForTooMuchOrGoesOnWithWhatIsUnusableLosesAllOnItsConnection() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub many = up(); Stub odd = new Stub(port); Stub back = new Stub(port); Stub good = new Stub(port)) {
             for (int i = 1; i <= 33; i++) {
@@ -111,7 +111,7 @@
     }
 
     @Test
-            void connectionThatSaysNothingOrHalfIsToldAndClosedAndOneThatWaitsIsNot() throws IOException {
+    void connectionThatSaysNothingOrHalfIsToldAndClosedAndOneThatWaitsIsNot() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub good = up(); Stub silent = new Stub(port); Stub half = new Stub(port)) {
             good.send(Frames.request(1, A, "read"));
@@ -127,7 +127,7 @@
     }
 
     @Test
-            void fullTableTakesWhoComesInPlaceOfWhoSaysNothing() throws Exception {
+    void fullTableTakesWhoComesInPlaceOfWhoSaysNothing() throws Exception {
         stop();
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
@@ -145,7 +145,7 @@
     }
 
     @Test
-            void reloadMovesToNewAddressesWithAllUnderWayAndABadOneChangesNothing() throws Exception {
+    void reloadMovesToNewAddressesWithAllUnderWayAndABadOneChangesNothing() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up();
                 Peer old = runtime;
@@ -188,7 +188,7 @@
     }
 
     @Test
-            void spoiltReplyCostsItsOwnCallAloneAndWhatComesBesideAReplyNone() throws IOException {
+    void spoiltReplyCostsItsOwnCallAloneAndWhatComesBesideAReplyNone() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up(); Peer second = new Peer()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"), Frames.request(2, B, "place", "replay", "G"));
@@ -212,7 +212,7 @@
     }
 
     @Test
-            void callerThatLeavesGetsNoAnswerAndItsRunGoesOn() throws IOException {
+    void callerThatLeavesGetsNoAnswerAndItsRunGoesOn() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub gone = up(); Stub stub = new Stub(port)) {
             gone.send(Frames.request(1, A, "place", "replay", "F"));
@@ -226,7 +226,7 @@
     }
 
     @Test
-            void linkTakenUpAgainLosesNothingAndDoublesNothing() throws IOException {
+    void linkTakenUpAgainLosesNothingAndDoublesNothing() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"), Frames.request(2, B, "read"));
@@ -256,7 +256,7 @@
     }
 
     @Test
-            void lineThatIsNoNoticeMakesTheLinkAnew() throws IOException {
+    void lineThatIsNoNoticeMakesTheLinkAnew() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             runtime.say("load  0.5 1\r\n   \r\n");
@@ -269,7 +269,7 @@
     }
 
     @Test
-            void refusedIndexIsToldFromOneThatBreaksDuringACall() throws IOException {
+    void refusedIndexIsToldFromOneThatBreaksDuringACall() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"));
@@ -288,7 +288,7 @@
     }
 
     @Test
-            void runThatIsStoppedAtItsCallGivesTheCallUpAndOneNeverStartedIsFailed() throws IOException {
+    void runThatIsStoppedAtItsCallGivesTheCallUpAndOneNeverStartedIsFailed() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "read"));
@@ -312,7 +312,7 @@
     }
 
     @Test
-            void indexThatClosesAnIdleConnectionIsReachedOnANewOne() throws IOException {
+    void indexThatClosesAnIdleConnectionIsReachedOnANewOne() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "place", "replay", "F"));
@@ -332,7 +332,7 @@
     }
 
     @Test
-            void idleConnectionIsAskedForNoNewRequestAndOneThatCrossesIsAnswered() throws Exception {
+    void idleConnectionIsAskedForNoNewRequestAndOneThatCrossesIsAnswered() throws Exception {
         stop();
         start("\"Upstreams\":9,\"KeepaliveMaxNs\":1000000,");
         runtime.say("ready LOADED 3600000\r\n");
@@ -356,7 +356,7 @@
     }
 
     @Test
-            void runtimeThatComesUpLateIsWaitedFor() throws IOException {
+    void runtimeThatComesUpLateIsWaitedFor() throws IOException {
         try (Stub check = new Stub(port); Stub deep = new Stub(port); Stub stub = new Stub(port)) {
             check.send(Frames.frame(32, 1, Frames.fields()));
             assertThat(check.hear()).isEqualTo("33 on 1 code 1");
@@ -370,7 +370,7 @@
     }
 
     @Test
-            void noticeToLeaveAsksForNoNewRequestAnswersWhatIsOpenAndExits() throws Exception {
+    void noticeToLeaveAsksForNoNewRequestAnswersWhatIsOpenAndExits() throws Exception {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub stub = up()) {
             stub.send(Frames.request(1, A, "read"));
@@ -400,7 +400,7 @@
     }
 
     @Test
-            void callerThatDoesNotReadHarmsNoOther() throws IOException {
+    void callerThatDoesNotReadHarmsNoOther() throws IOException {
         runtime.say("ready LOADED 3600000\r\n");
         try (Stub deaf = up(); Stub stub = new Stub(port)) {
             // Far more answers than the sockets between hold: the sender stands still once nothing is read any more.
@@ -422,7 +422,7 @@
     }
 
     @Test
-            void connectionsPastTheFullTableWaitForRoomAndAllAreTaken() throws Exception {
+    void connectionsPastTheFullTableWaitForRoomAndAllAreTaken() throws Exception {
         stop();
         startWith("", 148);
         runtime.say("ready LOADED 3600000\r\n");
@@ -440,14 +440,14 @@
     }
 
     @Test
-            void rehearsalAnswersItsRequestsAndLeavesTheInstanceToStart() throws IOException {
+    void rehearsalAnswersItsRequestsAndLeavesTheInstanceToStart() throws IOException {
         assertThat(WarmUp.play(terms(""))).isPositive();
         runtime.say("ready LOADED 3600000\r\n");
         up().close();
     }
 
     @Test
-            void addressInUseEndsTheProcessWithStatusOne() throws Exception {
+    void addressInUseEndsTheProcessWithStatusOne() throws Exception {
         CompletableFuture<Integer> second = new CompletableFuture<>();
         new ServiceInstance(terms(""), second::complete).start();
         assertThat(second.get(20, TimeUnit.SECONDS)).isEqualTo(1);
--- a/src/test/java/topazladder/Stub.java
+++ b/src/test/java/topazladder/Stub.java
@@ -67,7 +67,8 @@
         return reset;
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
         socket.close();
     }
 }
--- a/src/test/java/topazladder/below/RampFleetTest.java
+++ b/src/test/java/topazladder/below/RampFleetTest.java
@@ -35,7 +35,7 @@
 
     @ParameterizedTest
     @CsvSource({"2,1", "2,2", "20,1", "20,2", "30,1", "30,2"})
-            void unequalSendersThatAllKnowOfTheStart(int processes, long seed) {
+    void unequalSendersThatAllKnowOfTheStart(int processes, long seed) {
         start(processes, seed);
         outAndBack(1, 1, 0);
         play(10);
@@ -44,7 +44,7 @@
 
     @ParameterizedTest
     @CsvSource({"2,3", "20,3", "30,3", "30,4"})
-            void halfLearnLateOfTheStartAndOneNever(int processes, long seed) {
+    void halfLearnLateOfTheStartAndOneNever(int processes, long seed) {
         start(processes, seed);
         for (Use u : senders) {
             u.told(now, 1, List.of(new Word("a", Word.Kind.OUT, 1, 0)));
@@ -65,7 +65,7 @@
 
     @ParameterizedTest
     @CsvSource({"20,5", "20,6", "30,5", "30,6"})
-            void oneInTenStartsInTheMiddleAndKnowsNothingForASecond(int processes, long seed) {
+    void oneInTenStartsInTheMiddleAndKnowsNothingForASecond(int processes, long seed) {
         start(processes, seed);
         outAndBack(1, 1, 0);
         double began = now;
@@ -84,7 +84,7 @@
 
     @ParameterizedTest
     @CsvSource({"2,7", "20,7", "30,7", "30,8"})
-            void secondRestartInTheRamp(int processes, long seed) {
+    void secondRestartInTheRamp(int processes, long seed) {
         start(processes, seed);
         outAndBack(1, 1, 0);
         play(4);
--- a/src/test/java/topazladder/below/UseTest.java
+++ b/src/test/java/topazladder/below/UseTest.java
@@ -38,13 +38,13 @@
     }
 
     @Test
-            void callsAreSpreadOverAllThatAreInUse() {
+    void callsAreSpreadOverAllThatAreInUse() {
         int[] to = calls(use("a", "b", "c", "d"), 100, 4);
         assertThat(Arrays.stream(to)).allMatch(n -> n > 60 && n < 140);
     }
 
     @Test
-            void ofTwoTheOneWithLessInFlightIsTaken() {
+    void ofTwoTheOneWithLessInFlightIsTaken() {
         Use use = use("a", "b");
         int first = use.pick(now, -1);
         for (int i = 0; i < 20; i++) {
@@ -65,7 +65,7 @@
     }
 
     @Test
-            void whileALeaderSpeaksToItNothingIsLeftOutWithoutItsWord() {
+    void whileALeaderSpeaksToItNothingIsLeftOutWithoutItsWord() {
         Use use = use("a", "b", "c", "d");
         use.told(now, 1, List.of());
         calls(use, 30, 4, "a");
@@ -78,7 +78,7 @@
     }
 
     @Test
-            void itTellsOnceThatAServerLooksOtherwise() {
+    void itTellsOnceThatAServerLooksOtherwise() {
         Use use = use("a", "b", "c", "d");
         use.told(now, 1, List.of());
         assertThat(use.news(now)).isFalse();
@@ -91,7 +91,7 @@
     }
 
     @Test
-            void aloneItLeavesOutNoMoreThanItsShareAndNoneOfTwo() {
+    void aloneItLeavesOutNoMoreThanItsShareAndNoneOfTwo() {
         Use use = use("a", "b", "c", "d");
         calls(use, 1, 4);
         now += Use.ALONE_AFTER + 1;
@@ -113,14 +113,14 @@
     }
 
     @Test
-            void oneThatHasJustStartedHasNotBeenToldYetAndIsNotAloneForThat() {
+    void oneThatHasJustStartedHasNotBeenToldYetAndIsNotAloneForThat() {
         Use use = use("a", "b", "c", "d");
         calls(use, 40, 4, "a");
         assertThat(use.state("a")).isEqualTo(State.IN_USE);
     }
 
     @Test
-            void whereMostLookIllItLeavesNoneOut() {
+    void whereMostLookIllItLeavesNoneOut() {
         Use use = use("a", "b", "c", "d");
         calls(use, 1, 4);
         now += Use.ALONE_AFTER + 1;
@@ -136,7 +136,7 @@
     }
 
     @Test
-            void whatTheLeaderLetsItAvoidItLeavesOutAndTriesAgainLaterEachTime() {
+    void whatTheLeaderLetsItAvoidItLeavesOutAndTriesAgainLaterEachTime() {
         Use use = use("a", "b", "c", "d");
         int outs = 0;
         boolean was = false;
@@ -151,7 +151,7 @@
     }
 
     @Test
-            void oneThatReturnsIsGivenALittleAtFirstAndTwiceAsMuchEachStep() {
+    void oneThatReturnsIsGivenALittleAtFirstAndTwiceAsMuchEachStep() {
         Use use = use("a", "b", "c", "d");
         use.told(now, 1, List.of(new Word("a", Word.Kind.OUT, 5, 0)));
         calls(use, 10, 4);
@@ -171,7 +171,7 @@
     }
 
     @Test
-            void theWordOfAnEarlierLeaderSaysNothingAgainstALaterOnes() {
+    void theWordOfAnEarlierLeaderSaysNothingAgainstALaterOnes() {
         Use use = use("a", "b", "c");
         use.told(now, 4, List.of(new Word("a", Word.Kind.OUT, 5, 0)));
         use.told(now, 3, List.of());
@@ -179,7 +179,7 @@
     }
 
     @Test
-            void oneCallInTenMayBeMadeTwiceAndAStormMayNot() {
+    void oneCallInTenMayBeMadeTwiceAndAStormMayNot() {
         Use use = use("a", "b");
         int repeats = 0;
         for (int i = 0; i < 1000; i++) {
@@ -190,8 +190,8 @@
     }
 
     @Property(tries = 200)
-            void inFlightNeverFallsBelowNothingAndNoCallGoesToOneThatIsOut(@ForAll long seed,
-                    @ForAll @IntRange(min = 1, max = 6) int servers) {
+    void inFlightNeverFallsBelowNothingAndNoCallGoesToOneThatIsOut(@ForAll long seed,
+            @ForAll @IntRange(min = 1, max = 6) int servers) {
         SplittableRandom chance = new SplittableRandom(seed);
         String[] names = new String[servers];
         for (int i = 0; i < servers; i++) {
--- a/src/test/java/topazladder/below/VerdictsTest.java
+++ b/src/test/java/topazladder/below/VerdictsTest.java
@@ -23,7 +23,7 @@
     private double now = 10;
 
     @BeforeEach
-            void setUp() {
+    void setUp() {
         ledger.apply(new DisruptionCommand.Budgets(
                 List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1))));
         verdicts.lead(now);
@@ -61,7 +61,7 @@
     }
 
     @Test
-            void whatMostFindIllIsOutForAllAndComesBackOnceItDoesWell() {
+    void whatMostFindIllIsOutForAllAndComesBackOnceItDoesWell() {
         pass(2, all(Set.of("a")));
         assertThat(out("a").phase()).isEqualTo(Disruption.Phase.GRANTED);
         assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
@@ -76,7 +76,7 @@
     }
 
     @Test
-            void oneThatFailsAgainWaitsTwiceAsLong() {
+    void oneThatFailsAgainWaitsTwiceAsLong() {
         pass(2, all(Set.of("a")));
         double[] returned = new double[3];
         for (int i = 0; i < 3; i++) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-            void oneWatchersWordIsNotEnoughAndItMayLeaveItOutForItself() {
+    void oneWatchersWordIsNotEnoughAndItMayLeaveItOutForItself() {
         pass(3, List.of(Set.of("a"), Set.of(), Set.of(), Set.of(), Set.of()));
         assertThat(out("a")).isNull();
         assertThat(verdicts.words(now, "n0")).containsExactly(new Word("a", Word.Kind.AVOID, 0, 0));
@@ -102,7 +102,7 @@
     }
 
     @Test
-            void eachFindsAnotherDeadAndNoneIsOutForAll() {
+    void eachFindsAnotherDeadAndNoneIsOutForAll() {
         pass(3, List.of(Set.of("a"), Set.of("b"), Set.of("c"), Set.of("d"), Set.of("a")));
         assertThat(SERVERS).allMatch(s -> out(s) == null);
         // Five times a fifth of a server: as much as the budget has room for.
@@ -114,7 +114,7 @@
     }
 
     @Test
-            void whatManyAvoidAddsUpToNoMoreThanTheBudget() {
+    void whatManyAvoidAddsUpToNoMoreThanTheBudget() {
         ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "d", ""),
                 Disruption.Why.OPERATOR, "operator", "me"));
         pass(2, List.of(Set.of("a"), Set.of("b"), Set.of(), Set.of(), Set.of()));
@@ -123,7 +123,7 @@
     }
 
     @Test
-            void whereMostLookIllNoneIsOutAndWhatWasIsTriedAgain() {
+    void whereMostLookIllNoneIsOutAndWhatWasIsTriedAgain() {
         pass(3, all(Set.of("a", "b", "c")));
         assertThat(SERVERS).allMatch(s -> out(s) == null);
         pass(20, all(Set.of()));
@@ -134,13 +134,13 @@
     }
 
     @Test
-            void oneThatFindsMostIllIsNotBelievedAboutAny() {
+    void oneThatFindsMostIllIsNotBelievedAboutAny() {
         pass(3, List.of(Set.of("a", "b", "c"), Set.of("a", "c", "d"), Set.of("a", "b", "d"), Set.of(), Set.of()));
         assertThat(SERVERS).allMatch(s -> out(s) == null);
     }
 
     @Test
-            void aSecondOneWaitsForTheFirstOnesPlace() {
+    void aSecondOneWaitsForTheFirstOnesPlace() {
         pass(2, all(Set.of("a")));
         pass(1, all(Set.of("a", "b")));
         assertThat(out("b").phase()).isEqualTo(Disruption.Phase.ASKED);
@@ -150,7 +150,7 @@
     }
 
     @Test
-            void anOperatorKeepsOneOutThatWasIllAndBringsItBack() {
+    void anOperatorKeepsOneOutThatWasIllAndBringsItBack() {
         pass(2, all(Set.of("a")));
         DisruptionTarget a = new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", "");
         assertThat(ledger.apply(new DisruptionCommand.Keeps(a, "operator", "me")).done()).isTrue();
@@ -165,7 +165,7 @@
 
     /** Drawn as one of a hundred: by the age of the phase before a server was back with its whole part at once. */
     @Test
-            void oneThatRejoinedSinceTheLastLookIsToldAsNew() {
+    void oneThatRejoinedSinceTheLastLookIsToldAsNew() {
         pass(2, all(Set.of("a")));
         now += 1;
         ledger.apply(new DisruptionCommand.Rejoins(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", "")));
@@ -177,7 +177,7 @@
 
     /** Behind an election nobody has said anything yet; a place must not be taken for what was so long ago. */
     @Test
-            void whatWasAskedForUnderAnotherLeaderIsWithdrawnUnlessItIsStillSo() {
+    void whatWasAskedForUnderAnotherLeaderIsWithdrawnUnlessItIsStillSo() {
         ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", ""),
                 Disruption.Why.ILL, "symptoms a 1", "symptoms"));
         pass(0.25, List.of());
@@ -185,7 +185,7 @@
     }
 
     @Test
-            void rejoiningAndKeepingAreForServersBelowAlone() {
+    void rejoiningAndKeepingAreForServersBelowAlone() {
         DisruptionTarget n = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n1", "");
         ledger.apply(new DisruptionCommand.Leaves(n, 0, 7, "a signal"));
         assertThat(ledger.apply(new DisruptionCommand.Rejoins(n)).done()).isFalse();
@@ -193,7 +193,7 @@
     }
 
     @Test
-            void whatWasHeardLongAgoSaysNothing() {
+    void whatWasHeardLongAgoSaysNothing() {
         List<Report> ill = List.of(new Report("a", Look.ILL, 9, 9), new Report("b", Look.WELL, 9, 0));
         verdicts.says(now, "n0", ill);
         verdicts.says(now, "n1", ill);
--- a/src/test/java/topazladder/broker/AmqpCodecTest.java
+++ b/src/test/java/topazladder/broker/AmqpCodecTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-            void methodsTablesAndPropertiesComeBackAsTheyWere() throws Broken {
+    void methodsTablesAndPropertiesComeBackAsTheyWere() throws Broken {
         Reader reader = new Reader(4096);
         reader.feed(sample());
         Call call = AmqpCodec.call(reader.next().payload());
@@ -48,7 +48,7 @@
     }
 
     @Test
-            void bytesInAnyPiecesMakeTheSameFrames() throws Broken {
+    void bytesInAnyPiecesMakeTheSameFrames() throws Broken {
         byte[] all = sample();
         SplittableRandom chance = new SplittableRandom(1);
         for (int round = 0; round < 300; round++) {
@@ -68,7 +68,7 @@
     }
 
     @Test
-            void changedBytesAreReadOrBrokenAndNothingElse() {
+    void changedBytesAreReadOrBrokenAndNothingElse() {
         SplittableRandom chance = new SplittableRandom(20261201);
         int broken = 0;
         for (int round = 0; round < 50_000; round++) {
@@ -94,14 +94,14 @@
     }
 
     @Test
-            void aFrameThatIsTooLongIsToldBeforeItCame() {
+    void aFrameThatIsTooLongIsToldBeforeItCame() {
         Reader reader = new Reader(4096);
         reader.feed(new byte[] {1, 0, 0, (byte) 0xff, (byte) 0xff, (byte) 0xff, (byte) 0xff});
         assertThatThrownBy(reader::next).isInstanceOf(Broken.class).hasMessage("a frame of 4294967295 bytes");
     }
 
     @Test
-            void topicPatternsMatchWords() {
+    void topicPatternsMatchWords() {
         assertThat(List.of("a.b", "a.b.c", "a").stream().map(k -> matches("a.#", k))).containsExactly(true, true, true);
         assertThat(List.of("a.b", "a.b.c", "a").stream().map(k -> matches("a.*", k))).containsExactly(true, false,
                 false);
--- a/src/test/java/topazladder/config/FaultScheduleFileTest.java
+++ b/src/test/java/topazladder/config/FaultScheduleFileTest.java
@@ -13,7 +13,7 @@
 class FaultScheduleFileTest {
 
     @Property(tries = 300)
-            void whatIsWrittenIsReadAsTheSame(@ForAll long seed, @ForAll @IntRange(min = 3, max = 12) int processes) {
+    void whatIsWrittenIsReadAsTheSame(@ForAll long seed, @ForAll @IntRange(min = 3, max = 12) int processes) {
         Schedule drawn = Schedule.draw(seed, processes, 25);
         assertThat(FaultScheduleFile.of(FaultScheduleFile.text(drawn))).isEqualTo(drawn);
         Schedule storm = Schedule.storm(seed, 25);
@@ -26,7 +26,7 @@
     }
 
     @Test
-            void whatIsWrongIsToldByItsPlace() {
+    void whatIsWrongIsToldByItsPlace() {
         refused("processes: 5 voters: 4", "voters should be");
         refused("processes: 0 voters: 3", "processes should be");
         refused("processes: 5 voters: 3 faults { kind: \"flood\" }", "faults[0].kind is none");
--- a/src/test/java/topazladder/consensus/VoterSetTest.java
+++ b/src/test/java/topazladder/consensus/VoterSetTest.java
@@ -20,7 +20,7 @@
     private final VoterSet voters = new VoterSet();
 
     @Test
-            void oneThatLostItsFolderIsTakenOutAsItsOldSelfAndInAsItsNewOne() {
+    void oneThatLostItsFolderIsTakenOutAsItsOldSelfAndInAsItsNewOne() {
         voters.asked(1, REBORN, WANTED);
         assertThat(voters.next(1.1, List.of(N0, N1, N2), WANTED, Set.of(N0, N1)))
                 .contains(new VoterSet.Change(N2, false));
@@ -30,25 +30,25 @@
     }
 
     @Test
-            void nobodyIsTakenOutWhereThoseLeftWouldBeNoMajority() {
+    void nobodyIsTakenOutWhereThoseLeftWouldBeNoMajority() {
         voters.asked(1, REBORN, WANTED);
         assertThat(voters.next(1.1, List.of(N0, N1, N2), WANTED, Set.of(N0))).isEmpty();
     }
 
     @Test
-            void oneThatIsNotNamedIsNotHeard() {
+    void oneThatIsNotNamedIsNotHeard() {
         voters.asked(1, new VoterEndpoint("n9", 3), WANTED);
         assertThat(voters.next(1.1, List.of(N0, N1, N2), WANTED, Set.of(N0, N1, N2))).isEmpty();
     }
 
     @Test
-            void oneThatAskedLongAgoIsNotTakenIn() {
+    void oneThatAskedLongAgoIsNotTakenIn() {
         voters.asked(1, REBORN, WANTED);
         assertThat(voters.next(60, List.of(N0, N1), WANTED, Set.of(N0, N1))).isEmpty();
     }
 
     @Test
-            void votersThatTheSettingsNameNoMoreGoOneByOne() {
+    void votersThatTheSettingsNameNoMoreGoOneByOne() {
         Set<String> other = Set.of("n0", "n1", "n3");
         assertThat(voters.next(1, List.of(N0, N1, N2), other, Set.of(N0, N1, N2)))
                 .contains(new VoterSet.Change(N2, false));
@@ -58,7 +58,7 @@
     }
 
     @Test
-            void anAnswerOfATermBeforeIsTooOldAndAQuestionIsNot() {
+    void anAnswerOfATermBeforeIsTooOldAndAQuestionIsNot() {
         RaftModelFactory model = new DefaultRaftModelFactory();
         RaftMessage answer = model.createAppendEntriesSuccessResponseBuilder().setGroupId("hall0").setSender(N1)
                 .setTerm(3).setLastLogIndex(9).setQuerySequenceNumber(125).setFlowControlSequenceNumber(0).build();
@@ -70,7 +70,7 @@
     }
 
     @Test
-            void anIdIsReadBackAsItWasWritten() {
+    void anIdIsReadBackAsItWasWritten() {
         assertThat(VoterEndpoint.of(REBORN.toString())).isEqualTo(REBORN);
     }
 }
