--- a/src/test/java/topazladder/delivery/DeliveryTest.java
+++ b/src/test/java/topazladder/delivery/DeliveryTest.java
@@ -68,7 +68,7 @@
     }
 
     @Test
-            void everyFieldComesFromWhereTheSettingsSay() {
+    void everyFieldComesFromWhereTheSettingsSay() {
         Mapped m = map(delivery("place", "new.acme", id("F"), new byte[50], Mapping.TRIES, "2"), terms(null, null,
                 false));
         assertThat(m.arrival().tenant()).isEqualTo("acme");
@@ -85,8 +85,8 @@
             "read,new.acme,,101,,too large: 101 bytes", "read,new.acme,,10,NaN,a rank that is none",
             "read,new.acme,,10,-1,a rank that is none", "read,new.acme,,10,1e9,a rank that is none",
             "read,new.acme,,10,none,a rank that is none"})
-            void whatIsMissingOrWildHasNoDefault(String requestClass, String key, String id, int bytes, String rank,
-                    String why) {
+    void whatIsMissingOrWildHasNoDefault(String requestClass, String key, String id, int bytes, String rank,
+            String why) {
         Delivery d = rank == null ? delivery(requestClass, key, id(id), new byte[bytes])
                 : delivery(requestClass, key, id(id), new byte[bytes], "rank", rank);
         assertThat(map(d, terms(null, rank == null ? null : "header:rank", false)).why()).isEqualTo(why);
@@ -94,7 +94,7 @@
 
     @ParameterizedTest
     @CsvSource({"998, 998", "1001, 1000", "87400, 1000", "900, 1000", "0, 1000"})
-            void aPublishersClockIsBelievedOnlyWhereItCanBeRight(double timestamp, double since) {
+    void aPublishersClockIsBelievedOnlyWhereItCanBeRight(double timestamp, double since) {
         Properties p = new Properties("F", null, null, null, 0, timestamp, -1);
         assertThat(map(delivery("place", "new.acme", p, new byte[1]), terms(null, null, true)).arrival().since())
                 .isEqualTo(since);
@@ -104,7 +104,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"weather", "header:", "property:weather", "routing-key:0", "routing-key:x"})
-            void aPickThatIsNoneIsToldByItsKey(String text) {
+    void aPickThatIsNoneIsToldByItsKey(String text) {
         assertThatThrownBy(() -> FieldSource.of("rank", text)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageStartingWith("rank should");
     }
@@ -130,22 +130,22 @@
             "FAILED, IDEMPOTENT_BY_KEY, 0, true, true, DEAD_LETTER, MAY_HAVE_RUN",
             "FAILED, AT_MOST_ONCE, 0, true, false, DEAD_LETTER, MAY_HAVE_RUN",
             "-, RETRY_SAFE, 0, true, false, DEAD_LETTER, UNUSABLE"})
-            void eachAnswerHasOneOutcome(String how, Repeats repeats, int tries, boolean delay, boolean leaving,
-                    String what,
-                    String why) {
+    void eachAnswerHasOneOutcome(String how, Repeats repeats, int tries, boolean delay, boolean leaving,
+            String what,
+            String why) {
         Outcomes.Outcome o = Outcomes.of(how.equals("-") ? null : How.valueOf(how), repeats, tries,
                 terms(delay ? new Route("later", "") : null, null, false), leaving);
         assertThat(o.what() + " " + o.why()).isEqualTo(what + " " + why);
     }
 
     @Test
-            void aCopyThatWaitedIsMappedByWhereItCameFromAtFirst() {
+    void aCopyThatWaitedIsMappedByWhereItCameFromAtFirst() {
         assertThat(map(delivery("place", "q", id("F"), new byte[1], Mapping.FIRST_KEY, "new.acme"),
                 terms(null, null, false)).arrival().tenant()).isEqualTo("acme");
     }
 
     @Test
-            void returnsTakeTurnsAndDoNotSpin() {
+    void returnsTakeTurnsAndDoNotSpin() {
         Pace pace = new Pace(10);
         assertThat(pace.turn(0)).isZero();
         assertThat(pace.turn(0)).isEqualTo(0.1);
@@ -154,7 +154,7 @@
     }
 
     @Test
-            void theWindowGrowsWhileFullAndServedHalvesWithDeferralsAndClosesUnderTheLevel() {
+    void theWindowGrowsWhileFullAndServedHalvesWithDeferralsAndClosesUnderTheLevel() {
         Prefetch p = new Prefetch(32);
         double now = 0;
         int[] seen = new int[12];
@@ -175,7 +175,7 @@
     }
 
     @Test
-            void whatIsDoneIsKnownByItsIdItsTryAndItsBody() {
+    void whatIsDoneIsKnownByItsIdItsTryAndItsBody() {
         Remembered r = new Remembered();
         Delivery d = delivery("place", "new.acme", id("A"), new byte[] {1});
         r.done(d, 0, 0);
@@ -188,7 +188,7 @@
     }
 
     @Test
-            void whatIsRememberedIsBounded() {
+    void whatIsRememberedIsBounded() {
         Remembered r = new Remembered();
         for (int i = 0; i < Remembered.MOST + 5000; i++) {
             r.done(delivery("read", "new.acme", id("m" + i), new byte[1]), 0, i * 0.001);
@@ -199,7 +199,7 @@
     }
 
     @Test
-            void waitsAreAnythingUpToABoundThatDoublesAndStops() {
+    void waitsAreAnythingUpToABoundThatDoublesAndStops() {
         FullJitter jitter = new FullJitter(0.1, 10, new SplittableRandom(1));
         Set<Double> seen = new HashSet<>();
         for (int i = 0; i < 200; i++) {
--- a/src/test/java/topazladder/disruption/DisruptionControllerTest.java
+++ b/src/test/java/topazladder/disruption/DisruptionControllerTest.java
@@ -24,7 +24,7 @@
     }
 
     @BeforeEach
-            void setUp() {
+    void setUp() {
         ledger.apply(new DisruptionCommand.Budgets(List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 2, 1),
                 new DisruptionBudget("east", Kind.INSTANCE, "east", 1, 1))));
         for (int i = 0; i < 6; i++) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-            void aNewLeaderLooksRoundBeforeItLetsAnybodyGo() {
+    void aNewLeaderLooksRoundBeforeItLetsAnybodyGo() {
         ask(0);
         permits.becomeLeader(10, 4);
         assertThat(tick(13)).isEmpty();
@@ -67,7 +67,7 @@
     }
 
     @Test
-            void whoAskedFirstGoesFirstAndIsNotOvertakenForItsPlace() {
+    void whoAskedFirstGoesFirstAndIsNotOvertakenForItsPlace() {
         ask(0);
         ask(1);
         ask(3);
@@ -86,7 +86,7 @@
     }
 
     @Test
-            void oneThatIsSuspectedOrColdCountsAsOut() {
+    void oneThatIsSuspectedOrColdCountsAsOut() {
         look(4, Look.SUSPECTED, 1);
         look(5, Look.UNSTEADY, 1);
         ask(0);
@@ -98,7 +98,7 @@
     }
 
     @Test
-            void oneThatIsGoneIsWrittenDownAsLostAndBackOnlyOnceSteady() {
+    void oneThatIsGoneIsWrittenDownAsLostAndBackOnlyOnceSteady() {
         look(5, Look.GONE, 1);
         tick(2);
         assertThat(phase(5)).isNull();
@@ -115,7 +115,7 @@
     }
 
     @Test
-            void oneThatDrainsIsStillHeardAndIsNotBackUntilAnotherLifeOfItIs() {
+    void oneThatDrainsIsStillHeardAndIsNotBackUntilAnotherLifeOfItIs() {
         ask(3);
         tick(2);
         ledger.apply(new DisruptionCommand.Leaves(instance(3), ledger.get(instance(3)).token(), 1, ""));
@@ -130,7 +130,7 @@
     }
 
     @Test
-            void oneThatDiedWithItsPermissionComesBackLikeAnyOther() {
+    void oneThatDiedWithItsPermissionComesBackLikeAnyOther() {
         ask(3);
         tick(2);
         look(3, Look.GONE, 1);
@@ -142,7 +142,7 @@
     }
 
     @Test
-            void withMostOfTheHallOutOfSightNobodyIsLostAndNobodyGoes() {
+    void withMostOfTheHallOutOfSightNobodyIsLostAndNobodyGoes() {
         ask(0);
         for (int i = 2; i < 6; i++) {
             look(i, Look.GONE, 1);
@@ -154,7 +154,7 @@
     }
 
     @Test
-            void aHaltHoldsAllBackAndIsTold() {
+    void aHaltHoldsAllBackAndIsTold() {
         ask(0);
         ledger.apply(new DisruptionCommand.Halt("by hand"));
         tick(2);
--- a/src/test/java/topazladder/disruption/DisruptionStateMachineTest.java
+++ b/src/test/java/topazladder/disruption/DisruptionStateMachineTest.java
@@ -27,7 +27,7 @@
     }
 
     @BeforeEach
-            void setUp() {
+    void setUp() {
         ledger.apply(new DisruptionCommand.Budgets(List.of(ALL, EAST)));
         for (int i = 0; i < 6; i++) {
             ledger.apply(new DisruptionCommand.Known(instance(i), 0));
@@ -40,7 +40,7 @@
     }
 
     @Provide
-            Arbitrary<List<DisruptionCommand>> ops() {
+    Arbitrary<List<DisruptionCommand>> ops() {
         Arbitrary<DisruptionTarget> subjects =
                 Arbitraries.integers().between(0, 5).map(DisruptionStateMachineTest::instance);
         Arbitrary<String> requests = Arbitraries.of("a", "b");
@@ -64,7 +64,7 @@
     }
 
     @Property(seed = "20261201", tries = 600)
-            void aGrantFitsAllBudgetsAndAPlaceIsGivenBackOnlyAsItMay(@ForAll("ops") List<DisruptionCommand> ops) {
+    void aGrantFitsAllBudgetsAndAPlaceIsGivenBackOnlyAsItMay(@ForAll("ops") List<DisruptionCommand> ops) {
         setUp();
         long tokens = 0;
         for (DisruptionCommand op : ops) {
@@ -92,7 +92,7 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-            void
+    void
             oneThatBeginsWithACopyGoesOnAsTheOther(@ForAll("ops") List<DisruptionCommand> ops,
                     @ForAll("ops") List<DisruptionCommand> more) {
         DisruptionStateMachine one = new DisruptionStateMachine();
@@ -103,7 +103,7 @@
     }
 
     @Test
-            void noMoreThanTheBudgetGoesOfTheHallAndOfAZone() {
+    void noMoreThanTheBudgetGoesOfTheHallAndOfAZone() {
         assertThat(goes(0, "a")).isTrue();
         assertThat(goes(2, "a")).as("a second of the east").isFalse();
         assertThat(goes(1, "a")).isTrue();
@@ -111,7 +111,7 @@
     }
 
     @Test
-            void whatASignalTakesHoldsOthersBackAndIsAlwaysObeyed() {
+    void whatASignalTakesHoldsOthersBackAndIsAlwaysObeyed() {
         for (int i = 0; i < 4; i++) {
             assertThat(ledger.apply(new DisruptionCommand.Leaves(instance(i), 0, 1, "a signal")).done()).isTrue();
         }
@@ -126,7 +126,7 @@
     }
 
     @Test
-            void aHolderThatDiesKeepsItsPlaceUntilItIsFilledOrAnOperatorSaysSo() {
+    void aHolderThatDiesKeepsItsPlaceUntilItIsFilledOrAnOperatorSaysSo() {
         assertThat(goes(0, "a")).isTrue();
         ledger.apply(new DisruptionCommand.Lost(instance(0), 1));
         assertThat(goes(2, "a")).isFalse();
@@ -136,7 +136,7 @@
     }
 
     @Test
-            void aPermissionOfBeforeIsWorthNothing() {
+    void aPermissionOfBeforeIsWorthNothing() {
         goes(0, "a");
         long token = ledger.get(instance(0)).token();
         ledger.apply(new DisruptionCommand.Returns(instance(0), 2)); // it was started again, and knows of nothing
@@ -146,7 +146,7 @@
     }
 
     @Test
-            void theWordThatItGoesMayComeTwice() {
+    void theWordThatItGoesMayComeTwice() {
         goes(0, "a");
         long token = ledger.get(instance(0)).token();
         assertThat(ledger.apply(new DisruptionCommand.Leaves(instance(0), token, 1, "")).done()).isTrue();
@@ -156,7 +156,7 @@
     }
 
     @Test
-            void aBudgetThatIsCutWhileUsedTakesNothingBackAndGrantsLess() {
+    void aBudgetThatIsCutWhileUsedTakesNothingBackAndGrantsLess() {
         goes(0, "a");
         goes(1, "a");
         ledger.apply(new DisruptionCommand.Budgets(List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 1, 1))));
@@ -166,7 +166,7 @@
     }
 
     @Test
-            void aShareOfTheMeasuredCapacityBindsBesideTheCount() {
+    void aShareOfTheMeasuredCapacityBindsBesideTheCount() {
         ledger.apply(new DisruptionCommand.Budgets(List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 5, 0.4))));
         for (int i = 0; i < 6; i++) {
             ledger.apply(new DisruptionCommand.Known(instance(i), i == 0 ? 10 : 2));
@@ -178,7 +178,7 @@
     }
 
     @Test
-            void withoutABudgetNothingGoes() {
+    void withoutABudgetNothingGoes() {
         ledger.apply(new DisruptionCommand.Budgets(List.of()));
         assertThat(goes(0, "a")).isFalse();
         ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(Kind.BELOW, "index", ""), Why.ILL, "a", "n1"));
@@ -188,7 +188,7 @@
     }
 
     @Test
-            void oneThatWithdrawsKeepsItsPlaceInTheOrderForNobody() {
+    void oneThatWithdrawsKeepsItsPlaceInTheOrderForNobody() {
         goes(0, "a");
         assertThat(ledger.apply(new DisruptionCommand.Withdraw(instance(0), "b")).done()).isFalse();
         assertThat(ledger.apply(new DisruptionCommand.Withdraw(instance(0), "a")).done()).isTrue();
--- a/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-            void aServerThatHangsIsOutForAllWithinSecondsAndComesBackLittleByLittle() {
+    void aServerThatHangsIsOutForAllWithinSecondsAndComesBackLittleByLittle() {
         Servers servers = servers(new Trouble(15, 20, Kind.HANGS, 2, -1));
         HallWorld world = world(servers);
         world.time().runUntil(25);
@@ -48,7 +48,7 @@
     }
 
     @Test
-            void everyInstanceThinksOneServerDeadWhichIsOutAndASecondIsNot() {
+    void everyInstanceThinksOneServerDeadWhichIsOutAndASecondIsNot() {
         Servers servers = servers(new Trouble(15, 20, Kind.DEAD, 0, -1), new Trouble(20, 12, Kind.DEAD, 1, -1));
         HallWorld world = world(servers);
         world.time().runUntil(31);
@@ -57,7 +57,7 @@
     }
 
     @Test
-            void eachThinksAnotherOneDeadAndNoneIsOut() {
+    void eachThinksAnotherOneDeadAndNoneIsOut() {
         Servers servers = servers(new Trouble(15, 20, Kind.EACH_ANOTHER, 0, -1));
         HallWorld world = world(servers);
         world.time().runUntil(34);
@@ -68,7 +68,7 @@
     }
 
     @Test
-            void whereAllLookDeadNoneIsTreatedAsOut() {
+    void whereAllLookDeadNoneIsTreatedAsOut() {
         Servers servers = servers(new Trouble(15, 15, Kind.ALL, 0, -1));
         HallWorld world = world(servers);
         world.time().runUntil(29);
@@ -78,7 +78,7 @@
     }
 
     @Test
-            void oneThatCanNotAskLeavesOutItsOwnShareAlone() {
+    void oneThatCanNotAskLeavesOutItsOwnShareAlone() {
         Servers servers = servers(new Trouble(30, 30, Kind.DEAD, 3, -1), new Trouble(34, 20, Kind.DEAD, 1, -1));
         // With all voters away nobody leads; the two that are left can't ask.
         HallWorld world = world(servers, new Fault(14, Fault.Kind.KILL, 0, -1, 35, 0),
@@ -92,7 +92,7 @@
     }
 
     @Test
-            void theLeaderDiesWhileAServerIsOutAndTheNextOneGoesOn() {
+    void theLeaderDiesWhileAServerIsOutAndTheNextOneGoesOn() {
         Servers servers = servers(new Trouble(15, 20, Kind.DEAD, 2, -1));
         HallWorld world = world(servers, new Fault(19, Fault.Kind.KILL, Fault.LEADER, -1, 3, 0),
                 new Fault(26, Fault.Kind.STALL, Fault.LEADER, -1, 4, 0));
@@ -102,13 +102,13 @@
     }
 
     @Test
-            void drawnTroublesBreakNoRule() {
+    void drawnTroublesBreakNoRule() {
         assertThat(BelowsExperiment.emulated(1, 60, 5).bad()).isEmpty();
         assertThat(BelowsExperiment.emulated(1, 15, 9).bad()).isEmpty();
     }
 
     @Test
-            void plantedMistakesAreFound() {
+    void plantedMistakesAreFound() {
         BelowsExperiment.plants(1, 40, 5).table().lines().skip(2).forEach(l -> {
             if (l.startsWith("| none |")) {
                 assertThat(l).contains("| 0 |");
--- a/src/test/java/topazladder/emulator/hall/HallWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/HallWorldTest.java
@@ -45,33 +45,33 @@
     }
 
     @Test
-            void theHolderStallsForLongerThanItsLeaseAndGoesOn() {
+    void theHolderStallsForLongerThanItsLeaseAndGoesOn() {
         playsWell(fault(8, Kind.STALL, Fault.HOLDER, 5), fault(18, Kind.STALL, Fault.HOLDER, 2.3));
     }
 
     @Test
-            void theHolderIsCutOffOneWayOnlyEitherWay() {
+    void theHolderIsCutOffOneWayOnlyEitherWay() {
         playsWell(fault(8, Kind.MUTE, Fault.HOLDER, 6), fault(20, Kind.DEAF, Fault.HOLDER, 6));
     }
 
     @Test
-            void leaderAndHolderAreInTheMinority() {
+    void leaderAndHolderAreInTheMinority() {
         playsWell(fault(8, Kind.MINORITY, -1, 10));
     }
 
     @Test
-            void theLeaderStandsStillWhileItAndTheHolderAreCutOff() {
+    void theLeaderStandsStillWhileItAndTheHolderAreCutOff() {
         playsWell(fault(8, Kind.MINORITY, -1, 12), fault(8.1, Kind.STALL, Fault.LEADER, 4));
     }
 
     @Test
-            void twoHalvesWithoutAMajorityOfVotersOnOneSide() {
+    void twoHalvesWithoutAMajorityOfVotersOnOneSide() {
         // n0 and n3 on one side; n1, n2 and n4 on the other: only there a majority is.
         playsWell(new Fault(8, Kind.HALVES, -1, 0b01001, 10, 0));
     }
 
     @Test
-            void twoEqualHalvesOfSix() {
+    void twoEqualHalvesOfSix() {
         // n0, n3 and n4 on one side; n1, n2 and n5 on the other, where two of three voters are.
         Schedule s = new Schedule(6, 6, 3, List.of(1.05, 0.95, 1.0, 0.95, 1.05, 1.0),
                 List.of(new Fault(8, Kind.HALVES, -1, 0b011001, 10, 0)), QUIET);
@@ -80,29 +80,29 @@
     }
 
     @Test
-            void allVotersAreKilledAndComeBackWithoutTheirFoldersAndNothingIsGrantedAnyMore() {
+    void allVotersAreKilledAndComeBackWithoutTheirFoldersAndNothingIsGrantedAnyMore() {
         HallWorld.Outcome o = play(schedule(fault(8, Kind.WIPE, 0, 1), fault(8, Kind.WIPE, 1, 1),
                 fault(8, Kind.WIPE, 2, 1)));
         assertThat(o.stuck()).as("duties that nobody does").hasSize(3);
     }
 
     @Test
-            void aBridgeThatBothHalvesHear() {
+    void aBridgeThatBothHalvesHear() {
         playsWell(new Fault(8, Kind.BRIDGE, 2, 0b01001, 10, 0));
     }
 
     @Test
-            void aLinkThatFlapsFasterThanElections() {
+    void aLinkThatFlapsFasterThanElections() {
         playsWell(new Fault(8, Kind.FLAP, Fault.LEADER, -1, 8, 0.15), new Fault(8.5, Kind.FLAP, 1, -1, 8, 0.4));
     }
 
     @Test
-            void allVotersAreKilledAndComeBackWithTheirFolders() {
+    void allVotersAreKilledAndComeBackWithTheirFolders() {
         playsWell(fault(8, Kind.KILL_ALL, -1, 3));
     }
 
     @Test
-            void aVoterLosesItsFolderAndIsTakenInUnderAnotherBirth() {
+    void aVoterLosesItsFolderAndIsTakenInUnderAnotherBirth() {
         Schedule s = schedule(fault(8, Kind.WIPE, 0, 1), fault(20, Kind.KILL, 1, 8));
         HallWorld world = new HallWorld(s, setup(s), Plant.NONE).open();
         world.time().runUntil(s.length());
@@ -112,46 +112,46 @@
     }
 
     @Test
-            void withAMajorityOfFoldersLostNobodyIsGrantedAnythingAnyMore() {
+    void withAMajorityOfFoldersLostNobodyIsGrantedAnythingAnyMore() {
         HallWorld.Outcome o = play(schedule(fault(8, Kind.WIPE, 0, 1), fault(8.2, Kind.WIPE, 1, 1)));
         assertThat(o.stuck()).as("duties that nobody does").hasSize(3);
     }
 
     @Test
-            void aVoterIsKilledAtEachOfItsWritesAndItsDiskIsFull() {
+    void aVoterIsKilledAtEachOfItsWritesAndItsDiskIsFull() {
         for (int write = 1; write <= 40; write++) {
             playsWell(new Fault(0.2, Kind.DISK_FULL, write % 3, -1, 9, write), fault(12, Kind.KILL, write % 3, 0.5));
         }
     }
 
     @Test
-            void answersAreLostAndComeTwiceAndLate() {
+    void answersAreLostAndComeTwiceAndLate() {
         playsWell(new Fault(8, Kind.LOSS, -1, -1, 10, 0.4), new Fault(8, Kind.TWICE, 0, -1, 10, 0),
                 new Fault(10, Kind.DELAY, Fault.LEADER, -1, 8, 1.5));
     }
 
     @Test
-            void theHolderLeavesInOrderAndLosesNoTime() {
+    void theHolderLeavesInOrderAndLosesNoTime() {
         HallWorld.Outcome o = play(schedule(fault(10, Kind.LEAVE, Fault.HOLDER, 3)));
         assertThat(o.stuck()).isEmpty();
         assertThat(o.longestGap()).as("seconds without a holder").isLessThan(1);
     }
 
     @Test
-            void followersThatAllCameBackUnderOneLeaderOutliveIt() {
+    void followersThatAllCameBackUnderOneLeaderOutliveIt() {
         // The library alone never takes such a leader for dead.
         playsWell(fault(7, Kind.KILL, 0, 0.5), fault(9, Kind.KILL, 1, 0.5), fault(11, Kind.KILL, 2, 0.5),
                 fault(14, Kind.ISOLATE, Fault.LEADER, 12));
     }
 
     @Test
-            void oneWithTheLongerLogAndOneInTheHigherTermComeTogether() {
+    void oneWithTheLongerLogAndOneInTheHigherTermComeTogether() {
         // Drawn as one of ten thousand; the library alone has them refuse each other for ever.
         assertThat(breaking(7120, 1, 5, Plant.NONE, true)).isEmpty();
     }
 
     @Test
-            void votersAreChangedOneByOneWithoutAStop() {
+    void votersAreChangedOneByOneWithoutAStop() {
         Schedule s = schedule(fault(40, Kind.KILL, 0, 20));
         HallWorld world = new HallWorld(s, setup(s), Plant.NONE).open();
         world.time().runUntil(8);
@@ -170,7 +170,7 @@
     }
 
     @Test
-            void anOperatorsCommandsHandOverHaltAndResume() {
+    void anOperatorsCommandsHandOverHaltAndResume() {
         Schedule s = schedule();
         HallWorld world = new HallWorld(s, setup(s), Plant.NONE).open();
         world.time().runUntil(8);
@@ -224,14 +224,14 @@
     }
 
     @Test
-            void drawnSchedulesOfAllFaultsBreakNothingAndLeaveNothingUndone() {
+    void drawnSchedulesOfAllFaultsBreakNothingAndLeaveNothingUndone() {
         assertThat(breaking(100_000, 600, 5, Plant.NONE, true)).as("seeds").isEmpty();
         assertThat(breaking(200_000, 100, 9, Plant.NONE, true)).as("seeds").isEmpty();
         assertThat(breaking(300_000, 100, 3, Plant.NONE, true)).as("seeds").isEmpty();
     }
 
     @Test
-            void plantedMistakesAreFound() {
+    void plantedMistakesAreFound() {
         for (Plant p : List.of(Plant.SAME_TOKEN, Plant.EXPIRES_EARLY, Plant.SAYS_STOPPED_TOO_SOON,
                 Plant.GRANTS_WHILE_HELD, Plant.FORGETS_ENTRIES, Plant.NEW_LEADER_DOES_NOT_WAIT,
                 Plant.RELEASES_ANY_TOKEN)) {
@@ -241,12 +241,12 @@
 
     /** Votes that are forgotten and folders that are believed in take more than chance to meet; storms bring them. */
     @Test
-            void stormsOverTheVotersBreakNothing() {
+    void stormsOverTheVotersBreakNothing() {
         assertThat(DutiesExperiment.emulated(1, 400, 5, true).bad()).as("seeds").isEmpty();
     }
 
     @Test
-            void theSameSeedPlaysTheSame() {
+    void theSameSeedPlaysTheSame() {
         Supplier<HallWorld.Outcome> play = () -> {
             Schedule s = Schedule.draw(4711, 5, QUIET);
             return new HallWorld(s, HallWorld.Setup.of(s), Plant.NONE).play();
--- a/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-            void aRollThroughTheHallHasNeverMoreThanItsBudgetOut() {
+    void aRollThroughTheHallHasNeverMoreThanItsBudgetOut() {
         Schedule calm = new Schedule(1, MEMBERS, 3, List.of(1.0, 1.0, 1.0, 1.0, 1.0), List.of(), 120);
         Played one = play(calm, 1, Plant.NONE);
         assertThat(one.outcome().good()).as(one.outcome().toString()).isTrue();
@@ -55,7 +55,7 @@
      * is written down, was out for the ledger and served on for ever.
      */
     @Test
-            void oneWhoseWordWasWrittenDownByALeaderThatDiedThenGoesUnderTheNextOne() {
+    void oneWhoseWordWasWrittenDownByALeaderThatDiedThenGoesUnderTheNextOne() {
         for (int steps = 0; steps < 40; steps++) {
             HallWorld world = new HallWorld(new Schedule(1, 5, 3, List.of(1.0, 1.0, 1.0, 1.0, 1.0), List.of(), 0),
                     new HallWorld.Setup(5, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
@@ -72,7 +72,7 @@
     }
 
     @Test
-            void aThirdOfTheHallToldToLeaveBySomebodyElseHoldsTheOthersBack() {
+    void aThirdOfTheHallToldToLeaveBySomebodyElseHoldsTheOthersBack() {
         Schedule s = new Schedule(1, MEMBERS, 3, List.of(1.0, 1.0, 1.0, 1.0, 1.0), List.of(
                 new Fault(8, Fault.Kind.LEAVE, 3, -1, 30, 0), new Fault(8.1, Fault.Kind.LEAVE, 4, -1, 30, 0)), 60);
         Played p = play(s, 2, Plant.NONE);
@@ -86,7 +86,7 @@
     }
 
     @Test
-            void drawnSchedulesNeverHaveMoreOutByAgreementThanTheBudget() {
+    void drawnSchedulesNeverHaveMoreOutByAgreementThanTheBudget() {
         assertThat(breaking(1, 300, Plant.NONE)).as("seeds").isEmpty();
         long went = LongStream.range(1, 60).parallel().map(seed -> play(draw(seed), 1, Plant.NONE).world().outs()
                 .went())
@@ -95,7 +95,7 @@
     }
 
     @Test
-            void plantedMistakesAreFound() {
+    void plantedMistakesAreFound() {
         for (Plant p : List.of(Plant.GOES_WITHOUT_A_WORD, Plant.ANY_PERMISSION_COUNTS,
                 Plant.COUNTS_THE_COLD_AS_THERE)) {
             assertThat(breaking(1, 400, p)).as(p + " within 400 seeds").isNotEmpty();
--- a/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-            void aHallGoesFromOneVersionToTheOtherOneByOne() {
+    void aHallGoesFromOneVersionToTheOtherOneByOne() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of());
         assertThat(released(world, 120).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("B");
@@ -55,7 +55,7 @@
 
     /** n4 is heard by nobody until the release is under way. */
     @Test
-            void aMemberThatTheLeaderHasNotHeardOfAtTheStartIsReleasedToo() {
+    void aMemberThatTheLeaderHasNotHeardOfAtTheStartIsReleasedToo() {
         HallWorld world = world(List.of(new Fault(0, Fault.Kind.ISOLATE, 4, -1, 20, 0)), Map.of(), Supervisor.GOOD,
                 Set.of());
         assertThat(released(world, 200).phase()).isEqualTo(Release.Phase.DONE);
@@ -63,7 +63,7 @@
     }
 
     @Test
-            void aReleaseStartsOnlyOnceTheLeaderHasHadTimeToHearOfEveryMember() {
+    void aReleaseStartsOnlyOnceTheLeaderHasHadTimeToHearOfEveryMember() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of());
         Plan plan = plan();
         while (world.leading() == null) {
@@ -76,7 +76,7 @@
     }
 
     @Test
-            void theConductorKilledInTheMiddleIsFollowedByAnother() {
+    void theConductorKilledInTheMiddleIsFollowedByAnother() {
         HallWorld world = world(List.of(new Fault(12, Fault.Kind.KILL_ALL, -1, -1, 2, 0),
                 new Fault(40, Fault.Kind.STALL, Fault.LEADER, -1, 6, 0)), Map.of(), Supervisor.GOOD, Set.of());
         assertThat(released(world, 200).phase()).isEqualTo(Release.Phase.DONE);
@@ -84,14 +84,14 @@
     }
 
     @Test
-            void aVersionThatSpoilsIsHaltedAfterOneInstance() {
+    void aVersionThatSpoilsIsHaltedAfterOneInstance() {
         HallWorld world = world(List.of(), Map.of("B", new Quality(0, 0.1, 0, "")), Supervisor.GOOD, Set.of());
         assertThat(released(world, 200).phase()).isEqualTo(Release.Phase.HALTED);
         assertThat(Collections.frequency(world.versions(), "B")).isEqualTo(1);
     }
 
     @Test
-            void oneThatComesBackAsAIsAskedForAgainAndThenHaltsIt() {
+    void oneThatComesBackAsAIsAskedForAgainAndThenHaltsIt() {
         HallWorld world = world(List.of(), Map.of(), new Supervisor(1, 0, 0, 0), Set.of());
         Release r = released(world, 200);
         assertThat(r.phase()).isEqualTo(Release.Phase.HALTED);
@@ -100,7 +100,7 @@
     }
 
     @Test
-            void oneThatEndsSoonAfterEachStartOrNeverComesBackHaltsItWithItsPlaceTaken() {
+    void oneThatEndsSoonAfterEachStartOrNeverComesBackHaltsItWithItsPlaceTaken() {
         HallWorld never = world(List.of(), Map.of(), new Supervisor(0, 0, 1, 0), Set.of());
         Release r = released(never, 200);
         assertThat(r.phase()).isEqualTo(Release.Phase.HALTED);
@@ -109,7 +109,7 @@
     }
 
     @Test
-            void aZoneThatIsLostInTheMiddleOfAWaveHaltsItAndHoldsTheOthersBack() {
+    void aZoneThatIsLostInTheMiddleOfAWaveHaltsItAndHoldsTheOthersBack() {
         // zone-1 is n1 and n3.
         HallWorld world = world(List.of(new Fault(14, Fault.Kind.KILL, 1, -1, 30, 0),
                 new Fault(14, Fault.Kind.KILL, 3, -1, 30, 0)), Map.of(), Supervisor.GOOD, Set.of());
@@ -125,7 +125,7 @@
     }
 
     @Test
-            void aHaltAndAWayBackAtTheSameMomentEndOnA() {
+    void aHaltAndAWayBackAtTheSameMomentEndOnA() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of());
         world.time().in(20, () -> {
             world.order(
@@ -137,7 +137,7 @@
     }
 
     @Test
-            void theWayBackGoesOnThoughAFailsThereToo() {
+    void theWayBackGoesOnThoughAFailsThereToo() {
         // Both spoil a tenth: nothing is judged on the way back, as there is nowhere else to go.
         HallWorld world = world(List.of(), Map.of("A", new Quality(0, 0.1, 0, ""), "B", new Quality(0, 0.1, 0, "")),
                 Supervisor.GOOD, Set.of());
@@ -148,7 +148,7 @@
     }
 
     @Test
-            void wordsThatAreLostAreSaidAgainAndNoneCountsTwice() {
+    void wordsThatAreLostAreSaidAgainAndNoneCountsTwice() {
         HallWorld world = world(List.of(new Fault(8, Fault.Kind.LOSS, -1, -1, 100, 0.35),
                 new Fault(8, Fault.Kind.TWICE, 1, -1, 100, 0)), Map.of(), Supervisor.GOOD, Set.of());
         world.time().runUntil(6);
@@ -158,33 +158,33 @@
 
     /** Each step of a release, with something broken right then; {@code experiment releases --cuts} plays them all. */
     @Test
-            void aCutAtEachStepBreaksNoRuleAndLeavesNoneHanging() {
+    void aCutAtEachStepBreaksNoRuleAndLeavesNoneHanging() {
         assertThat(ReleasesExperiment.cuts(3, 1).table()).contains("| 0 |\n");
     }
 
     /** One step of versions apart: a minority that can't read what is agreed follows once it runs B. */
     @Test
-            void aVoterOfAnOlderProgramIsReleasedToo() {
+    void aVoterOfAnOlderProgramIsReleasedToo() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of(2));
         assertThat(released(world, 200).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("B");
     }
 
     @Test
-            void nothingBeginsWhereMostVotersCanNotReadIt() {
+    void nothingBeginsWhereMostVotersCanNotReadIt() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of(1, 2));
         assertThat(released(world, 60)).isNull();
         assertThat(world.outcome().stuck()).as("duties go on").isEmpty();
     }
 
     @Test
-            void drawnSchedulesBreakNoRule() {
+    void drawnSchedulesBreakNoRule() {
         assertThat(ReleasesExperiment.emulated(1, 60, 5).bad()).isEmpty();
         assertThat(ReleasesExperiment.emulated(1, 15, 9).bad()).isEmpty();
     }
 
     @Test
-            void plantedMistakesAreFound() {
+    void plantedMistakesAreFound() {
         String table = ReleasesExperiment.plants(1, 40, 5);
         for (String plant : List.of("counts the cold as there", "any permission counts", "takes any return for moved",
                 "judges b by itself")) {
--- a/src/test/java/topazladder/emulator/hall/ScenariosTest.java
+++ b/src/test/java/topazladder/emulator/hall/ScenariosTest.java
@@ -16,7 +16,7 @@
     private static final Path FOLDER = Path.of("docs", "scenarios");
 
     @Test
-            void noneOfThemBreaksAnything() throws IOException {
+    void noneOfThemBreaksAnything() throws IOException {
         List<Path> all;
         try (Stream<Path> files = Files.list(FOLDER)) {
             all = files.filter(f -> f.toString().endsWith(".txtpb")).sorted().toList();
--- a/src/test/java/topazladder/experiment/ChartsTest.java
+++ b/src/test/java/topazladder/experiment/ChartsTest.java
@@ -15,7 +15,7 @@
     private Path folder;
 
     @Test
-            void aTableIsDrawnWithARowAGroupAndAColumnABar() throws IOException {
+    void aTableIsDrawnWithARowAGroupAndAColumnABar() throws IOException {
         Path file = folder.resolve("a.svg");
         String table = "ten members\n\n| way | lost | most |\n| --- | --- | --- |\n| agreed | 0.7% | 2 |\n"
                 + "| at will | 7.1% | 23 |\n";
@@ -27,7 +27,7 @@
     }
 
     @Test
-            void whatIsNoTableIsRefused() {
+    void whatIsNoTableIsRefused() {
         assertThatThrownBy(() -> Charts.bars("nothing", "t", List.of("a"), folder.resolve("b"))).isInstanceOf(
                 IOException.class);
     }
--- a/src/test/java/topazladder/experiment/SlopeTest.java
+++ b/src/test/java/topazladder/experiment/SlopeTest.java
@@ -14,8 +14,8 @@
 class SlopeTest {
 
     @Property(tries = 200)
-            void aLineIsFoundAsItIs(@ForAll @DoubleRange(min = -50, max = 50) double slope,
-                    @ForAll @DoubleRange(min = -1000, max = 1000) double intercept) {
+    void aLineIsFoundAsItIs(@ForAll @DoubleRange(min = -50, max = 50) double slope,
+            @ForAll @DoubleRange(min = -1000, max = 1000) double intercept) {
         List<Slope.Point> points = new ArrayList<>();
         for (int x : new int[] {50, 100, 200, 400, 800}) {
             points.add(new Slope.Point(x, intercept + slope * x));
@@ -27,7 +27,7 @@
     }
 
     @Test
-            void aCurveIsMissedWhereItWasHeldBack() {
+    void aCurveIsMissedWhereItWasHeldBack() {
         List<Slope.Point> points = List.of(new Slope.Point(1, 1), new Slope.Point(2, 4), new Slope.Point(3, 9),
                 new Slope.Point(10, 100));
         Slope s = Slope.of(points, 10);
@@ -37,7 +37,7 @@
     }
 
     @Test
-            void ofTwoPointsNothingIsSaidOfTheInterval() {
+    void ofTwoPointsNothingIsSaidOfTheInterval() {
         Slope s = Slope.of(List.of(new Slope.Point(1, 1), new Slope.Point(2, 3)), -1);
         assertThat(s.slope()).isCloseTo(2, within(1e-12));
         assertThat(s.interval()).isNaN();
--- a/src/test/java/topazladder/faults/MutationsTest.java
+++ b/src/test/java/topazladder/faults/MutationsTest.java
@@ -14,7 +14,7 @@
 class MutationsTest {
 
     @Property(tries = 100)
-            void whatIsChangedIsAScheduleThatCanBeWrittenAndRead(@ForAll long seed) {
+    void whatIsChangedIsAScheduleThatCanBeWrittenAndRead(@ForAll long seed) {
         SplittableRandom chance = new SplittableRandom(seed);
         Schedule s = Schedule.draw(seed, 7, 10);
         for (int i = 0; i < 50; i++) {
@@ -26,7 +26,7 @@
     }
 
     @Test
-            void whatIsLookedForStaysAndAllElseGoes() {
+    void whatIsLookedForStaysAndAllElseGoes() {
         Schedule s = new Schedule(1, 5, 3, List.of(1.0, 1.0, 1.0, 1.0, 1.0), List.of(
                 new Fault(6, Kind.KILL, 1, -1, 4, 0), new Fault(7, Kind.STALL, 2, -1, 8, 0),
                 new Fault(8, Kind.MUTE, 3, -1, 4, 0)), 10);
--- a/src/test/java/topazladder/faults/RequestLedgerTest.java
+++ b/src/test/java/topazladder/faults/RequestLedgerTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-            void fewLateOnesAreBorneAndMoreThanTwoInAHundredAreNot() {
+    void fewLateOnesAreBorneAndMoreThanTwoInAHundredAreNot() {
         sent(300);
         for (int i = 0; i < 6; i++) {
             ledger.answered(0, 20, 11);
@@ -28,7 +28,7 @@
     }
 
     @Test
-            void whatAProcessCouldNotDoWhileItStoodStillIsExcused() {
+    void whatAProcessCouldNotDoWhileItStoodStillIsExcused() {
         sent(100);
         ledger.stands(0, 20, true);
         for (int i = 0; i < 10; i++) {
@@ -47,7 +47,7 @@
     }
 
     @Test
-            void whatADrainLeavesBehindCountsAndWhatAKillDoesNot() {
+    void whatADrainLeavesBehindCountsAndWhatAKillDoesNot() {
         sent(100);
         ledger.closed(0, 20);
         ledger.ended(0, false);
@@ -58,7 +58,7 @@
     }
 
     @Test
-            void aFingerprintRunsOnceInItsWindowAtOneInstanceAndMayAtAnother() {
+    void aFingerprintRunsOnceInItsWindowAtOneInstanceAndMayAtAnother() {
         ledger.ran(0, 10, "f", "a1");
         ledger.ran(0, 11, "f", "a1"); // the same run, said again on another link
         ledger.ran(1, 12, "f", "b1");
@@ -72,7 +72,7 @@
     }
 
     @Test
-            void aSecondAnswerIsABreakAtOnce() {
+    void aSecondAnswerIsABreakAtOnce() {
         ledger.strange(1, 12, "7 of 9");
         assertThat(ledger.breaks()).singleElement().asString().contains("n1 answers");
     }
--- a/src/test/java/topazladder/hall/MemberNodeTest.java
+++ b/src/test/java/topazladder/hall/MemberNodeTest.java
@@ -25,15 +25,18 @@
             new LeaseHolder(new MemberIdentity("c1", 7)), (in, what) -> timers.add(what), () -> now,
             new SplittableRandom(1),
             new MemberNode.World() {
-                @Override public void say(String to, String address, Saying what) {
+                @Override
+                public void say(String to, String address, Saying what) {
                     said.add(new Said(to, address, what));
                 }
 
-                @Override public void start(String duty, long token) {
+                @Override
+                public void start(String duty, long token) {
                     throw new AssertionError("it holds none");
                 }
 
-                @Override public void stop(String duty, long token, double within) {
+                @Override
+                public void stop(String duty, long token, double within) {
                     throw new AssertionError("it holds none");
                 }
             });
@@ -53,7 +56,7 @@
 
     /** Of 500 members on sockets one or two asked nobody for minutes: the leader was told to them by its name alone. */
     @Test
-            void aLeaderThatItWasNotToldOfIsAskedWhereTheVoterSaysThatItHears() {
+    void aLeaderThatItWasNotToldOfIsAskedWhereTheVoterSaysThatItHears() {
         member.open();
         knows("n1", "127.0.0.1:1");
         member.well(true);
@@ -67,7 +70,7 @@
 
     /** Seen as "leader null, there 189, 55 asks, 16 open" of one of 500: no voter's address was known to it. */
     @Test
-            void oneThatKnowsNoVotersAddressAsksWhoeverTheSettingsName() {
+    void oneThatKnowsNoVotersAddressAsksWhoeverTheSettingsName() {
         member.open();
         knows("c2", "127.0.0.1:22");
         member.well(true);
@@ -86,7 +89,7 @@
     }
 
     @Test
-            void whereAVotersWordLeadsNowhereAnotherVoterIsAsked() {
+    void whereAVotersWordLeadsNowhereAnotherVoterIsAsked() {
         member.open();
         for (int i = 0; i < 3; i++) {
             knows("n" + i, "127.0.0.1:" + i);
@@ -104,7 +107,7 @@
     }
 
     @Test
-            void aVoterSaysWhereTheLeaderHearsThatItNames() {
+    void aVoterSaysWhereTheLeaderHearsThatItNames() {
         knows("n2", "127.0.0.1:22");
         assertThat(member.located(new Saying.LeaderIs("n2"))).isEqualTo(new Saying.LeaderIs("n2", "127.0.0.1:22"));
         assertThat(member.located(new Saying.LeaderIs("n0"))).isEqualTo(new Saying.LeaderIs("n0"));
--- a/src/test/java/topazladder/knowledge/KnowledgeTest.java
+++ b/src/test/java/topazladder/knowledge/KnowledgeTest.java
@@ -22,7 +22,7 @@
     private static final Origin HERE = new Origin("n0", 7, 4, 1, 99);
 
     @Provide
-            Arbitrary<Knowledge> knowledge() {
+    Arbitrary<Knowledge> knowledge() {
         Arbitrary<Origin> origins = Combinators.combine(Arbitraries.of("n0", "n1", "n2"), Arbitraries.longs()
                 .between(6, 8),
                 Arbitraries.of(0.0, 2.0, 4.0), Arbitraries.of(0.0, 1.0, 2.0), Arbitraries.longs().between(98, 99))
@@ -35,35 +35,35 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-            void mergeIsCommutative(@ForAll("knowledge") Knowledge a, @ForAll("knowledge") Knowledge b) {
+    void mergeIsCommutative(@ForAll("knowledge") Knowledge a, @ForAll("knowledge") Knowledge b) {
         assertThat(a.merge(b)).isEqualTo(b.merge(a));
     }
 
     @Property(seed = "20261201", tries = 300)
-            void mergeIsAssociative(@ForAll("knowledge") Knowledge a, @ForAll("knowledge") Knowledge b,
-                    @ForAll("knowledge") Knowledge c) {
+    void mergeIsAssociative(@ForAll("knowledge") Knowledge a, @ForAll("knowledge") Knowledge b,
+            @ForAll("knowledge") Knowledge c) {
         assertThat(a.merge(b).merge(c)).isEqualTo(a.merge(b.merge(c)));
     }
 
     @Property(seed = "20261201", tries = 300)
-            void theSameShareReadTwiceOrThroughTwoPeersCountsOnce(@ForAll("knowledge") Knowledge a,
-                    @ForAll("knowledge") Knowledge b) {
+    void theSameShareReadTwiceOrThroughTwoPeersCountsOnce(@ForAll("knowledge") Knowledge a,
+            @ForAll("knowledge") Knowledge b) {
         assertThat(a.merge(a)).isEqualTo(a);
         assertThat(a.merge(b).merge(a.merge(b)).merge(b)).isEqualTo(a.merge(b));
         assertThat(a.merge(b).merge(b).seenFrom(HERE, 100)).isEqualTo(a.merge(b).seenFrom(HERE, 100));
     }
 
     @Property(seed = "20261201", tries = 300)
-            void orderOfFactsMakesNoDifference(@ForAll("knowledge") Knowledge a, @ForAll Random chance) {
+    void orderOfFactsMakesNoDifference(@ForAll("knowledge") Knowledge a, @ForAll Random chance) {
         List<Fact> shuffled = new ArrayList<>(a.facts());
         Collections.shuffle(shuffled, chance);
         assertThat(Knowledge.of(shuffled)).isEqualTo(a);
     }
 
     @Property(seed = "20261201", tries = 300)
-            void olderNeverWeighsMoreAndNoWeightPassesItsCap(@ForAll("knowledge") Knowledge a,
-                    @ForAll @DoubleRange(min = 100, max = 5000) double now,
-                    @ForAll @DoubleRange(max = 5000) double later) {
+    void olderNeverWeighsMoreAndNoWeightPassesItsCap(@ForAll("knowledge") Knowledge a,
+            @ForAll @DoubleRange(min = 100, max = 5000) double now,
+            @ForAll @DoubleRange(max = 5000) double later) {
         List<LearnedEstimate> then = a.seenFrom(HERE, now + later);
         for (LearnedEstimate l : then) {
             assertThat(l.weight()).isLessThanOrEqualTo(Nature.of(l.kind()).most());
@@ -75,7 +75,7 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-            void valuesStayWithinThoseThatWereTold(@ForAll("knowledge") Knowledge a) {
+    void valuesStayWithinThoseThatWereTold(@ForAll("knowledge") Knowledge a) {
         for (LearnedEstimate l : a.seenFrom(HERE, 100)) {
             assertThat(a.facts()).anySatisfy(f -> {
                 assertThat(f.kind()).isEqualTo(l.kind());
@@ -85,7 +85,7 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-            void whatIsKeptIsBoundedByWhatSaysMost(@ForAll("knowledge") Knowledge a) {
+    void whatIsKeptIsBoundedByWhatSaysMost(@ForAll("knowledge") Knowledge a) {
         Knowledge bounded = a.bounded(100);
         assertThat(bounded.facts().stream().map(f -> f.origin().name() + f.origin().incarnation()).distinct())
                 .hasSizeLessThanOrEqualTo(Knowledge.MOST_ORIGINS);
@@ -94,7 +94,7 @@
     }
 
     @Test
-            void manyOriginsAreCutToTheBoundAndTheOldestGoFirst() {
+    void manyOriginsAreCutToTheBoundAndTheOldestGoFirst() {
         List<Fact> facts = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             facts.add(fact(Kind.RUN_TIME, "", i + 1, 0.1, 5, 100 - i));
@@ -105,14 +105,14 @@
     }
 
     @Test
-            void oneOriginInTroubleDoesNotPullTheOthersAlong() {
+    void oneOriginInTroubleDoesNotPullTheOthersAlong() {
         Knowledge three = Knowledge.of(List.of(fact(Kind.RUN_TIME, "", 1, 0.1, 40, 100),
                 fact(Kind.RUN_TIME, "", 2, 0.12, 40, 100), fact(Kind.RUN_TIME, "", 3, 9, 40, 100)));
         assertThat(three.seenFrom(HERE, 100)).extracting(LearnedEstimate::value).containsExactly(0.12);
     }
 
     @Test
-            void anHourOldSaysNothingAndARateOfMinutesAgoNeither() {
+    void anHourOldSaysNothingAndARateOfMinutesAgoNeither() {
         Knowledge old = Knowledge.of(List.of(fact(Kind.COMPLETION_RATE, "", 1, 20, 30, 40),
                 fact(Kind.CALLS_IN_FLIGHT, "", 1, 3, 40, 40), fact(Kind.RUN_TIME, "read", 1, 0.1, 10, 40)));
         assertThat(old.seenFrom(HERE, 100)).extracting(LearnedEstimate::kind)
@@ -123,7 +123,7 @@
     }
 
     @Test
-            void runTimesAreScaledByCoreSpeedAndHoldLittleWhereItIsNotKnown() {
+    void runTimesAreScaledByCoreSpeedAndHoldLittleWhereItIsNotKnown() {
         Origin fast = new Origin("f", 1, 8, 2, 99);
         Fact run = new Fact(Kind.RUN_TIME, "read", fast, 0.2, 10, 100, 1);
         Fact rate = new Fact(Kind.COMPLETION_RATE, "", fast, 80, 60, 100, 1);
@@ -136,7 +136,7 @@
     }
 
     @Test
-            void anotherMixOfWorkTellsNothingOfCallsAndRates() {
+    void anotherMixOfWorkTellsNothingOfCallsAndRates() {
         Origin other = new Origin("o", 1, 4, 1, 5);
         List<Fact> facts = new ArrayList<>();
         for (Kind kind : Kind.values()) {
@@ -147,7 +147,7 @@
     }
 
     @Test
-            void ownFactsThatComeBackAreNotLearnedButThoseOfAnEarlierLifeAre() {
+    void ownFactsThatComeBackAreNotLearnedButThoseOfAnEarlierLifeAre() {
         Fact own = new Fact(Kind.RUN_TIME, "", HERE, 0.1, 10, 100, 1);
         Fact before = new Fact(Kind.RUN_TIME, "", new Origin("n0", 6, 4, 1, 99), 0.3, 10, 100, 1);
         assertThat(Knowledge.of(List.of(own)).seenFrom(HERE, 100)).isEmpty();
@@ -156,7 +156,7 @@
     }
 
     @Test
-            void theModuleIsToldEachThingOnceAndNothingThatIsLeftOutOrCanNotBe() {
+    void theModuleIsToldEachThingOnceAndNothingThatIsLeftOutOrCanNotBe() {
         Learning learning = new Learning(HERE, () -> 100, List.of(Kind.CALLS_IN_FLIGHT));
         assertThat(learning.hear(List.of(fact(Kind.RUN_TIME, "", 1, Double.NaN, 10, 100),
                 fact(Kind.RUN_TIME, "", 1, -1, 10, 100), fact(Kind.CALLS_IN_FLIGHT, "", 1, 3, 10, 100),
@@ -168,7 +168,7 @@
     }
 
     @Test
-            void whatWasHeardIsPassedOnUnderItsOwnOriginAndAge() {
+    void whatWasHeardIsPassedOnUnderItsOwnOriginAndAge() {
         Learning learning = new Learning(HERE, () -> 160, List.of());
         Fact heard = fact(Kind.RUN_TIME, "", 1, 0.2, 10, 100);
         learning.hear(List.of(heard));
--- a/src/test/java/topazladder/lease/LeaseHolderTest.java
+++ b/src/test/java/topazladder/lease/LeaseHolderTest.java
@@ -15,7 +15,7 @@
     private LeaseHolder holder;
 
     @BeforeEach
-            void setUp() {
+    void setUp() {
         holder = new LeaseHolder(new MemberIdentity("n1", 7));
     }
 
@@ -35,14 +35,14 @@
     }
 
     @Test
-            void aLeaseCountsFromBeforeItsAskAndNotFromItsAnswer() {
+    void aLeaseCountsFromBeforeItsAskAndNotFromItsAnswer() {
         granted(1);
         assertThat(holder.token(1.99, "probe")).hasValue(1);
         assertThat(holder.token(2.0, "probe")).isEmpty();
     }
 
     @Test
-            void aHolderThatStoodStillPastItsLeaseFindsNoTokenThoughNothingHadToldIt() {
+    void aHolderThatStoodStillPastItsLeaseFindsNoTokenThoughNothingHadToldIt() {
         granted(1);
         assertThat(holder.token(500, "probe")).isEmpty();
         List<Step> steps = holder.tick(500);
@@ -51,7 +51,7 @@
     }
 
     @Test
-            void aLateAnswerCountsFromItsOwnAsk() {
+    void aLateAnswerCountsFromItsOwnAsk() {
         granted(1);
         LeaseRequest second = sent(holder.tick(0.6));
         LeaseRequest third = sent(holder.tick(1.5));
@@ -62,7 +62,7 @@
     }
 
     @Test
-            void anAnswerThatComesTwiceOrWasNeverAskedForGivesNothing() {
+    void anAnswerThatComesTwiceOrWasNeverAskedForGivesNothing() {
         LeaseRequest ask = sent(holder.setSteady(0, true));
         holder.handleResponse(0.5, answer(ask.number(), 1));
         assertThat(holder.handleResponse(1.0, answer(ask.number(), 1))).isEmpty();
@@ -71,7 +71,7 @@
     }
 
     @Test
-            void aGrantWhoseAnswerComesPastItsTimeIsNotBegunAndIsGivenBack() {
+    void aGrantWhoseAnswerComesPastItsTimeIsNotBegunAndIsGivenBack() {
         LeaseRequest ask = sent(holder.setSteady(0, true));
         List<Step> steps = holder.handleResponse(2.5, answer(ask.number(), 1));
         assertThat(steps).noneMatch(s -> s instanceof Step.Start);
@@ -79,7 +79,7 @@
     }
 
     @Test
-            void whatItStoppedIsSaidAgainUntilTheGroupKnows() {
+    void whatItStoppedIsSaidAgainUntilTheGroupKnows() {
         granted(1);
         LeaseRequest over = sent(holder.taskStopped(1.0, "probe", 1, "no file"));
         assertThat(over.stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, "no file"));
@@ -91,7 +91,7 @@
     }
 
     @Test
-            void aTokenThatIsOverIsNeverTakenUpAgain() {
+    void aTokenThatIsOverIsNeverTakenUpAgain() {
         granted(1);
         LeaseRequest over = sent(holder.taskStopped(1.0, "probe", 1, null));
         holder.handleResponse(1.1, new LeaseResponse(over.number(), List.of(), 1));
@@ -104,7 +104,7 @@
     }
 
     @Test
-            void whatIsGrantedAnewIsNotBegunBesideItself() {
+    void whatIsGrantedAnewIsNotBegunBesideItself() {
         granted(1);
         LeaseRequest ask = sent(holder.wakeUp(0.9));
         List<Step> steps = holder.handleResponse(1.0, answer(ask.number(), 2));
@@ -114,14 +114,14 @@
     }
 
     @Test
-            void itStopsByItselfBeforeItsTimeIsOver() {
+    void itStopsByItselfBeforeItsTimeIsOver() {
         granted(1);
         assertThat(holder.tick(1.6)).noneMatch(s -> s instanceof Step.Stop);
         assertThat(holder.tick(1.71)).anyMatch(s -> s instanceof Step.Stop stop && stop.by() < 0.3);
     }
 
     @Test
-            void oneThatLeavesStopsAllAndTakesNothing() {
+    void oneThatLeavesStopsAllAndTakesNothing() {
         granted(1);
         List<Step> steps = holder.shutDown(1.0);
         assertThat(steps).anyMatch(s -> s instanceof Step.Stop);
@@ -133,7 +133,7 @@
     }
 
     @Test
-            void anAskWithoutAnAnswerGoesToAnotherVoter() {
+    void anAskWithoutAnAnswerGoesToAnotherVoter() {
         holder.setSteady(0, true);
         List<Step> steps = holder.tick(1.1);
         assertThat(steps).anyMatch(s -> s instanceof Step.Send send && send.another());
--- a/src/test/java/topazladder/lease/LeaseManagerTest.java
+++ b/src/test/java/topazladder/lease/LeaseManagerTest.java
@@ -20,7 +20,7 @@
     private final List<Step> said = new ArrayList<>();
 
     @BeforeEach
-            void setUp() {
+    void setUp() {
         define(1);
         leader = new LeaseManager(ledger);
         leader.becomeLeader(0);
@@ -70,7 +70,7 @@
     }
 
     @Test
-            void itGrantsToWhoeverIsSteadyOnceAllHadTheirTimeToBeHeard() {
+    void itGrantsToWhoeverIsSteadyOnceAllHadTheirTimeToBeHeard() {
         answerTo(0.1, ask(member(0), 1, false));
         answerTo(0.1, ask(member(1), 1, true));
         tick(0.5);
@@ -83,7 +83,7 @@
     }
 
     @Test
-            void aNewLeaderWaitsOutWhatItCantKnow() {
+    void aNewLeaderWaitsOutWhatItCantKnow() {
         ledger.apply(new LeaseCommand.Grant("duty-0", member(9), 0));
         leader.becomeLeader(100);
         answerTo(100.1, ask(member(1), 1, true));
@@ -95,7 +95,7 @@
     }
 
     @Test
-            void nothingIsAnsweredBeforeAMajorityHasConfirmedAndOnlyWhatCameBefore() {
+    void nothingIsAnsweredBeforeAMajorityHasConfirmedAndOnlyWhatCameBefore() {
         List<Step> first = leader.handleRequest(0.1, ask(member(0), 1, true));
         assertThat(first).containsExactly(new Step.Confirm(1));
         assertThat(leader.handleRequest(0.2, ask(member(1), 1, true))).isEmpty();
@@ -108,7 +108,7 @@
     }
 
     @Test
-            void fiveHundredThatAskAtOnceAreAnsweredByTwoConfirmations() {
+    void fiveHundredThatAskAtOnceAreAnsweredByTwoConfirmations() {
         List<Step> all = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
             all.addAll(leader.handleRequest(0.1, ask(member(i), 1, true)));
@@ -120,7 +120,7 @@
     }
 
     @Test
-            void withoutAMajorityNobodyIsAnsweredAndTheAskersAskAgain() {
+    void withoutAMajorityNobodyIsAnsweredAndTheAskersAskAgain() {
         leader.handleRequest(0.1, ask(member(0), 1, true));
         assertThat(leader.leadershipUnconfirmed(1)).isEmpty();
         assertThat(leader.leadershipConfirmed(0.2, 1)).isEmpty();
@@ -128,7 +128,7 @@
     }
 
     @Test
-            void whatIsBeingGivenAwayIsNotRenewed() {
+    void whatIsBeingGivenAwayIsNotRenewed() {
         answerTo(0.1, ask(member(0), 1, true));
         tick(1.1);
         List<Step> over = leader.tick(1.1 + 2 * 1.05 / 0.95 + 0.1);
@@ -146,7 +146,7 @@
     }
 
     @Test
-            void anOperatorsWishIsHandedOverInOrder() {
+    void anOperatorsWishIsHandedOverInOrder() {
         answerTo(0.1, ask(member(0), 1, true));
         tick(1.1);
         answerTo(1.2, ask(member(1), 1, true));
@@ -161,7 +161,7 @@
     }
 
     @Test
-            void aHolderThatIsUnsteadyForAMomentKeepsWhatItHolds() {
+    void aHolderThatIsUnsteadyForAMomentKeepsWhatItHolds() {
         answerTo(0.1, ask(member(0), 1, true));
         tick(1.1);
         answerTo(1.2, ask(member(1), 1, true));
@@ -173,7 +173,7 @@
     }
 
     @Test
-            void aMemberThatComesBackUnderAnotherLifeCountsWhatItLostAsBroughtDown() {
+    void aMemberThatComesBackUnderAnotherLifeCountsWhatItLostAsBroughtDown() {
         for (long life = 1; life <= 3; life++) {
             double at = life * 10;
             MemberIdentity m = new MemberIdentity("n0", life);
@@ -188,13 +188,13 @@
     }
 
     @Test
-            void anAskOfALifeThatIsOverIsNotAnswered() {
+    void anAskOfALifeThatIsOverIsNotAnswered() {
         answerTo(0.1, ask(new MemberIdentity("n0", 5), 1, true));
         assertThat(leader.handleRequest(0.2, ask(new MemberIdentity("n0", 4), 9, true))).isEmpty();
     }
 
     @Test
-            void whatAnOperatorPutSomewhereIsNotTakenFromItToEvenTheLoad() {
+    void whatAnOperatorPutSomewhereIsNotTakenFromItToEvenTheLoad() {
         define(3);
         for (int d = 0; d < 3; d++) {
             ledger.apply(new LeaseCommand.HandOver("duty-" + d, "n3"));
@@ -227,7 +227,7 @@
     }
 
     @Test
-            void threeHundredDutiesAreSpreadWithinTheBoundAndEvenedAsMembersJoin() {
+    void threeHundredDutiesAreSpreadWithinTheBoundAndEvenedAsMembersJoin() {
         define(300);
         rounds(0, 20, 4);
         rounds(20, 120, 12);
@@ -240,7 +240,7 @@
     }
 
     @Test
-            void whoLostItLastIsAskedAgainOnlyWhereNobodyElseIsThere() {
+    void whoLostItLastIsAskedAgainOnlyWhereNobodyElseIsThere() {
         answerTo(0.1, ask(member(0), 1, true));
         tick(1.1);
         answerTo(1.2, ask(member(1), 1, true));
--- a/src/test/java/topazladder/lease/LeaseStateMachineTest.java
+++ b/src/test/java/topazladder/lease/LeaseStateMachineTest.java
@@ -21,7 +21,7 @@
     private static final LeaseSettings SWEEP = new LeaseSettings("sweep", 2, 3);
 
     @Provide
-            Arbitrary<List<LeaseCommand>> ops() {
+    Arbitrary<List<LeaseCommand>> ops() {
         Arbitrary<String> duties = Arbitraries.of("probe", "sweep", "other");
         Arbitrary<Long> tokens = Arbitraries.longs().between(0, 6);
         Arbitrary<MemberIdentity> members =
@@ -42,7 +42,7 @@
     }
 
     @Property(seed = "20261201", tries = 500)
-            void aTokenIsGrantedOnceAndOnlyGrowsAndNothingIsGrantedWhileHeld(@ForAll("ops") List<LeaseCommand> ops) {
+    void aTokenIsGrantedOnceAndOnlyGrowsAndNothingIsGrantedWhileHeld(@ForAll("ops") List<LeaseCommand> ops) {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
         Map<String, Long> highest = new HashMap<>();
@@ -64,8 +64,8 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-            void oneThatBeginsWithACopyGoesOnAsTheOther(@ForAll("ops") List<LeaseCommand> ops,
-                    @ForAll("ops") List<LeaseCommand> more) {
+    void oneThatBeginsWithACopyGoesOnAsTheOther(@ForAll("ops") List<LeaseCommand> ops,
+            @ForAll("ops") List<LeaseCommand> more) {
         LeaseStateMachine one = new LeaseStateMachine();
         one.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
         ops.forEach(one::apply);
@@ -78,7 +78,7 @@
     }
 
     @Test
-            void aDutyThatIsTakenOutAndComesBackGoesOnAboveItsOldToken() {
+    void aDutyThatIsTakenOutAndComesBackGoesOnAboveItsOldToken() {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
         ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
@@ -93,7 +93,7 @@
     }
 
     @Test
-            void aDutyThatBringsDownHolderAfterHolderIsHaltedAndSaysSo() {
+    void aDutyThatBringsDownHolderAfterHolderIsHaltedAndSaysSo() {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
         for (long i = 0; i < 3; i++) {
@@ -111,7 +111,7 @@
     }
 
     @Test
-            void oneThatSettlesBetweenTwoLossesKeepsItGoing() {
+    void oneThatSettlesBetweenTwoLossesKeepsItGoing() {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
         for (long i = 0; i < 6; i++) {
@@ -126,7 +126,7 @@
     }
 
     @Test
-            void tokensGoOnAboveAllOfBeforeWhereAGroupIsFormedAnew() {
+    void tokensGoOnAboveAllOfBeforeWhereAGroupIsFormedAnew() {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
         ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
--- a/src/test/java/topazladder/lease/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseTest.java
@@ -26,7 +26,8 @@
         double holderRate = chance.nextBoolean() ? 0.95 : 1 + chance.nextDouble(-0.05, 0.05);
         LeaseStateMachine ledger = new LeaseStateMachine();
         LeaseManager leader = new LeaseManager(ledger) {
-            @Override protected double surelyOver(LeaseSettings terms) {
+            @Override
+            protected double surelyOver(LeaseSettings terms) {
                 return clocksIgnored ? terms.lease() : super.surelyOver(terms);
             }
         };
@@ -95,14 +96,14 @@
     }
 
     @Test
-            void aLeaseIsOverAtTheHolderBeforeItIsAtTheLeaderHoweverTheirClocksRun() {
+    void aLeaseIsOverAtTheHolderBeforeItIsAtTheLeaderHoweverTheirClocksRun() {
         for (long seed = 1; seed <= 400; seed++) {
             assertThat(played(seed, false)).as("seed " + seed).isLessThanOrEqualTo(0);
         }
     }
 
     @Test
-            void withClocksTakenAsEqualItIsNot() {
+    void withClocksTakenAsEqualItIsNot() {
         int found = 0;
         for (long seed = 1; seed <= 400; seed++) {
             found += played(seed, true) > 0 ? 1 : 0;
--- a/src/test/java/topazladder/membership/MembershipTest.java
+++ b/src/test/java/topazladder/membership/MembershipTest.java
@@ -119,13 +119,13 @@
     }
 
     @Test
-            void allFindEachOtherThroughOneMember() {
+    void allFindEachOtherThroughOneMember() {
         Hall hall = new Hall(1).of(40);
         hall.members.values().forEach(m -> assertThat(m.size()).isEqualTo(40));
     }
 
     @Test
-            void oneThatEndsIsGoneForAllAndBackUnderAnotherLife() {
+    void oneThatEndsIsGoneForAllAndBackUnderAnotherLife() {
         Hall hall = new Hall(2).of(12);
         hall.dead.add("n5");
         hall.time.runUntil(60);
@@ -138,7 +138,7 @@
     }
 
     @Test
-            void oneThatLeavesIsNotSuspectedFirst() {
+    void oneThatLeavesIsNotSuspectedFirst() {
         Hall hall = new Hall(3).of(12);
         Membership leaver = hall.members.get("n7");
         hall.carryOut("n7", leaver, leaver.leave(hall.time.getAsDouble()));
@@ -149,7 +149,7 @@
     }
 
     @Test
-            void aThirdOfAllMessagesLostTakesNobodyForGone() {
+    void aThirdOfAllMessagesLostTakesNobodyForGone() {
         Hall hall = new Hall(4).of(20);
         hall.loss = 0.33;
         hall.time.runUntil(240);
@@ -157,7 +157,7 @@
     }
 
     @Test
-            void twoHalvesTakeEachOtherForGoneAndFindEachOtherAgain() {
+    void twoHalvesTakeEachOtherForGoneAndFindEachOtherAgain() {
         Hall hall = new Hall(5).of(12);
         for (int i = 0; i < 6; i++) {
             hall.sides.put("n" + i, 1);
@@ -171,7 +171,7 @@
     }
 
     @Test
-            void oneThatStandsStillNowAndThenSuspectsItselfAndTakesNobodyForGone() {
+    void oneThatStandsStillNowAndThenSuspectsItselfAndTakesNobodyForGone() {
         Hall hall = new Hall(6).of(12);
         for (int i = 0; i < 40; i++) {
             hall.still.add("n3");
@@ -187,7 +187,7 @@
     }
 
     @Test
-            void whatAMemberSaysInASecondDoesNotGrowWithTheHall() {
+    void whatAMemberSaysInASecondDoesNotGrowWithTheHall() {
         double small = perMemberAndSecond(10);
         double large = perMemberAndSecond(300);
         assertThat(large).as("beside " + small + " in a hall of 10").isLessThan(1.3 * small);
@@ -203,7 +203,7 @@
     }
 
     @Provide
-            Arbitrary<Standing> standings() {
+    Arbitrary<Standing> standings() {
         return Combinators.combine(Arbitraries.longs().between(1, 2), Arbitraries.longs().between(0, 2),
                 Arbitraries.of(State.class)).as(
                         (life, inc, state) -> new Standing("n1", "n1", "", life, inc, state,
@@ -211,14 +211,14 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-            void ofTwoStandingsOneOverrulesWhicheverComesFirst(@ForAll("standings") Standing a,
-                    @ForAll("standings") Standing b) {
+    void ofTwoStandingsOneOverrulesWhicheverComesFirst(@ForAll("standings") Standing a,
+            @ForAll("standings") Standing b) {
         assertThat(a.overrules(b) && b.overrules(a)).isFalse();
         assertThat(a.overrules(b) || b.overrules(a) || a.equals(b)).isTrue();
     }
 
     @Test
-            void whatIsSaidOfOneThatIsThereItRefutes() {
+    void whatIsSaidOfOneThatIsThereItRefutes() {
         Membership m = new Membership(Membership.Terms.USUAL, Hall.standing("n1", 4), new SplittableRandom(1));
         m.join(0, List.of());
         m.heard(1, "n2", new Gossip.Ping(1, List.of(Hall.standing("n2", 1),
--- a/src/test/java/topazladder/net/AcceptGateTest.java
+++ b/src/test/java/topazladder/net/AcceptGateTest.java
@@ -10,7 +10,7 @@
 class AcceptGateTest {
 
     @Test
-            void acceptingStopsAtTheBoundAndGoesOnAsOneCloses() {
+    void acceptingStopsAtTheBoundAndGoesOnAsOneCloses() {
         EmbeddedChannel listening = new EmbeddedChannel(new AcceptGate(2));
         EmbeddedChannel first = new EmbeddedChannel();
         first.freezeTime();
--- a/src/test/java/topazladder/net/CallerServerTest.java
+++ b/src/test/java/topazladder/net/CallerServerTest.java
@@ -49,7 +49,7 @@
     private int port;
 
     @BeforeEach
-            void listen() throws Exception {
+    void listen() throws Exception {
         AcceptGate gate = new AcceptGate(GATE);
         vertx = Vertx.builder().withTransport(gate).with(new VertxOptions().setEventLoopPoolSize(1)).build();
         server = new CallerServer(vertx, GATE, gate::shut, counters);
@@ -66,14 +66,14 @@
     }
 
     @AfterEach
-            void close() throws Exception {
+    void close() throws Exception {
         CountDownLatch over = new CountDownLatch(1);
         vertx.close().onComplete(v -> over.countDown());
         assertThat(over.await(20, TimeUnit.SECONDS)).isTrue();
     }
 
     @Test
-            void requestThatLiesUnreadAsTheInstanceEndsIsNeverTakenInAndResetsNothing() throws Exception {
+    void requestThatLiesUnreadAsTheInstanceEndsIsNeverTakenInAndResetsNothing() throws Exception {
         try (Stub stub = answeredOnce()) {
             unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::end);
             assertThat(stub.hear()).isEqualTo("48 on 0");
@@ -86,7 +86,7 @@
     }
 
     @Test
-            void halfARequestThatLiesUnreadAsTheInstanceEndsResetsNothing() throws Exception {
+    void halfARequestThatLiesUnreadAsTheInstanceEndsResetsNothing() throws Exception {
         try (Stub stub = answeredOnce()) {
             byte[] request = Frames.request(2, "00000000000000bb", "read");
             unreadAs(stub, Arrays.copyOf(request, request.length / 2), CallerServer::end);
@@ -99,7 +99,7 @@
     }
 
     @Test
-            void requestThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
+    void requestThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
         try (Stub stub = answeredOnce()) {
             unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::lastCall);
             assertThat(stub.hear()).isEqualTo("48 on 0");
@@ -110,7 +110,7 @@
     }
 
     @Test
-            void callerThatClosedWhileItIsOwedAnAnswerIsFoundOut() throws Exception {
+    void callerThatClosedWhileItIsOwedAnAnswerIsFoundOut() throws Exception {
         try (Stub stub = new Stub(port)) {
             stub.send(Frames.frame(32, 1, Frames.fields("inner", "1")));
             asked.await();
@@ -119,7 +119,7 @@
     }
 
     @Test
-            void callerThatSendsNoMoreIsStillAnswered() throws Exception {
+    void callerThatSendsNoMoreIsStillAnswered() throws Exception {
         try (Stub stub = new Stub(port)) {
             stub.send(Frames.frame(32, 1, Frames.fields("inner", "1")));
             asked.await();
@@ -134,7 +134,7 @@
     }
 
     @Test
-            void callerThatSpeaksRightAfterAPauseIsNotTakenForSilent() throws Exception {
+    void callerThatSpeaksRightAfterAPauseIsNotTakenForSilent() throws Exception {
         try (Stub stub = new Stub(port)) {
             awaitConnections(1);
             // The machine stands still for longer than one may say nothing; all looks that were missed come at once.
@@ -152,7 +152,7 @@
     }
 
     @Test
-            void callersWhomTheSystemHoldsBehindAFullGateAtTheLastCallAreAnswered() throws Exception {
+    void callersWhomTheSystemHoldsBehindAFullGateAtTheLastCallAreAnswered() throws Exception {
         List<Stub> inside = new ArrayList<>();
         for (int i = 0; i < GATE; i++) {
             inside.add(new Stub(port).send(Frames.frame(32, 1, Frames.fields("inner", "1"))));
@@ -186,17 +186,22 @@
     /** A runtime that never says whether work gets done. */
     private RuntimePort silent() {
         return new RuntimePort() {
-            @Override public void start(String ref, String requestClass, byte[] body) {
+            @Override
+            public void start(String ref, String requestClass, byte[] body) {
                 throw new AssertionError("nothing is started before the runtime is up");
             }
 
-            @Override public void give(String ref, byte[] reply) {}
+            @Override
+            public void give(String ref, byte[] reply) {}
 
-            @Override public void omit(String ref, long notice) {}
+            @Override
+            public void omit(String ref, long notice) {}
 
-            @Override public void askGauges() {}
+            @Override
+            public void askGauges() {}
 
-            @Override public void askWhetherWorkGetsDone(long tag) {
+            @Override
+            public void askWhetherWorkGetsDone(long tag) {
                 asked.countDown();
             }
         };
--- a/src/test/java/topazladder/net/ReturningServerTest.java
+++ b/src/test/java/topazladder/net/ReturningServerTest.java
@@ -45,7 +45,7 @@
     private final long zero = System.nanoTime();
 
     @Test
-            void theSumOfAllSendersStaysWithinWhatAColdServerCanTake() throws Exception {
+    void theSumOfAllSendersStaysWithinWhatAColdServerCanTake() throws Exception {
         System.out.println("seed " + SEED);
         List<Fleet> fleets = new ArrayList<>();
         for (int processes : new int[] {2, 20, 30}) {
@@ -185,27 +185,33 @@
     }
 
     private record Chosen(Use use, List<Address> addresses, DoubleSupplier clock) implements DependencyEndpointChoice {
-        @Override public int pick(int not) {
+        @Override
+        public int pick(int not) {
             return use.pick(clock.getAsDouble(), not);
         }
 
-        @Override public Address at(int server) {
+        @Override
+        public Address at(int server) {
             return addresses.get(server);
         }
 
-        @Override public boolean uses(int server) {
+        @Override
+        public boolean uses(int server) {
             return use.state(SERVERS.get(server)) != Use.State.OUT;
         }
 
-        @Override public void ended(int server, How how) {
+        @Override
+        public void ended(int server, How how) {
             use.ended(clock.getAsDouble(), server, how);
         }
 
-        @Override public void dropped(int server) {
+        @Override
+        public void dropped(int server) {
             use.dropped(server);
         }
 
-        @Override public boolean mayRepeat() {
+        @Override
+        public boolean mayRepeat() {
             return false;
         }
     }
--- a/src/test/java/topazladder/net/codec/HallMessagesTest.java
+++ b/src/test/java/topazladder/net/codec/HallMessagesTest.java
@@ -90,14 +90,14 @@
     }
 
     @Test
-            void whatIsSaidComesThroughAsItWasSaid() throws MalformedMessageException {
+    void whatIsSaidComesThroughAsItWasSaid() throws MalformedMessageException {
         for (Saying s : all()) {
             assertThat(HallMessages.saying(HallMessages.bytes(s))).isEqualTo(s);
         }
     }
 
     @Test
-            void whatANewerVersionSaysIsReadWhereItSaysThatItMayBe() throws MalformedMessageException {
+    void whatANewerVersionSaysIsReadWhereItSaysThatItMayBe() throws MalformedMessageException {
         Saying nudge = new Saying.Nudge();
         assertThat(HallMessages.saying(HallMessages.bytes(nudge, 9, 1))).isEqualTo(nudge);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(nudge, 9, 9)))
@@ -107,7 +107,7 @@
     }
 
     @Test
-            void moreThanAMessageMayBearIsRefused() {
+    void moreThanAMessageMayBearIsRefused() {
         List<Standing> many = new ArrayList<>();
         for (int i = 0; i <= Membership.MOST_NEWS; i++) {
             many.add(STANDING);
@@ -122,7 +122,7 @@
     }
 
     @Test
-            void noiseIsRefusedOrReadAndNeverAFault() {
+    void noiseIsRefusedOrReadAndNeverAFault() {
         SplittableRandom chance = new SplittableRandom(20261201);
         List<Saying> all = all();
         for (int i = 0; i < 20_000; i++) {
--- a/src/test/java/topazladder/net/hall/HallClockTest.java
+++ b/src/test/java/topazladder/net/hall/HallClockTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-            void aMachineThatSleptCountsItsSleep() {
+    void aMachineThatSleptCountsItsSleep() {
         HallClock clock = new HallClock(() -> monotonic, () -> day, 1);
         double at = clock.getAsDouble();
         assertThat(passes(clock, at, 2, 2.1)).isCloseTo(2, org.assertj.core.data.Offset.offset(1e-9));
@@ -25,14 +25,14 @@
     }
 
     @Test
-            void aTimeOfDayThatIsSetBackChangesNothing() {
+    void aTimeOfDayThatIsSetBackChangesNothing() {
         HallClock clock = new HallClock(() -> monotonic, () -> day, 1);
         double at = clock.getAsDouble();
         assertThat(passes(clock, at, 1, -3600)).isCloseTo(1, org.assertj.core.data.Offset.offset(1e-9));
     }
 
     @Test
-            void aRehearsalsClockRunsAtItsRate() {
+    void aRehearsalsClockRunsAtItsRate() {
         HallClock clock = new HallClock(() -> monotonic, () -> day, 0.95);
         double at = clock.getAsDouble();
         assertThat(passes(clock, at, 10, 10)).isCloseTo(9.5, org.assertj.core.data.Offset.offset(1e-9));
--- a/src/test/java/topazladder/net/hall/HallLinksTest.java
+++ b/src/test/java/topazladder/net/hall/HallLinksTest.java
@@ -17,7 +17,7 @@
 
     /** Members asked for a minute on such a link, and were answered by nobody. */
     @Test
-            void aConnectionOnWhichNobodyGreetsIsGivenUpHoweverMuchIsSaidOnIt() throws Exception {
+    void aConnectionOnWhichNobodyGreetsIsGivenUpHoweverMuchIsSaidOnIt() throws Exception {
         Vertx vertx = Vertx.vertx();
         try (ServerSocket mute = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             vertx.runOnContext(v -> {
--- a/src/test/java/topazladder/net/hall/SqliteStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteStoreTest.java
@@ -49,7 +49,7 @@
     }
 
     @Test
-            void whatWasFlushedIsThereAgainAndWhatWasNotIsNot() throws IOException {
+    void whatWasFlushedIsThereAgainAndWhatWasNotIsNot() throws IOException {
         try (SqliteStore store = founded()) {
             store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(2).setVotedFor(N1).build());
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n1", -5)),
@@ -75,7 +75,7 @@
     }
 
     @Test
-            void aSnapshotStandsForWhatCameBeforeItAndOneThatIsNotWholeDoesNot() throws IOException {
+    void aSnapshotStandsForWhatCameBeforeItAndOneThatIsNotWholeDoesNot() throws IOException {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
         ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
@@ -114,7 +114,7 @@
     }
 
     @Test
-            void aSecondOneOnTheSameFolderIsRefused() throws IOException {
+    void aSecondOneOnTheSameFolderIsRefused() throws IOException {
         try (SqliteStore store = founded()) {
             assertThatThrownBy(() -> new SqliteStore(folder)).isInstanceOf(IOException.class)
                     .hasMessageContaining("another process");
@@ -124,7 +124,7 @@
     }
 
     @Test
-            void aFolderOfANewerVersionOrOfNoDatabaseIsRefused() throws IOException {
+    void aFolderOfANewerVersionOrOfNoDatabaseIsRefused() throws IOException {
         Files.writeString(folder.resolve("voter.db"),
                 "this is no database, but it is long enough to look at".repeat(9));
         assertThatThrownBy(() -> new SqliteStore(folder)).isInstanceOf(IOException.class)
@@ -132,7 +132,7 @@
     }
 
     @Test
-            void foundingAnewForgetsWhatWasThere() throws IOException {
+    void foundingAnewForgetsWhatWasThere() throws IOException {
         try (SqliteStore store = founded()) {
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n0", 1))));
             store.flush();
--- a/src/test/java/topazladder/net/peer/PeerTest.java
+++ b/src/test/java/topazladder/net/peer/PeerTest.java
@@ -62,7 +62,7 @@
     private Address at;
 
     @BeforeEach
-            void listen() throws Exception {
+    void listen() throws Exception {
         Learning learning = new Learning(GIVER, PeerNode::seconds, List.of());
         List<Fact> heard = new ArrayList<>();
         for (int origin = 0; origin < 5; origin++) {
@@ -83,7 +83,7 @@
     }
 
     @AfterEach
-            void end() throws Exception {
+    void end() throws Exception {
         vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
     }
 
@@ -99,19 +99,23 @@
         final List<String> ends = new ArrayList<>();
         final CompletableFuture<String> end = new CompletableFuture<>();
 
-        @Override public void heard(int number, Collection<Fact> more) {
+        @Override
+        public void heard(int number, Collection<Fact> more) {
             facts.addAll(more);
         }
 
-        @Override public void whole(int number) {
+        @Override
+        public void whole(int number) {
             over("whole");
         }
 
-        @Override public void later(int number, double comeBackIn) {
+        @Override
+        public void later(int number, double comeBackIn) {
             over("later " + comeBackIn);
         }
 
-        @Override public void failed(int number, String why) {
+        @Override
+        public void failed(int number, String why) {
             over("failed: " + why);
         }
 
@@ -170,7 +174,8 @@
             return new Address("127.0.0.1", listening.getLocalPort());
         }
 
-        @Override public void close() throws IOException {
+        @Override
+        public void close() throws IOException {
             listening.close();
         }
     }
@@ -193,7 +198,7 @@
     }
 
     @Test
-            void aShareBringsOwnFactsAndThoseHeardWithTheirOrigins() throws Exception {
+    void aShareBringsOwnFactsAndThoseHeardWithTheirOrigins() throws Exception {
         Heard heard = ask(at, KEY);
         assertThat(heard.ends).containsExactly("whole");
         assertThat(heard.known()).isEqualTo(truth);
@@ -202,7 +207,7 @@
     }
 
     @Test
-            void cutAnywhereItIsUsedAsFarAsWholeChunksCame() throws Exception {
+    void cutAnywhereItIsUsedAsFarAsWholeChunksCame() throws Exception {
         byte[] share = wholeShare();
         List<Integer> ends = new ArrayList<>();
         for (int i = 0; i < share.length; i += 4 + ByteBuffer.wrap(share, i, 4).getInt()) {
@@ -231,7 +236,7 @@
     }
 
     @Test
-            void aBitChangedOnTheWayCostsTheTryAndBringsNothingWrong() throws Exception {
+    void aBitChangedOnTheWayCostsTheTryAndBringsNothingWrong() throws Exception {
         byte[] share = wholeShare();
         int[] at = {0};
         SplittableRandom chance = new SplittableRandom(20261201);
@@ -249,7 +254,7 @@
     }
 
     @Test
-            void aRecordedShareIsRefusedOnAnotherConnection() throws Exception {
+    void aRecordedShareIsRefusedOnAnotherConnection() throws Exception {
         byte[] recorded = wholeShare();
         try (Way way = new Way(said -> recorded)) {
             Heard heard = ask(way.address(), KEY);
@@ -259,7 +264,7 @@
     }
 
     @Test
-            void aRecordedQuestionIsRefusedOnAnotherConnection() throws Exception {
+    void aRecordedQuestionIsRefusedOnAnotherConnection() throws Exception {
         try (Way way = new Way(said -> said)) {
             ask(way.address(), KEY);
             try (Socket again = new Socket("127.0.0.1", at.port())) {
@@ -274,7 +279,7 @@
     }
 
     @Test
-            void aWrongKeyIsRefusedAndDuringAChangeBothPass() throws Exception {
+    void aWrongKeyIsRefusedAndDuringAChangeBothPass() throws Exception {
         assertThat(ask(at, NEW_KEY).ends).containsExactly("failed: it closed the connection");
         givenKeys = List.of(KEY, NEW_KEY);
         assertThat(ask(at, NEW_KEY, KEY).ends).containsExactly("whole");
@@ -284,7 +289,7 @@
     }
 
     @Test
-            void drainingOrColdItGivesNothingAndSaysSo() throws Exception {
+    void drainingOrColdItGivesNothingAndSaysSo() throws Exception {
         phase = Phase.DRAINING;
         assertThat(ask(at, KEY).ends).containsExactly("later 0.0");
         phase = Phase.SERVING;
@@ -294,7 +299,7 @@
     }
 
     @Test
-            void threeGigabytesNoiseAndTypesThatAreNoneEndTheTryBeforeAnythingIsKept() throws Exception {
+    void threeGigabytesNoiseAndTypesThatAreNoneEndTheTryBeforeAnythingIsKept() throws Exception {
         byte[] noise = new byte[5000];
         new SplittableRandom(1).nextBytes(noise);
         noise[0] = 0x7f;
@@ -308,7 +313,7 @@
     }
 
     @Test
-            void whoSaysNothingOrDripsIsLetGoByTheGiversOwnTimeAndKeepsNobodyElseOut() throws Exception {
+    void whoSaysNothingOrDripsIsLetGoByTheGiversOwnTimeAndKeepsNobodyElseOut() throws Exception {
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < PeerServer.MOST; i++) {
             Socket s = new Socket("127.0.0.1", at.port());
@@ -327,7 +332,7 @@
     }
 
     @Test
-            void aNewerSchemaIsReadAsFarAsItIsKnownAndRefusedWhereItSaysSo() throws Exception {
+    void aNewerSchemaIsReadAsFarAsItIsKnownAndRefusedWhereItSaysSo() throws Exception {
         byte[] known = PeerMessages.ask(new byte[PeerFrames.NONCE], ASKER);
         byte[] newer = Arrays.copyOf(known, known.length + 2);
         newer[known.length] = (byte) (15 << 3); // a field that this schema does not have
@@ -343,7 +348,7 @@
     }
 
     @Test
-            void noiseInPlaceOfMessagesIsMalformedAndNothingElse() {
+    void noiseInPlaceOfMessagesIsMalformedAndNothingElse() {
         SplittableRandom chance = new SplittableRandom(20261201);
         for (int i = 0; i < 20_000; i++) {
             byte[] noise = new byte[chance.nextInt(60)];
@@ -367,7 +372,7 @@
     }
 
     @Test
-            void bytesInAnyPiecesMakeTheSameFrames() throws Exception {
+    void bytesInAnyPiecesMakeTheSameFrames() throws Exception {
         byte[] share = wholeShare();
         SplittableRandom chance = new SplittableRandom(7);
         for (int round = 0; round < 200; round++) {
--- a/src/test/java/topazladder/peering/PeeringTest.java
+++ b/src/test/java/topazladder/peering/PeeringTest.java
@@ -104,7 +104,7 @@
     }
 
     @Test
-            void aListOfDeadOnesAndOneselfIsGivenUpWithinBounds() {
+    void aListOfDeadOnesAndOneselfIsGivenUpWithinBounds() {
         List<Candidate> all = new ArrayList<>(peers(4));
         all.add(new Candidate("me", "127.0.0.1:4999", "east"));
         Hall hall = new Hall((who, peer) -> DEAD);
@@ -116,7 +116,7 @@
     }
 
     @Test
-            void aPeerThatHangsIsHedgedAndTheSecondOnesShareCounts() {
+    void aPeerThatHangsIsHedgedAndTheSecondOnesShareCounts() {
         Candidate first = Ranking.of("me", 1, "east", peers(3)).get(0);
         Hall hall = new Hall((who, peer) -> peer.equals(first) ? HANGS : GOOD);
         Asking asking = hall.start("me", peers(3));
@@ -127,7 +127,7 @@
     }
 
     @Test
-            void aPeerThatWasHeardIsNotHedged() {
+    void aPeerThatWasHeardIsNotHedged() {
         Asking asking = new Asking("me", 1, "", BOUNDS, new SplittableRandom(1));
         asking.start(0, peers(3));
         asking.heard(1);
@@ -136,7 +136,7 @@
     }
 
     @Test
-            void allHangAndTheTriesEndByTheirOwnTime() {
+    void allHangAndTheTriesEndByTheirOwnTime() {
         Hall hall = new Hall((who, peer) -> HANGS);
         Asking asking = hall.start("me", peers(10));
         hall.play();
@@ -146,7 +146,7 @@
     }
 
     @Test
-            void twoColdOnesThatAskEachOtherGiveUpAtOnce() {
+    void twoColdOnesThatAskEachOtherGiveUpAtOnce() {
         Hall hall = new Hall((who, peer) -> COLD);
         Asking a = hall.start("a", List.of(new Candidate("b", "127.0.0.1:1", "")));
         Asking b = hall.start("b", List.of(new Candidate("a", "127.0.0.1:2", "")));
@@ -156,7 +156,7 @@
     }
 
     @Test
-            void aHundredThatAskOneAreServedAtItsRateOrSentElsewhereAndNoneAsksMoreThanBounded() {
+    void aHundredThatAskOneAreServedAtItsRateOrSentElsewhereAndNoneAsksMoreThanBounded() {
         Giving giving = new Giving(5, 0.02);
         Hall[] hall = new Hall[1];
         List<Double> given = new ArrayList<>();
@@ -182,7 +182,7 @@
     }
 
     @Test
-            void aReturningHallSpreadsOverThoseThatRun() {
+    void aReturningHallSpreadsOverThoseThatRun() {
         Map<String, Integer> firsts = new HashMap<>();
         for (int i = 0; i < 1000; i++) {
             firsts.merge(Ranking.of("c" + i, i, "", peers(10)).get(0).name(), 1, Integer::sum);
@@ -191,21 +191,21 @@
     }
 
     @Test
-            void ofTwoHallsTheOwnIsAskedFirstTwiceAsOften() {
+    void ofTwoHallsTheOwnIsAskedFirstTwiceAsOften() {
         long own = IntStream.range(0, 3000)
                 .filter(i -> Ranking.of("c" + i, i, "east", peers(10)).get(0).hall().equals("east")).count();
         assertThat(own).isBetween(1900L, 2100L);
     }
 
     @Test
-            void aPeerThatGoesMovesNoOther() {
+    void aPeerThatGoesMovesNoOther() {
         List<Candidate> ten = Ranking.of("me", 1, "east", peers(10));
         List<Candidate> nine = Ranking.of("me", 1, "east", peers(9));
         assertThat(ten.stream().filter(nine::contains).toList()).isEqualTo(nine);
     }
 
     @Test
-            void aNewListAddsWhoeverIsNewAndAsksNobodyAgainWhoHadNothing() {
+    void aNewListAddsWhoeverIsNewAndAsksNobodyAgainWhoHadNothing() {
         Hall hall = new Hall((who, peer) -> peer.name().equals("p3") ? GOOD : COLD);
         Asking asking = new Asking("me", 1, "", BOUNDS, new SplittableRandom(1));
         hall.at(0, () -> hall.carryOut("me", asking, asking.start(0, List.of(peers(1).get(0),
@@ -217,7 +217,7 @@
     }
 
     @Test
-            void sharesTakeNoMoreOfTheLoopThanTheirPart() {
+    void sharesTakeNoMoreOfTheLoopThanTheirPart() {
         Giving giving = new Giving(1000, 0.02);
         assertThat(giving.ask(0, "a").now()).isTrue();
         giving.took(0.01, 0.01);
--- a/src/test/java/topazladder/release/ConductorTest.java
+++ b/src/test/java/topazladder/release/ConductorTest.java
@@ -42,7 +42,7 @@
     }
 
     @BeforeEach
-            void setUp() {
+    void setUp() {
         duties.apply(new LeaseCommand.Define(List.of(new LeaseSettings("release", 2, 3))));
         outs.apply(new DisruptionCommand.Budgets(
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", 2, 1))));
@@ -111,7 +111,7 @@
     }
 
     @Test
-            void oneGoesFirstAndIsJudgedThenTheRestWithVotersOneByOneAndTheConductorLast() {
+    void oneGoesFirstAndIsJudgedThenTheRestWithVotersOneByOneAndTheConductorLast() {
         steps(2);
         assertThat(gone()).containsExactly("n4");
         comesBack("n4", "B", true);
@@ -135,7 +135,7 @@
 
     /** The leader that started it had not heard of n9, which without a place stayed on A when the release was done. */
     @Test
-            void aMemberThatIsHeardOfLaterIsReleasedToo() {
+    void aMemberThatIsHeardOfLaterIsReleasedToo() {
         steps(2);
         versions.put("n9", "A");
         lives.put("n9", 1L);
@@ -150,7 +150,7 @@
     }
 
     @Test
-            void aMemberIsAddedOnceAndOnlyByWhoeverConducts() {
+    void aMemberIsAddedOnceAndOnlyByWhoeverConducts() {
         ReleaseOp.By by = new ReleaseOp.By("release", 1, 0);
         ReleaseOp.AddPlace add = new ReleaseOp.AddPlace(by, 1, 1, "n9", "east", true);
         assertThat(ledger.apply(new ReleaseOp.AddPlace(new ReleaseOp.By("release", 7, 0), 1, 1, "n9", "", true)).done())
@@ -163,7 +163,7 @@
     }
 
     @Test
-            void nobodyIsAddedWhereMostVotersCanNotReadIt() {
+    void nobodyIsAddedWhereMostVotersCanNotReadIt() {
         versions.put("n9", "A");
         lives.put("n9", 1L);
         looks.put("n9", Look.STEADY);
@@ -174,7 +174,7 @@
     }
 
     @Test
-            void anotherConductorGoesOnWhereTheLastOneStoppedAndDoesNoStepTwice() {
+    void anotherConductorGoesOnWhereTheLastOneStoppedAndDoesNoStepTwice() {
         steps(2);
         Conductor old = conductor;
         View seen = view();
@@ -192,7 +192,7 @@
     }
 
     @Test
-            void oneThatComesBackAsItWasIsAskedForAgainAndThenTheReleaseIsHalted() {
+    void oneThatComesBackAsItWasIsAskedForAgainAndThenTheReleaseIsHalted() {
         for (int i = 0; i < 2; i++) {
             steps(3);
             assertThat(gone()).containsExactly("n4");
@@ -205,7 +205,7 @@
     }
 
     @Test
-            void oneThatDoesNotComeBackHaltsItAndItsPlaceStaysTaken() {
+    void oneThatDoesNotComeBackHaltsItAndItsPlaceStaysTaken() {
         steps(2);
         outs.apply(new DisruptionCommand.Leaves(instance("n4"), outs.get(instance("n4")).token(), 1, ""));
         looks.put("n4", Look.GONE);
@@ -217,7 +217,7 @@
     }
 
     @Test
-            void oneThatEndsAgainAndAgainHaltsIt() {
+    void oneThatEndsAgainAndAgainHaltsIt() {
         steps(2);
         comesBack("n4", "B", false);
         for (int i = 0; i < 4; i++) {
@@ -229,7 +229,7 @@
     }
 
     @Test
-            void tooManyOutForOtherReasonsHaltIt() {
+    void tooManyOutForOtherReasonsHaltIt() {
         step();
         outs.apply(new DisruptionCommand.Leaves(instance("n0"), 0, 1, "a signal"));
         outs.apply(new DisruptionCommand.Lost(instance("n1"), 1));
@@ -238,7 +238,7 @@
     }
 
     @Test
-            void whatIsHaltedTakesBackWhatWasNotUsedAndAWayBackGoesFromTheMiddle() {
+    void whatIsHaltedTakesBackWhatWasNotUsedAndAWayBackGoesFromTheMiddle() {
         steps(2);
         comesBack("n4", "B", true);
         steps(25);
@@ -264,7 +264,7 @@
 
     /** A version that never serves as its peers do holds its place, and would close its own way back. */
     @Test
-            void oneThatIsNeverSteadyAsBGoesBackUnderThePlaceThatItHolds() {
+    void oneThatIsNeverSteadyAsBGoesBackUnderThePlaceThatItHolds() {
         steps(2);
         comesBack("n4", "B", false);
         looks.put("n4", Look.UNSTEADY);
@@ -279,7 +279,7 @@
 
     /** One that was killed in the middle and runs what it should already stays, steady or not. */
     @Test
-            void whatRunsTheTargetIsNotAskedToGoForIt() {
+    void whatRunsTheTargetIsNotAskedToGoForIt() {
         ledger.apply(new ReleaseOp.Back(ReleaseOp.By.operator(0), 1));
         looks.put("n1", Look.UNSTEADY);
         steps(3);
@@ -290,7 +290,7 @@
     }
 
     @Test
-            void aReleaseDuringAReleaseIsRefusedAndSoIsAWayBackThatThePlanDoesNotHave() {
+    void aReleaseDuringAReleaseIsRefusedAndSoIsAWayBackThatThePlanDoesNotHave() {
         assertThat(ledger.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), PLAN, ledger.release().places())).why())
                 .contains("under way");
         ReleaseLedger other = new ReleaseLedger(duties, new DisruptionStateMachine());
--- a/src/test/java/topazladder/release/JudgeTest.java
+++ b/src/test/java/topazladder/release/JudgeTest.java
@@ -42,13 +42,13 @@
     }
 
     @Test
-            void oneThatIsAsGoodIsHardlyEverCalledWorseHoweverOftenOneLooks() {
+    void oneThatIsAsGoodIsHardlyEverCalledWorseHoweverOftenOneLooks() {
         assertThat(called(0, 0, 0, "", 1)).as("of 1000, two hundred looks each").isLessThan(10);
         assertThat(called(0, 0, 0, "", 5)).isLessThan(10);
     }
 
     @Test
-            void oneThatIsWorseIsFound() {
+    void oneThatIsWorseIsFound() {
         assertThat(called(0.1, 0, 0, "", 1)).as("10%% less of what is asked").isGreaterThan(990);
         assertThat(called(0, 0.05, 0, "", 1)).as("5%% broken off").isGreaterThan(990);
         assertThat(called(0, 0, 1, "", 1)).as("leaks").isGreaterThan(990);
@@ -56,12 +56,12 @@
     }
 
     @Test
-            void oneThatIsALittleWorseIsBorne() {
+    void oneThatIsALittleWorseIsBorne() {
         assertThat(called(0.01, 0, 0, "", 3)).isLessThan(10);
     }
 
     @Test
-            void withoutAnyOfAThereIsNothingToCompare() {
+    void withoutAnyOfAThereIsNothingToCompare() {
         Judge judge = new Judge(Judge.Terms.USUAL);
         for (int i = 0; i < 50; i++) {
             judge.look(List.of(new Judge.Look("n0", "", true, 0.1, 0.5, 900)));
--- a/src/test/java/topazladder/rig/HallRigIT.java
+++ b/src/test/java/topazladder/rig/HallRigIT.java
@@ -51,7 +51,7 @@
     }
 
     @Test
-            void aHallOfRealProcessesOutlivesWhatBreaksInItAndObeysItsOperators() throws Exception {
+    void aHallOfRealProcessesOutlivesWhatBreaksInItAndObeysItsOperators() throws Exception {
         try (HallRig rig = new HallRig(RigPlan.of(PROCESSES, 3, List.of(1.05, 0.95, 1.0, 0.95, 1.05), 20261201))) {
             good(rig, schedule());
             good(rig, schedule(new Fault(0, Kind.STALL, Fault.HOLDER, -1, 7, 0),
@@ -68,7 +68,7 @@
 
     /** From A to B with the leader killed and a holder stalled in the middle; who is out is counted from outside. */
     @Test
-            void aReleaseGoesThroughRealProcessesOneByOneWhateverBreaksMeanwhile() throws Exception {
+    void aReleaseGoesThroughRealProcessesOneByOneWhateverBreaksMeanwhile() throws Exception {
         RigPlan plan = RigPlan.of(4, 3, Collections.nCopies(4, 1.0), 13).with(2, "", "")
                 .released(Supervisor.GOOD, 1);
         try (HallRig rig = new HallRig(plan)) {
@@ -88,7 +88,7 @@
      * without it, and it stayed on A.
      */
     @Test
-            void aReleaseTakesInAMemberThatTheLeaderHearsOfAfterItsStart() throws Exception {
+    void aReleaseTakesInAMemberThatTheLeaderHearsOfAfterItsStart() throws Exception {
         RigPlan plan = RigPlan.of(4, 3, Collections.nCopies(4, 1.0), 14).with(2, "", "")
                 .released(Supervisor.GOOD, 1).withApart(List.of(3));
         try (HallRig rig = new HallRig(plan)) {
@@ -103,7 +103,7 @@
 
     /** The operators' way out where nobody will ever lead again. */
     @Test
-            void aGroupWhoseMajorityIsLostForGoodIsFormedAnewAndItsTokensGoOnAbove() throws Exception {
+    void aGroupWhoseMajorityIsLostForGoodIsFormedAnewAndItsTokensGoOnAbove() throws Exception {
         try (HallRig rig = new HallRig(RigPlan.of(4, 3, Collections.nCopies(4, 1.0), 20261202))) {
             good(rig, schedule(4));
             rig.loseFolders(0, 1);
@@ -124,7 +124,7 @@
 
     /** Only the prober tries a dead index; the first that comes once it is back is a probe, and then all come. */
     @Test
-            void oneInstanceProbesADeadIndexForAll() throws Exception {
+    void oneInstanceProbesADeadIndexForAll() throws Exception {
         String probe = "  duties { name: \"index-probe\" lease: 1.5 probe { service: \"index\" every: 0.2 } }\n";
         RigPlan plan = RigPlan.of(4, 3, Collections.nCopies(4, 1.0), 11).with(2, probe, "")
                 .withLoad(0.3, 0.25, true, List.of());
@@ -154,7 +154,7 @@
     }
 
     @Test
-            void fiveHundredMembersThatAskANewLeaderAreAllAnswered() throws Exception {
+    void fiveHundredMembersThatAskANewLeaderAreAllAnswered() throws Exception {
         try (HallRig rig = new HallRig(RigPlan.of(3, 3, Collections.nCopies(3, 1.0), 12))) {
             good(rig, schedule(3));
             assertThat(LeaderChangePlay.play(rig, 500)).as("seconds until they were answered, twice").hasSize(2);
@@ -163,7 +163,7 @@
 
     /** One of three index servers dies and is out for all by agreement; all three die, and none is. */
     @Test
-            void aServerBelowThatDiesIsOutForAllAndWhereAllDieNoneIs() throws Exception {
+    void aServerBelowThatDiesIsOutForAllAndWhereAllDieNoneIs() throws Exception {
         int[] ports = Programs.freePorts(3);
         StringBuilder below = new StringBuilder("  budgets { name: \"below\" below: true most: 1 }\n  below {\n");
         for (int i = 0; i < ports.length; i++) {
@@ -239,7 +239,7 @@
 
     /** A queue that one instance at a time consumes; the broker keeps the ledger. */
     @Test
-            void aQueueHasOneConsumerThatIsHandedOnAndLosesNoMessage() throws Exception {
+    void aQueueHasOneConsumerThatIsHandedOnAndLosesNoMessage() throws Exception {
         int port = Programs.freePorts(1)[0];
         String hall = "  duties { name: \"orders\" lease: 1.5 most_losses: 16 consume { broker: \"main\""
                 + " queue: \"work\" } }\n";
--- a/src/test/java/topazladder/rig/ScaleIT.java
+++ b/src/test/java/topazladder/rig/ScaleIT.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-            void whatAMemberSendsDoesNotGrowWithTheCluster() throws Exception {
+    void whatAMemberSendsDoesNotGrowWithTheCluster() throws Exception {
         ScaleMeasurement small = measure(SMALL);
         ScaleMeasurement large = measure(LARGE);
         for (Role role : new Role[] {Role.MEMBER, Role.HOLLOW_MEMBER}) {
--- a/src/test/java/topazladder/rig/ScaleLimitsTest.java
+++ b/src/test/java/topazladder/rig/ScaleLimitsTest.java
@@ -14,18 +14,18 @@
     }
 
     @Test
-            void theSizeToDesignForFitsAMachineOfThirtyTwoGigabytes() {
+    void theSizeToDesignForFitsAMachineOfThirtyTwoGigabytes() {
         assertThatCode(() -> ScaleLimits.check(of(1489, 8, 250), MACHINE_MB)).doesNotThrowAnyException();
     }
 
     @Test
-            void moreProcessesThanAllowedAreRefused() {
+    void moreProcessesThanAllowedAreRefused() {
         assertThatThrownBy(() -> ScaleLimits.check(of(600, 8, 2), 1_000_000)).hasMessageContaining("311 processes")
                 .hasMessageContaining("at most 300");
     }
 
     @Test
-            void moreThanHalfOfTheMemoryIsRefused() {
+    void moreThanHalfOfTheMemoryIsRefused() {
         assertThatThrownBy(() -> ScaleLimits.check(of(1489, 8, 250), 10_000)).hasMessageContaining("half");
     }
 }
--- a/src/test/java/topazladder/search/ExplorerTest.java
+++ b/src/test/java/topazladder/search/ExplorerTest.java
@@ -24,11 +24,13 @@
             looked = lookedFor;
         }
 
-        @Override public List<String> choices() {
+        @Override
+        public List<String> choices() {
             return List.of("fill 3", "fill 5", "empty 3", "empty 5", "3 into 5", "5 into 3");
         }
 
-        @Override public void take(int choice) {
+        @Override
+        public void take(int choice) {
             int over;
             switch (choice) {
                 case 0 -> three = 3;
@@ -48,17 +50,19 @@
             }
         }
 
-        @Override public String broken() {
+        @Override
+        public String broken() {
             return five == looked ? "there are " + looked : null;
         }
 
-        @Override public List<Object> parts() {
+        @Override
+        public List<Object> parts() {
             return List.of(three, five);
         }
     }
 
     @Test
-            void allStatesAreSeenOnceAndTheShortestWayIsFound() {
+    void allStatesAreSeenOnceAndTheShortestWayIsFound() {
         Explorer.Found all = Explorer.explore(() -> new Jugs(99), 50, 1000);
         assertThat(all.states()).isEqualTo(16);
         assertThat(all.whole()).isTrue();
@@ -75,7 +79,7 @@
     }
 
     @Test
-            void objectsCountByWhatTheyHold() {
+    void objectsCountByWhatTheyHold() {
         Held a = new Held();
         Held b = new Held();
         for (int i = 0; i < 100; i++) {
@@ -92,7 +96,7 @@
     }
 
     @Test
-            void thePromisesHoldWhateverComesInWhateverOrder() {
+    void thePromisesHoldWhateverComesInWhateverOrder() {
         assertThat(SearchExperiment.search(60, 15_000, false).bad()).isEmpty();
     }
 }
--- a/src/test/java/topazladder/service/DependencyCircuitBreakerTest.java
+++ b/src/test/java/topazladder/service/DependencyCircuitBreakerTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-            void aFewRefusalsAreNotDeath() {
+    void aFewRefusalsAreNotDeath() {
         DependencyCircuitBreaker r = new DependencyCircuitBreaker(new SplittableRandom(1));
         for (int i = 0; i < 40; i++) {
             r.onConnectionRefused(i);
@@ -34,7 +34,7 @@
     }
 
     @Test
-            void heldForDeadOnlyTheProberTriesAndTheOthersComeBackSpread() {
+    void heldForDeadOnlyTheProberTriesAndTheOthersComeBackSpread() {
         List<Double> back = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
             DependencyCircuitBreaker r = dead(i, 0);
@@ -53,7 +53,7 @@
     }
 
     @Test
-            void withoutAWordOfTheProberItTriesByItselfNowAndThen() {
+    void withoutAWordOfTheProberItTriesByItselfNowAndThen() {
         DependencyCircuitBreaker r = dead(1, 0);
         int tries = 0;
         for (double t = 0.1; t < 15; t += 0.1) {
@@ -65,7 +65,7 @@
     }
 
     @Test
-            void anOldWordAndOneOfAnEarlierProberSayNothing() {
+    void anOldWordAndOneOfAnEarlierProberSayNothing() {
         DependencyCircuitBreaker r = dead(1, 0);
         r.onProbeResult(1, false, 0, 5);
         r.onProbeResult(1.1, true, 60, 5);
--- a/src/test/java/topazladder/service/IdempotencyStoreTest.java
+++ b/src/test/java/topazladder/service/IdempotencyStoreTest.java
@@ -13,7 +13,7 @@
             new RequestClass("place", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
 
     @Test
-            void resultsTakeTheirShareOfASmallHeapAndNoMore() {
+    void resultsTakeTheirShareOfASmallHeapAndNoMore() {
         IdempotencyStore kept = new IdempotencyStore(10 << 20);
         int results = 0;
         for (int i = 0; i < 1000; i++) {
@@ -25,7 +25,7 @@
     }
 
     @Test
-            void whatIsSweptGivesItsBytesBack() {
+    void whatIsSweptGivesItsBytesBack() {
         IdempotencyStore kept = new IdempotencyStore(10 << 20);
         for (int i = 0; i < 600; i++) {
             run(kept, "F" + i, new byte[4096]);
