--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -9,7 +9,7 @@
 instance=$!
 for _ in 1 2 3 4 5 6 7 8 9 10 11 12 13 14 15 16 17 18 19 20; do
     sleep 0.5
-    grep -q 'awaiting runtime after starting' target/archive.log && grep -q stopped target/archive.log && break
+    grep -q 'from=starting to=awaiting-runtime' target/archive.log && grep -q 'to=stopped' target/archive.log && break
 done
 sleep 0.5
 kill "$instance" 2>/dev/null
--- a/deploy/restarts.sh
+++ b/deploy/restarts.sh
@@ -15,7 +15,7 @@
     GW_CONFIG=deploy/rehearsal.json GW_LISTEN=127.0.0.1:$((47700 + $1)) \
         taskset -c $(($1 % $(nproc))) sh -c "$run" 2> "$log" &
     pid=$!
-    until grep -q "n$1 is awaiting runtime" "$log" 2> /dev/null || ! kill -0 $pid 2> /dev/null; do
+    until grep -q "name=n$1 from=starting to=awaiting-runtime" "$log" 2> /dev/null || ! kill -0 $pid 2> /dev/null; do
         kill -CONT $pid
         read -r -t "$on" -u 3
         kill -STOP $pid
--- a/src/main/java/topazladder/broker/Broker.java
+++ b/src/main/java/topazladder/broker/Broker.java
@@ -13,7 +13,7 @@
 import java.util.function.DoubleSupplier;
 import topazladder.broker.Ledger.What;
 import topazladder.broker.Message.Props;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * A stand-in for a broker of AMQP 0-9-1, written from the specification and without I/O: exchanges, queues, channels,
@@ -191,7 +191,7 @@
     }
 
     private final DoubleSupplier clock;
-    private final Timers timers;
+    private final Scheduler timers;
     private final Ledger ledger;
     private final Map<String, Exchange> exchanges = new HashMap<>();
     private final Map<String, Queue> queues = new LinkedHashMap<>();
@@ -199,7 +199,7 @@
     private long lastPlace;
     private long lastDelivery;
 
-    public Broker(DoubleSupplier clock, Timers timers, Ledger ledger) {
+    public Broker(DoubleSupplier clock, Scheduler timers, Ledger ledger) {
         this.clock = clock;
         this.timers = timers;
         this.ledger = ledger;
@@ -370,7 +370,7 @@
             deadLetter(q, oldest.message, "maxlen");
         }
         if (expires < Double.POSITIVE_INFINITY) {
-            timers.in(expires - now(), () -> expire(q));
+            timers.schedule(expires - now(), () -> expire(q));
         }
         serve(q.name);
     }
--- a/src/main/java/topazladder/cli/Commands.java
+++ b/src/main/java/topazladder/cli/Commands.java
@@ -85,11 +85,11 @@
         public Integer call() {
             ExtensionSettings own = ExtensionSettingsFile.read(file);
             System.out.println("core speed " + (own.coreSpeed() > 0 ? own.coreSpeed() : "unknown")
-                    + (own.hall().isEmpty() ? "" : ", hall " + own.hall()));
+                    + (own.zone().isEmpty() ? "" : ", hall " + own.zone()));
             System.out.println(own.peering() == null ? "peering is off" : "peering with " + own.peering().peers().size()
                     + " peers, " + (own.peering().listen() == null ? "asks only" : "also gives"));
-            System.out.println(own.members() == null ? "no hall" : "a hall with " + own.members().voters().size()
-                    + " voters and " + own.members().duties().size() + " duties");
+            System.out.println(own.cluster() == null ? "no hall" : "a hall with " + own.cluster().voters().size()
+                    + " voters and " + own.cluster().leases().size() + " duties");
             return 0;
         }
     }
--- a/src/main/java/topazladder/cli/GroupCommands.java
+++ b/src/main/java/topazladder/cli/GroupCommands.java
@@ -40,11 +40,11 @@
         @Override
         public Integer call() {
             ExtensionSettings own = ExtensionSettingsFile.read(settings);
-            if (own.members() == null) {
+            if (own.cluster() == null) {
                 throw new InvalidSettingsException("the settings have no hall");
             }
             System.out.println(Founding.found(name != null ? name : ServiceSettings.read(System.getenv()).name(),
-                    own.members(), formed));
+                    own.cluster(), formed));
             return 0;
         }
     }
--- a/src/main/java/topazladder/config/FaultScheduleFile.java
+++ b/src/main/java/topazladder/config/FaultScheduleFile.java
@@ -12,80 +12,120 @@
 import topazladder.faults.Links;
 import topazladder.faults.Schedule;
 
-/** Faults over a hall as a file, protobuf text format: written from what was drawn, changed by hand, played again. */
+/**
+ * A schedule of faults in a cluster as a file, {@code FaultSchedule} in protobuf text format: written from what was
+ * drawn, changed by hand, played again. Times are in seconds; {@code clocks} are 1 by default, all else is 0 or absent.
+ */
 public final class FaultScheduleFile {
-    private static final int MOST_PROCESSES = 2000;
-    private static final int MOST_FAULTS = 10_000;
-    private static final double LONGEST = 86_400;
+    private static final int MAX_PROCESSES = 2000;
+    private static final int MAX_FAULTS = 10_000;
+    private static final double MAX_SECONDS = 86_400;
+    private static final double MIN_FLAP_SECONDS = 0.001;
+    private static final Set<Integer> VOTER_COUNTS = Set.of(1, 3, 5, 7);
+    /** Who a fault of {@link #OF_ALL} strikes, as {@link Fault#who} has it. */
+    private static final int ALL_PROCESSES = -1;
+    /** No second process, as {@link Fault#other} has it. */
+    private static final int NO_OTHER = -1;
     private static final Set<Kind> PAIRS = Set.of(Kind.CUT, Kind.DROP, Kind.ONE_WAY);
     private static final Set<Kind> SIDES = Set.of(Kind.HALVES, Kind.BRIDGE);
     private static final Set<Kind> OF_ALL = Set.of(Kind.LOSS, Kind.KILL_ALL, Kind.MINORITY, Kind.HALVES);
 
     private FaultScheduleFile() {}
 
-    /** @throws InvalidSettingsException what is wrong, and where */
+    /**
+     * Reads the text of a schedule.
+     *
+     * @throws InvalidSettingsException names the first fault of the text, and where it stands
+     */
     public static Schedule of(String text) {
-        FaultSchedule f;
-        try {
-            f = TextFormat.parse(text, FaultSchedule.class);
-        } catch (TextFormat.ParseException e) {
-            throw new InvalidSettingsException("schedule: line " + e.getLine() + ": " + e.getMessage());
-        }
-        int processes = (int) number("processes", f.getProcesses(), 1, MOST_PROCESSES);
-        int voters = f.getVoters();
-        if (!Set.of(1, 3, 5, 7).contains(voters) || voters > processes) {
+        FaultSchedule file = SettingsChecks.parse("schedule", text, FaultSchedule.class);
+        int processes = (int) inRange("processes", file.getProcesses(), 1, MAX_PROCESSES);
+        int voters = file.getVoters();
+        if (!VOTER_COUNTS.contains(voters) || voters > processes) {
             throw new InvalidSettingsException("schedule: voters should be 1, 3, 5 or 7 of the processes: " + voters);
         }
-        if (f.getFaultsCount() > MOST_FAULTS || f.getClocksCount() > processes) {
-            throw new InvalidSettingsException(
-                    "schedule: there should be " + MOST_FAULTS + " faults at most, and a clock a process");
+        if (file.getFaultsCount() > MAX_FAULTS || file.getClocksCount() > processes) {
+            throw new InvalidSettingsException("schedule: there should be " + MAX_FAULTS
+                    + " faults at most, and a clock a process: " + file.getFaultsCount() + ", "
+                    + file.getClocksCount());
         }
+        return new Schedule(file.getSeed(), processes, voters, clocks(file, processes), faults(file, processes),
+                inRange("quiet", file.getQuiet(), 0, MAX_SECONDS));
+    }
+
+    private static List<Double> clocks(FaultSchedule file, int processes) {
         List<Double> clocks = new ArrayList<>();
         for (int i = 0; i < processes; i++) {
-            clocks.add(i < f.getClocksCount() ? number("clocks[" + i + "]", f.getClocks(i), 0.5, 2) : 1);
+            clocks.add(i < file.getClocksCount() ? inRange("clocks[" + i + "]", file.getClocks(i), 0.5, 2) : 1);
         }
+        return List.copyOf(clocks);
+    }
+
+    private static List<Fault> faults(FaultSchedule file, int processes) {
         List<Fault> faults = new ArrayList<>();
-        for (FaultAt a : f.getFaultsList()) {
-            faults.add(fault("faults[" + faults.size() + "].", a, processes));
+        for (FaultAt fault : file.getFaultsList()) {
+            faults.add(fault("faults[" + faults.size() + "].", fault, processes));
         }
-        return new Schedule(f.getSeed(), processes, voters, List.copyOf(clocks), List.copyOf(faults),
-                number("quiet", f.getQuiet(), 0, LONGEST));
+        return List.copyOf(faults);
     }
 
-    private static Fault fault(String at, FaultAt a, int processes) {
-        Kind kind;
+    private static Fault fault(String key, FaultAt fault, int processes) {
+        Kind kind = kind(key, fault);
+        int who = who(key, fault, processes);
+        if ((who == ALL_PROCESSES) != OF_ALL.contains(kind)) {
+            throw new InvalidSettingsException("schedule: " + key + "who "
+                    + (who == ALL_PROCESSES ? "is missing" : "says nothing here") + " of " + fault.getKind());
+        }
+        int other = other(key, fault, kind, processes);
+        double minAmount = kind == Kind.FLAP ? MIN_FLAP_SECONDS : 0;
+        return new Fault(inRange(key + "at", fault.getAt(), 0, MAX_SECONDS), kind, who, other,
+                inRange(key + "seconds", fault.getSeconds(), 0, MAX_SECONDS),
+                inRange(key + "amount", fault.getAmount(), minAmount, MAX_SECONDS));
+    }
+
+    private static Kind kind(String key, FaultAt fault) {
         try {
-            kind = Kind.valueOf(a.getKind().toUpperCase(Locale.ROOT));
+            return Kind.valueOf(fault.getKind().toUpperCase(Locale.ROOT));
         } catch (IllegalArgumentException e) {
-            throw new InvalidSettingsException("schedule: " + at + "kind is none that there is: '" + a.getKind() + "'");
-        }
-        int who = a.getWho().isEmpty() ? -1 : a.getWho().equals("leader") ? Fault.LEADER
-                : a.getWho().equals("holder") ? Fault.HOLDER : process(at + "who", a.getWho(), processes);
-        if ((who == -1) != OF_ALL.contains(kind)) {
             throw new InvalidSettingsException(
-                    "schedule: " + at + "who " + (who == -1 ? "is missing" : "says nothing here") + " of "
-                            + a.getKind());
+                    "schedule: " + key + "kind is none that there is: '" + fault.getKind() + "'");
         }
-        int other = -1;
+    }
+
+    private static int who(String key, FaultAt fault, int processes) {
+        return switch (fault.getWho()) {
+            case "" -> ALL_PROCESSES;
+            case "leader" -> Fault.LEADER;
+            case "holder" -> Fault.HOLDER;
+            default -> process(key + "who", fault.getWho(), processes);
+        };
+    }
+
+    /** The second process of a pair, or the processes of one side as bits. */
+    private static int other(String key, FaultAt fault, Kind kind, int processes) {
+        int other = NO_OTHER;
         if (PAIRS.contains(kind)) {
-            other = process(at + "other", a.getOther(), processes);
+            other = process(key + "other", fault.getOther(), processes);
         } else if (SIDES.contains(kind)) {
-            if (a.getSideCount() == 0) {
-                throw new InvalidSettingsException("schedule: " + at + "side is missing");
-            }
-            other = 0;
-            for (String name : a.getSideList()) {
-                other |= 1 << process(at + "side", name, Math.min(processes, Links.SIDES));
-            }
+            other = side(key, fault, processes);
         }
-        if (!PAIRS.contains(kind) && !a.getOther().isEmpty() || !SIDES.contains(kind) && a.getSideCount() > 0) {
+        if (!PAIRS.contains(kind) && !fault.getOther().isEmpty()
+                || !SIDES.contains(kind) && fault.getSideCount() > 0) {
             throw new InvalidSettingsException(
-                    "schedule: " + at + "other is for pairs, and side for halves and bridges");
+                    "schedule: " + key + "other is for pairs, and side for halves and bridges");
+        }
+        return other;
+    }
+
+    private static int side(String key, FaultAt fault, int processes) {
+        if (fault.getSideCount() == 0) {
+            throw new InvalidSettingsException("schedule: " + key + "side is missing");
+        }
+        int bits = 0;
+        for (String name : fault.getSideList()) {
+            bits |= 1 << process(key + "side", name, Math.min(processes, Links.SIDES));
         }
-        double least = kind == Kind.FLAP ? 0.001 : 0;
-        return new Fault(number(at + "at", a.getAt(), 0, LONGEST), kind, who, other,
-                number(at + "seconds", a.getSeconds(), 0, LONGEST),
-                number(at + "amount", a.getAmount(), least, LONGEST));
+        return bits;
     }
 
     private static int process(String key, String name, int processes) {
@@ -96,35 +136,40 @@
                 "schedule: " + key + " should be one of n0 to n" + (processes - 1) + ": '" + name + "'");
     }
 
-    private static double number(String key, double value, double least, double most) {
-        if (value >= least && value <= most) {
-            return value;
+    private static double inRange(String key, double value, double min, double max) {
+        return SettingsChecks.inRange("schedule: " + key, value, min, max);
+    }
+
+    /** Writes a schedule as a text that {@link #of} reads as the same schedule. */
+    public static String text(Schedule schedule) {
+        FaultSchedule.Builder file = FaultSchedule.newBuilder().setSeed(schedule.seed())
+                .setProcesses(schedule.processes()).setVoters(schedule.voters()).addAllClocks(schedule.clocks())
+                .setQuiet(schedule.quiet());
+        for (Fault fault : schedule.faults()) {
+            file.addFaults(written(fault, schedule.processes()));
         }
-        throw new InvalidSettingsException(
-                "schedule: " + key + " should be a number from " + least + " to " + most + ": " + value);
+        return TextFormat.printer().printToString(file.build());
     }
 
-    /** What {@link #of} reads as the same schedule. */
-    public static String text(Schedule s) {
-        FaultSchedule.Builder all = FaultSchedule.newBuilder().setSeed(s.seed()).setProcesses(s.processes())
-                .setVoters(s.voters()).addAllClocks(s.clocks()).setQuiet(s.quiet());
-        for (Fault f : s.faults()) {
-            FaultAt.Builder a = FaultAt.newBuilder().setAt(f.at()).setKind(f.kind().word()).setSeconds(f.seconds())
-                    .setAmount(f.amount());
-            if (f.who() != -1) {
-                a.setWho(f.who() == Fault.LEADER ? "leader" : f.who() == Fault.HOLDER ? "holder" : "n" + f.who());
+    private static FaultAt written(Fault fault, int processes) {
+        FaultAt.Builder written = FaultAt.newBuilder().setAt(fault.at()).setKind(fault.kind().word())
+                .setSeconds(fault.seconds()).setAmount(fault.amount());
+        switch (fault.who()) {
+            case ALL_PROCESSES -> {
             }
-            if (PAIRS.contains(f.kind())) {
-                a.setOther("n" + f.other());
-            } else if (SIDES.contains(f.kind())) {
-                for (int i = 0; i < Math.min(s.processes(), Links.SIDES); i++) {
-                    if ((f.other() >> i & 1) == 1) {
-                        a.addSide("n" + i);
-                    }
+            case Fault.LEADER -> written.setWho("leader");
+            case Fault.HOLDER -> written.setWho("holder");
+            default -> written.setWho("n" + fault.who());
+        }
+        if (PAIRS.contains(fault.kind())) {
+            written.setOther("n" + fault.other());
+        } else if (SIDES.contains(fault.kind())) {
+            for (int i = 0; i < Math.min(processes, Links.SIDES); i++) {
+                if ((fault.other() >> i & 1) == 1) {
+                    written.addSide("n" + i);
                 }
             }
-            all.addFaults(a);
         }
-        return TextFormat.printer().printToString(all.build());
+        return written.build();
     }
 }
--- a/src/main/java/topazladder/config/FieldSource.java
+++ b/src/main/java/topazladder/config/FieldSource.java
@@ -1,15 +1,27 @@
 package topazladder.config;
 
 /**
- * Where a request's field is taken from. As text: {@code =word} for always that word, {@code header:NAME},
+ * Where a request's field is taken from in a message. As text: {@code =word} for always that word, {@code header:NAME},
  * {@code property:NAME}, {@code routing-key}, {@code routing-key:N} for its Nth word counted from 1,
  * {@code exchange} and {@code queue}.
+ *
+ * @param name the word itself, or the name of the header or property; else empty
+ * @param wordNumber of the routing key's words, counted from 1; 0 where no word is picked
  */
-public record FieldSource(From from, String name, int word) {
+public record FieldSource(From from, String name, int wordNumber) {
 
-    public enum From { ALWAYS, HEADER, PROPERTY, ROUTING_KEY, ROUTING_WORD, EXCHANGE, QUEUE }
+    /** The part of a message that is looked at. */
+    public enum From {
+        ALWAYS, HEADER, PROPERTY, ROUTING_KEY, ROUTING_KEY_WORD, EXCHANGE, QUEUE
+    }
 
-    /** @param key where the text stands, for the error; null for an absent text */
+    /**
+     * Reads the text form.
+     *
+     * @param key where the text stands, for the error
+     * @return null for a text that is absent or empty
+     * @throws InvalidSettingsException for a text that has none of the forms
+     */
     public static FieldSource of(String key, String text) {
         if (text == null || text.isEmpty()) {
             return null;
@@ -22,17 +34,10 @@
             return new FieldSource(From.HEADER, name, 0);
         }
         if (text.startsWith("property:")) {
-            switch (name) {
-                case "message-id", "correlation-id", "type", "priority" -> {
-                    return new FieldSource(From.PROPERTY, name, 0);
-                }
-                default -> throw new InvalidSettingsException(
-                        key + " should name message-id, correlation-id, type or priority: "
-                                + text);
-            }
+            return property(key, text, name);
         }
         if (text.matches("routing-key:[1-9][0-9]{0,2}")) {
-            return new FieldSource(From.ROUTING_WORD, "", Integer.parseInt(name));
+            return new FieldSource(From.ROUTING_KEY_WORD, "", Integer.parseInt(name));
         }
         return switch (text) {
             case "routing-key" -> new FieldSource(From.ROUTING_KEY, "", 0);
@@ -43,4 +48,12 @@
                     + " exchange or queue: " + text);
         };
     }
+
+    private static FieldSource property(String key, String text, String name) {
+        return switch (name) {
+            case "message-id", "correlation-id", "type", "priority" -> new FieldSource(From.PROPERTY, name, 0);
+            default -> throw new InvalidSettingsException(
+                    key + " should name message-id, correlation-id, type or priority: " + text);
+        };
+    }
 }
--- a/src/main/java/topazladder/config/RolloutPlanFile.java
+++ b/src/main/java/topazladder/config/RolloutPlanFile.java
@@ -1,74 +1,99 @@
 package topazladder.config;
 
-import com.google.protobuf.TextFormat;
 import java.util.ArrayList;
 import java.util.List;
 import topazladder.config.proto.ReleasePlan;
 import topazladder.release.Judge;
 import topazladder.release.Plan;
 
-/** A release's plan as operators write it: protobuf text format, checked without any instance. */
+/**
+ * A rollout's plan as operators write it: {@code ReleasePlan} in protobuf text format, checked without any instance.
+ * Durations are in seconds. The defaults:
+ *
+ * <ul>
+ * <li>{@code name}: that of the version {@code to}; {@code patience}: 120; {@code tries}: 2; {@code most_out}: 1
+ * <li>of each wave, {@code zone}: all zones; {@code most}: no limit; {@code share}: 1; {@code soak}: 60
+ * <li>{@code judge}: {@link Judge.Terms#USUAL}
+ * </ul>
+ */
 public final class RolloutPlanFile {
-    private static final int MOST_WAVES = 64;
+    private static final int MAX_WAVES = 64;
+    private static final int MAX_INSTANCES = 10_000;
+    private static final double MAX_SECONDS = 86_400;
 
     private RolloutPlanFile() {}
 
-    /** @throws InvalidSettingsException what is wrong, and where */
+    /**
+     * Reads the text of a plan.
+     *
+     * @throws InvalidSettingsException names the first fault
+     */
     public static Plan of(String text) {
-        ReleasePlan p;
-        try {
-            p = TextFormat.parse(text, ReleasePlan.class);
-        } catch (TextFormat.ParseException e) {
-            throw new InvalidSettingsException("plan: line " + e.getLine() + ": " + e.getMessage());
-        }
-        String from = p.getFrom().getName();
-        String to = p.getTo().getName();
+        ReleasePlan plan = SettingsChecks.parse("plan", text, ReleasePlan.class);
+        String from = plan.getFrom().getName();
+        String to = plan.getTo().getName();
         if (from.isBlank() || to.isBlank() || from.equals(to)) {
             throw new InvalidSettingsException(
                     "plan: from.name and to.name should be two versions: '" + from + "', '" + to + "'");
         }
-        if (p.getWavesCount() == 0 || p.getWavesCount() > MOST_WAVES) {
-            throw new InvalidSettingsException("plan: waves should be 1 to " + MOST_WAVES + ": " + p.getWavesCount());
+        if (plan.getWavesCount() == 0 || plan.getWavesCount() > MAX_WAVES) {
+            throw new InvalidSettingsException(
+                    "plan: waves should be 1 to " + MAX_WAVES + ": " + plan.getWavesCount());
         }
-        readable(p);
+        checkSchemas(plan);
+        return new Plan(
+                plan.getName().isBlank() ? to : plan.getName(),
+                from,
+                to,
+                waves(plan),
+                judge(plan.getJudge()),
+                inRange("patience", plan.hasPatience() ? plan.getPatience() : 120, 1, MAX_SECONDS),
+                (int) inRange("tries", plan.hasTries() ? plan.getTries() : 2, 1, 10),
+                (int) inRange("most_out", plan.hasMostOut() ? plan.getMostOut() : 1, 0, MAX_INSTANCES),
+                plan.getOneWay());
+    }
+
+    private static List<Plan.Wave> waves(ReleasePlan plan) {
         List<Plan.Wave> waves = new ArrayList<>();
-        for (ReleasePlan.Wave w : p.getWavesList()) {
-            String at = "waves[" + waves.size() + "].";
-            waves.add(new Plan.Wave(w.getZone(), (int) number(at + "most", w.hasMost() ? w.getMost() : 0, 0, 10_000),
-                    number(at + "share", w.hasShare() ? w.getShare() : 1, 0.001, 1),
-                    number(at + "soak", w.hasSoak() ? w.getSoak() : 60, 0, 86_400)));
+        for (ReleasePlan.Wave wave : plan.getWavesList()) {
+            String key = "waves[" + waves.size() + "].";
+            waves.add(new Plan.Wave(
+                    wave.getZone(),
+                    (int) inRange(key + "most", wave.hasMost() ? wave.getMost() : 0, 0, MAX_INSTANCES),
+                    inRange(key + "share", wave.hasShare() ? wave.getShare() : 1, 0.001, 1),
+                    inRange(key + "soak", wave.hasSoak() ? wave.getSoak() : 60, 0, MAX_SECONDS)));
         }
-        ReleasePlan.Judge j = p.getJudge();
+        return List.copyOf(waves);
+    }
+
+    private static Judge.Terms judge(ReleasePlan.Judge judge) {
         Judge.Terms usual = Judge.Terms.USUAL;
-        return new Plan(p.getName().isBlank() ? to : p.getName(), from, to, List.copyOf(waves), new Judge.Terms(
-                number("judge.payoff", j.hasPayoff() ? j.getPayoff() : usual.payoff(), 0.001, 1),
-                number("judge.broken_off", j.hasBrokenOff() ? j.getBrokenOff() : usual.failed(), 0.0001, 1),
-                number("judge.memory", j.hasMemory() ? j.getMemory() : usual.memory(), 1.01, 100),
-                number("judge.error", j.hasError() ? j.getError() : usual.error(), 1e-6, 0.2)),
-                number("patience", p.hasPatience() ? p.getPatience() : 120, 1, 86_400),
-                (int) number("tries", p.hasTries() ? p.getTries() : 2, 1, 10),
-                (int) number("most_out", p.hasMostOut() ? p.getMostOut() : 1, 0, 10_000), p.getOneWay());
+        return new Judge.Terms(
+                inRange("judge.payoff", judge.hasPayoff() ? judge.getPayoff() : usual.payoff(), 0.001, 1),
+                inRange("judge.broken_off", judge.hasBrokenOff() ? judge.getBrokenOff() : usual.failed(), 0.0001, 1),
+                inRange("judge.memory", judge.hasMemory() ? judge.getMemory() : usual.memory(), 1.01, 100),
+                inRange("judge.error", judge.hasError() ? judge.getError() : usual.error(), 1e-6, 0.2));
     }
 
-    /** Each has to read what the other leaves behind, or a way back is only a word. */
-    private static void readable(ReleasePlan p) {
-        if (p.getTo().getReads() > 0 && p.getTo().getReads() < p.getFrom().getWrites()) {
-            throw new InvalidSettingsException(
-                    "plan: " + p.getTo().getName() + " reads up to schema " + p.getTo().getReads() + ", and "
-                            + p.getFrom().getName() + " writes " + p.getFrom().getWrites());
+    /** Each version has to read what the other leaves behind, or a rollback would fail. */
+    private static void checkSchemas(ReleasePlan plan) {
+        ReleasePlan.Version from = plan.getFrom();
+        ReleasePlan.Version to = plan.getTo();
+        if (to.getReads() > 0 && to.getReads() < from.getWrites()) {
+            throw new InvalidSettingsException("plan: " + unreadable(to, from));
         }
-        if (!p.getOneWay() && p.getFrom().getReads() > 0 && p.getFrom().getReads() < p.getTo().getWrites()) {
-            throw new InvalidSettingsException("plan: there is no way back, as " + p.getFrom().getName()
-                    + " reads up to schema "
-                    + p.getFrom().getReads() + ", and " + p.getTo().getName() + " writes " + p.getTo().getWrites()
+        if (!plan.getOneWay() && from.getReads() > 0 && from.getReads() < to.getWrites()) {
+            throw new InvalidSettingsException("plan: there is no way back, as " + unreadable(from, to)
                     + "; say one_way: true if that is meant");
         }
     }
 
-    private static double number(String what, double value, double least, double most) {
-        if (!(value >= least && value <= most)) {
-            throw new InvalidSettingsException("plan: " + what + " should be " + least + " to " + most + ": " + value);
-        }
-        return value;
+    private static String unreadable(ReleasePlan.Version reader, ReleasePlan.Version writer) {
+        return reader.getName() + " reads up to schema " + reader.getReads() + ", and " + writer.getName()
+                + " writes " + writer.getWrites();
+    }
+
+    private static double inRange(String key, double value, double min, double max) {
+        return SettingsChecks.inRange("plan: " + key, value, min, max);
     }
 }
--- a/src/main/java/topazladder/config/ServiceSettings.java
+++ b/src/main/java/topazladder/config/ServiceSettings.java
@@ -11,43 +11,55 @@
 import java.util.stream.Collectors;
 
 /**
- * All that a real service instance is told at its start: the one place where the environment and the
- * configuration file are read, checked and given defaults.
+ * All that a service instance is told at its start: the one place where the environment and the configuration file
+ * are read, checked and given defaults.
  *
- * @param name what the control plane and the logs call it
- * @param listen where callers connect
- * @param runtime where its work is done
- * @param control where it reports that it lives
- * @param index where its calls go, or null in the last tier
- * @param seed of its chance
- * @param stopAfter seconds from the notice to leave to the kill
- * @param sockets descriptors it may hold
- * @param terms what the module is handed
+ * @param name what the control plane and the logs call the instance: {@code GW_NAME} or {@code name}
+ * @param listen where callers connect: {@code GW_LISTEN} or {@code listen}
+ * @param runtime where requests are run
+ * @param control where the instance reports that it lives
+ * @param index where dependency calls go, or null, the default, in the last tier
+ * @param seed of its random numbers: up to 16 hex digits, 0 by default
+ * @param stopAfterSeconds from the notice to shut down to the kill: {@code stop_ms}, at most a day
+ * @param maxSockets descriptors it may hold: {@code limits.sockets}, 1024 by default
+ * @param terms what the admission controller is handed: {@code settings}
  */
 public record ServiceSettings(String name, Address listen, Address runtime, Address control, Address index,
-        long seed, double stopAfter, int sockets, SettingsReader terms) {
+        long seed, double stopAfterSeconds, int maxSockets, SettingsReader terms) {
 
     /** A day: past any supervisor's patience. */
-    private static final double LONGEST_STOP_MS = 86_400_000;
+    private static final double MAX_STOP_MILLISECONDS = 86_400_000;
+    private static final int DEFAULT_SOCKETS = 1024;
+    private static final int MAX_PORT = 65_535;
 
     /** A numeric address: there are no names to resolve. */
     public record Address(String host, int port) {
 
-        /** @param key where the text stands, for the error */
+        /**
+         * Reads the form {@code host:port}.
+         *
+         * @param key where the text stands, for the error
+         * @throws InvalidSettingsException for a text of another form
+         */
         public static Address of(String key, String text) {
             int colon = text.lastIndexOf(':');
             try {
                 int port = Integer.parseInt(text.substring(colon + 1));
-                if (colon > 0 && port > 0 && port < 65536) {
+                if (colon > 0 && port > 0 && port <= MAX_PORT) {
                     return new Address(text.substring(0, colon), port);
                 }
             } catch (NumberFormatException e) {
-                // Told below, as any other fault of an address is.
+                // Reported below, as any other fault of an address is.
             }
             throw new InvalidSettingsException(key + " should be like 127.0.0.1:4100: " + text);
         }
     }
 
+    /**
+     * Reads the file that {@code GW_CONFIG} names.
+     *
+     * @throws InvalidSettingsException where it can't be read, or names the first fault in it
+     */
     public static ServiceSettings read(Map<String, String> environment) {
         String path = environment.get("GW_CONFIG");
         if (path == null || path.isBlank()) {
@@ -60,7 +72,12 @@
         }
     }
 
-    /** GW_NAME and GW_LISTEN go before the file's own name and listen. */
+    /**
+     * Reads the text of a configuration file. {@code GW_NAME} and {@code GW_LISTEN} of the environment take precedence
+     * over the file's {@code name} and {@code listen}.
+     *
+     * @throws InvalidSettingsException names the first fault
+     */
     public static ServiceSettings of(String text, Map<String, String> environment) {
         JsonObject json;
         try {
@@ -76,21 +93,22 @@
         JsonObject limits = object(json, "limits", new JsonObject());
         Map<String, String> settings = new LinkedHashMap<>();
         flatten("", object(json, "settings", null), settings);
-        return new ServiceSettings(name,
-                listen == null ? Address.of("listen", word(json, "listen", null)) : Address.of("GW_LISTEN", listen),
-                Address.of("runtime", word(json, "runtime", null)),
-                Address.of("control", word(json, "control", null)),
-                json.getValue("index") == null ? null : Address.of("index", word(json, "index", null)),
+        return new ServiceSettings(
+                name,
+                listen == null ? address(json, "listen") : Address.of("GW_LISTEN", listen),
+                address(json, "runtime"),
+                address(json, "control"),
+                json.getValue("index") == null ? null : address(json, "index"),
                 seed(word(json, "seed", "0")),
-                number(json, "stop_ms", null, 0, LONGEST_STOP_MS) / 1000,
-                (int) number(limits, "sockets", 1024, 1, Integer.MAX_VALUE),
+                number(json, "stop_ms", null, 0, MAX_STOP_MILLISECONDS) / 1000,
+                (int) number(limits, "sockets", DEFAULT_SOCKETS, 1, Integer.MAX_VALUE),
                 settings(settings));
     }
 
-    /** Whether nothing but addresses differs, which is all that a running instance can take from a new file. */
+    /** Whether nothing but addresses and the seed differs, which is all that a running instance can take over. */
     public boolean alikeButForAddresses(ServiceSettings other) {
-        return name.equals(other.name) && listen.equals(other.listen) && stopAfter == other.stopAfter
-                && sockets == other.sockets && terms.map().equals(other.terms.map());
+        return name.equals(other.name) && listen.equals(other.listen) && stopAfterSeconds == other.stopAfterSeconds
+                && maxSockets == other.maxSockets && terms.map().equals(other.terms.map());
     }
 
     private static SettingsReader settings(Map<String, String> settings) {
@@ -101,6 +119,7 @@
         }
     }
 
+    /** Writes each value under its path; the items of a list of objects under .0, .1 and so on, with .count. */
     private static void flatten(String at, JsonObject json, Map<String, String> settings) {
         json.forEach(entry -> flatten(at + entry.getKey(), entry.getValue(), settings));
     }
@@ -120,39 +139,40 @@
         }
     }
 
-    private static JsonObject object(JsonObject json, String key, JsonObject other) {
-        Object value = json.getValue(key);
-        if (value == null && other != null) {
-            return other;
-        }
-        if (value instanceof JsonObject object) {
-            return object;
-        }
-        throw new InvalidSettingsException(key + (value == null ? " is missing" : " should be an object: " + value));
+    private static Address address(JsonObject json, String key) {
+        return Address.of(key, word(json, key, null));
+    }
+
+    private static JsonObject object(JsonObject json, String key, JsonObject defaultValue) {
+        return value(json, key, defaultValue, JsonObject.class, "an object");
     }
 
-    private static String word(JsonObject json, String key, String other) {
-        Object value = json.getValue(key);
-        if (value == null && other != null) {
-            return other;
+    private static String word(JsonObject json, String key, String defaultValue) {
+        return value(json, key, defaultValue, String.class, "text");
+    }
+
+    private static double number(JsonObject json, String key, Number defaultValue, double min, double max) {
+        String expected = "a number of at least " + (long) min;
+        Number value = value(json, key, defaultValue, Number.class, expected);
+        if (!(value.doubleValue() >= min)) {
+            throw new InvalidSettingsException(key + " should be " + expected + ": " + value);
         }
-        if (value instanceof String word) {
-            return word;
+        if (value.doubleValue() > max) {
+            throw new InvalidSettingsException(key + " should be a number of at most " + (long) max + ": " + value);
         }
-        throw new InvalidSettingsException(key + (value == null ? " is missing" : " should be text: " + value));
+        return value.doubleValue();
     }
 
-    private static double number(JsonObject json, String key, Number other, double least, double most) {
-        Object value = json.getValue(key) == null ? other : json.getValue(key);
-        if (value instanceof Number n && n.doubleValue() >= least) {
-            if (n.doubleValue() > most) {
-                throw new InvalidSettingsException(
-                        key + " should be a number of at most " + (long) most + ": " + value);
-            }
-            return n.doubleValue();
+    /** The value of a key, which is needed where it has no default. */
+    private static <T> T value(JsonObject json, String key, T defaultValue, Class<T> type, String expected) {
+        Object value = json.getValue(key) == null ? defaultValue : json.getValue(key);
+        if (value == null) {
+            throw new InvalidSettingsException(key + " is missing");
+        }
+        if (!type.isInstance(value)) {
+            throw new InvalidSettingsException(key + " should be " + expected + ": " + value);
         }
-        throw new InvalidSettingsException(key + (value == null ? " is missing"
-                : " should be a number of at least " + (long) least + ": " + value));
+        return type.cast(value);
     }
 
     private static long seed(String text) {
--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -67,7 +67,7 @@
 import topazladder.release.ReleaseLedger;
 import topazladder.release.ReleaseOp;
 import topazladder.release.View;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * One voter's replica in the group: the library's consensus below, the duties' ledger and its lease manager above.
@@ -126,7 +126,7 @@
     private final VoterEndpoint here;
     private Terms terms;
     private final RaftTiming pace;
-    private final Timers timers;
+    private final Scheduler timers;
     private final DoubleSupplier clock;
     private final World world;
     private final ReplicatedState agreed;
@@ -146,7 +146,8 @@
     private boolean over;
     private boolean closing;
 
-    public ConsensusReplica(VoterStore store, Terms terms, Timers timers, DoubleSupplier clock, RandomGenerator chance,
+    public ConsensusReplica(VoterStore store, Terms terms, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator chance,
             World world, ReplicatedState agreed, LeaseManager leaseManager, DisruptionController permits,
             Verdicts verdicts) {
         VoterStore.Founding founding = store.founding();
@@ -185,7 +186,7 @@
 
     public void start() {
         begin();
-        timers.in(TICK * terms.heartbeat(), this::tick);
+        timers.schedule(TICK * terms.heartbeat(), this::tick);
     }
 
     private void begin() {
@@ -477,7 +478,7 @@
             }
         }
         noticeSilence();
-        timers.in(TICK * terms.heartbeat(), this::tick);
+        timers.schedule(TICK * terms.heartbeat(), this::tick);
     }
 
     private void permit() {
@@ -741,7 +742,7 @@
                     leaseManager.becomeLeader(now);
                     permits.becomeLeader(now, SIGHT * terms.heartbeat());
                     verdicts.lead(now);
-                    timers.in(0, ConsensusReplica.this::define);
+                    timers.schedule(0, ConsensusReplica.this::define);
                 } else {
                     resign(lead.leader() + " leads");
                 }
@@ -749,7 +750,7 @@
                 // Not from within: the library is in the middle of its own step.
                 List<Step> steps = leaseManager.commandApplied(now, op, outcome);
                 if (!steps.isEmpty()) {
-                    timers.in(0, () -> carryOut(steps));
+                    timers.schedule(0, () -> carryOut(steps));
                 }
             }
             return outcome;
--- a/src/main/java/topazladder/consensus/RaftTiming.java
+++ b/src/main/java/topazladder/consensus/RaftTiming.java
@@ -8,7 +8,7 @@
 import java.time.ZoneOffset;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleSupplier;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * How fast the group's time runs. The library counts its heartbeats in whole seconds, which is too slow for a hall
@@ -67,21 +67,21 @@
         };
     }
 
-    RaftNodeExecutor executor(Timers timers) {
+    RaftNodeExecutor executor(Scheduler timers) {
         return new RaftNodeExecutor() {
             @Override
             public void execute(Runnable task) {
-                timers.in(0, task);
+                timers.schedule(0, task);
             }
 
             @Override
             public void submit(Runnable task) {
-                timers.in(0, task);
+                timers.schedule(0, task);
             }
 
             @Override
             public void schedule(Runnable task, long delay, TimeUnit unit) {
-                timers.in(unit.toNanos(delay) / 1e9 / factor, task);
+                timers.schedule(unit.toNanos(delay) / 1e9 / factor, task);
             }
         };
     }
--- a/src/main/java/topazladder/delivery/Consumer.java
+++ b/src/main/java/topazladder/delivery/Consumer.java
@@ -18,14 +18,15 @@
 import topazladder.delivery.Outcomes.What;
 import topazladder.delivery.Outcomes.Why;
 import topazladder.request.RequestClass.Repeats;
-import topazladder.service.Caller;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.InFlightRequest;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Response;
-import topazladder.service.Response.How;
-import topazladder.service.Timers;
+import topazladder.service.Response.Status;
+import topazladder.service.ResponseListener;
+import topazladder.service.Scheduler;
 
 /**
  * Deliveries of one broker as requests of the dispatcher: each that came gets exactly one outcome while its link lives,
@@ -55,7 +56,7 @@
         LOST
     }
 
-    private final class Open implements Caller {
+    private final class Open implements ResponseListener {
         final Queue queue;
         final Delivery delivery;
         final Mapped mapped;
@@ -73,17 +74,17 @@
         }
 
         @Override
-        public void answer(Response a) {
-            answered(this, a.how(), a);
+        public void onResponse(Response a) {
+            answered(this, a.status(), a);
         }
 
         @Override
-        public void unusable(Response a) {
+        public void onInvalidRequest(Response a) {
             answered(this, null, a);
         }
 
         @Override
-        public void health(boolean good, Double level) {
+        public void onHealth(boolean good, AdmissionLevel level) {
             throw new IllegalStateException("no delivery asks for health");
         }
     }
@@ -98,13 +99,13 @@
 
         Queue(QueueSettings terms) {
             this.terms = terms;
-            prefetch = new Prefetch(terms.mostPrefetch());
+            prefetch = new Prefetch(terms.maxPrefetch());
             returns = new Pace(terms.requeuesPerSecond());
         }
     }
 
     private final DoubleSupplier clock;
-    private final Timers timers;
+    private final Scheduler timers;
     private final RequestDispatcher dispatcher;
     private final Counters counters;
     private final RandomGenerator chance;
@@ -118,7 +119,7 @@
     private int replyBytes;
     private boolean leaving;
 
-    public Consumer(DoubleSupplier clock, Timers timers, RequestDispatcher dispatcher, Counters counters,
+    public Consumer(DoubleSupplier clock, Scheduler timers, RequestDispatcher dispatcher, Counters counters,
             RandomGenerator chance,
             BrokerPort port, SettingsReader terms, List<QueueSettings> queues) {
         this.clock = clock;
@@ -154,7 +155,7 @@
     public void delivered(Delivery d) {
         Queue q = queues.get(d.queue());
         double now = clock.getAsDouble();
-        counters.add(Count.DELIVERIES_TAKEN);
+        counters.add(Count.DELIVERIES_RECEIVED);
         Mapped m = mapping.map(d, q.terms, ref(), now);
         Open o = new Open(q, d, m);
         q.open.put(d.tag(), o);
@@ -167,7 +168,8 @@
             // Its acknowledgement was lost on the way.
             acknowledge(o);
         } else if (leaving) {
-            settle(o, Outcomes.of(How.REJECTED, m.requestClass().idempotency(), m.tries(), q.terms, true), "leaving");
+            settle(o, Outcomes.of(Status.REJECTED, m.requestClass().idempotency(), m.tries(), q.terms, true),
+                    "leaving");
         } else if (d.redelivered() && unsafe(m, q.terms)) {
             settle(o, Outcomes.dead(Why.MAY_HAVE_RUN), "it came before, and nothing is known of it");
         } else {
@@ -182,7 +184,8 @@
             case RETRY_SAFE -> false;
             case AT_MOST_ONCE -> true;
             case IDEMPOTENT_BY_KEY -> !terms.runUnknownRedelivered()
-                    && !dispatcher.knowsIdempotencyKey(m.arrival().fingerprint(), m.arrival().since());
+                    && !dispatcher.knowsIdempotencyKey(m.arrival().idempotencyKey(),
+                            m.arrival().arrivedAtUnixSeconds());
         };
     }
 
@@ -227,7 +230,7 @@
         } else if (ok) {
             acknowledge(o);
         } else if (o.published < MOST_PUBLISHED) {
-            timers.in(FIRST_WAIT * Math.pow(2, o.published), () -> {
+            timers.schedule(FIRST_WAIT * Math.pow(2, o.published), () -> {
                 if (o.phase == Phase.PUBLISHING) {
                     publish(o, o.what);
                 }
@@ -242,10 +245,10 @@
 
     // ---- From the dispatcher
 
-    private void answered(Open o, How how, Response a) {
-        o.queue.prefetch.ended(how == How.REJECTED);
+    private void answered(Open o, Status status, Response a) {
+        o.queue.prefetch.ended(status == Status.REJECTED);
         if (o.phase == Phase.LOST) {
-            if (how == How.SERVED) {
+            if (status == Status.SERVED) {
                 remembered.done(o.delivery, o.mapped.tries(), clock.getAsDouble());
             }
             return;
@@ -253,13 +256,13 @@
         if (o.phase != Phase.IN_MODULE) {
             return; // handed back before it began
         }
-        Outcome outcome = Outcomes.of(how, o.mapped.requestClass().idempotency(), tries(o), o.queue.terms, leaving);
+        Outcome outcome = Outcomes.of(status, o.mapped.requestClass().idempotency(), tries(o), o.queue.terms, leaving);
         String replyTo = o.delivery.properties().replyTo();
         if (outcome.what() == What.ACKNOWLEDGE && replyTo != null && !replyTo.isEmpty()) {
             reply(o, replyTo, a.body());
         } else {
-            settle(o, outcome, how == null ? "it can't be decided on" : how.name().toLowerCase(Locale.ROOT),
-                    a.stayAway());
+            settle(o, outcome, status == null ? "it can't be decided on" : status.name().toLowerCase(Locale.ROOT),
+                    a.retryAfterSeconds());
         }
     }
 
@@ -270,7 +273,7 @@
     private void reply(Open o, String replyTo, byte[] result) {
         if (replyBytes + result.length > MOST_REPLY_BYTES) {
             // Its effect is done; waiting for room would bring it again and again.
-            counters.add(Count.REPLIES_LET_GO);
+            counters.add(Count.REPLIES_DROPPED);
             acknowledge(o);
             return;
         }
@@ -310,9 +313,9 @@
             case RETURN -> {
                 o.phase = Phase.AWAITING_TURN;
                 remembered.returned(o.delivery, o.mapped.tries(), now);
-                timers.in(Math.max(stayAway, o.queue.returns.turn(now)), () -> {
+                timers.schedule(Math.max(stayAway, o.queue.returns.turn(now)), () -> {
                     if (o.phase == Phase.AWAITING_TURN) {
-                        counters.add(Count.DELIVERIES_RETURNED);
+                        counters.add(Count.DELIVERIES_REQUEUED);
                         close(o);
                         port.reject(queue, o.delivery.tag(), true);
                     }
@@ -324,10 +327,10 @@
                 headers.putIfAbsent(Mapping.FIRST_EXCHANGE, o.delivery.exchange());
                 headers.putIfAbsent(Mapping.FIRST_KEY, o.delivery.routingKey());
                 headers.put(Mapping.TRIES, String.valueOf(tries(o) - o.delivery.deaths() + 1));
-                copy(o, o.queue.terms.delay(), headers, Math.max(LEAST_DELAY, stayAway));
+                copy(o, o.queue.terms.delayRoute(), headers, Math.max(LEAST_DELAY, stayAway));
             }
             case DEAD_LETTER -> {
-                Route route = o.queue.terms.deadLetter();
+                Route route = o.queue.terms.deadLetterRoute();
                 if (route == null) {
                     counters.add(Count.DELIVERIES_DEAD_LETTERED);
                     close(o);
@@ -390,7 +393,9 @@
                         || o.phase == Phase.IN_MODULE && o.inFlight != null
                                 && dispatcher.cancelIfNotStarted(o.inFlight);
                 if (unbegun) {
-                    settle(o, Outcomes.of(How.REJECTED, o.mapped.requestClass().idempotency(), tries(o), q.terms, true),
+                    settle(o,
+                            Outcomes.of(Status.REJECTED, o.mapped.requestClass().idempotency(), tries(o), q.terms,
+                                    true),
                             "leaving");
                 }
             }
--- a/src/main/java/topazladder/delivery/Mapping.java
+++ b/src/main/java/topazladder/delivery/Mapping.java
@@ -43,7 +43,7 @@
 
     Mapped map(Delivery d, QueueSettings terms, String ref, double now) {
         Fields f = terms.fields();
-        if (d.body().length > terms.mostBytes()) {
+        if (d.body().length > terms.maxBodyBytes()) {
             return Mapped.none("too large: " + d.body().length + " bytes");
         }
         RequestClass requestClass = requestClasses.get(String.valueOf(word(f.requestClass(), d)));
@@ -55,7 +55,7 @@
             return Mapped.none("no customer");
         }
         boolean fingerprinted = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
-        String fingerprint = fingerprinted ? word(f.fingerprint(), d) : null;
+        String fingerprint = fingerprinted ? word(f.idempotencyKey(), d) : null;
         if (fingerprinted && fingerprint == null) {
             return Mapped.none("no fingerprint");
         }
@@ -66,8 +66,8 @@
         if (!(rank >= 0 && rank < 1)) {
             return Mapped.none("a rank that is none");
         }
-        double footprint = number(word(f.footprint(), d),
-                f.footprint() == null ? LEAST_FOOTPRINT + d.body().length / 1024.0 : Double.NaN);
+        double footprint = number(word(f.memoryKilobytes(), d),
+                f.memoryKilobytes() == null ? LEAST_FOOTPRINT + d.body().length / 1024.0 : Double.NaN);
         if (!(footprint > 0 && footprint < LARGEST_FOOTPRINT)) {
             return Mapped.none("a footprint that is none");
         }
@@ -103,9 +103,9 @@
             case ROUTING_KEY -> firstKey(d);
             case EXCHANGE -> d.headers().getOrDefault(FIRST_EXCHANGE, d.exchange());
             case QUEUE -> d.queue();
-            case ROUTING_WORD -> {
+            case ROUTING_KEY_WORD -> {
                 String[] words = firstKey(d).split("\\.", -1);
-                yield pick.word() <= words.length ? words[pick.word() - 1] : null;
+                yield pick.wordNumber() <= words.length ? words[pick.wordNumber() - 1] : null;
             }
             case PROPERTY -> switch (pick.name()) {
                     case "message-id" -> d.properties().messageId();
--- a/src/main/java/topazladder/delivery/Outcomes.java
+++ b/src/main/java/topazladder/delivery/Outcomes.java
@@ -2,7 +2,7 @@
 
 import topazladder.config.QueueSettings;
 import topazladder.request.RequestClass.Repeats;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
 
 /**
  * What becomes of a delivery, from what became of its request. docs/amqp.md has it as a table; each delivery gets
@@ -37,14 +37,14 @@
     private Outcomes() {}
 
     /**
-     * @param how null where the request could not be decided on
+     * @param status null where the request could not be decided on
      * @param tries before this one
      */
-    static Outcome of(How how, Repeats repeats, int tries, QueueSettings terms, boolean leaving) {
-        if (how == null) {
+    static Outcome of(Status status, Repeats repeats, int tries, QueueSettings terms, boolean leaving) {
+        if (status == null) {
             return dead(Why.UNUSABLE);
         }
-        return switch (how) {
+        return switch (status) {
             case SERVED -> ACKNOWLEDGE;
             // One that has an effect and was broken off may have run: another run could be the second.
             case FAILED -> repeats == Repeats.RETRY_SAFE ? again(repeats, tries, terms, leaving)
@@ -57,10 +57,10 @@
         if (leaving && repeats != Repeats.AT_MOST_ONCE) {
             return new Outcome(What.HAND_BACK, Why.NONE);
         }
-        if (tries + 1 >= terms.mostTries()) {
+        if (tries + 1 >= terms.maxAttempts()) {
             return dead(Why.TRIED_TOO_OFTEN);
         }
-        if (terms.delay() != null) {
+        if (terms.delayRoute() != null) {
             return new Outcome(What.DELAY, Why.NONE);
         }
         // Sent back, a binding one would come again as redelivered, and nobody could tell that it never ran.
--- a/src/main/java/topazladder/emulator/Below.java
+++ b/src/main/java/topazladder/emulator/Below.java
@@ -1,14 +1,14 @@
 package topazladder.emulator;
 
 import java.util.function.DoubleSupplier;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /** What all instances call: slots shared by all calls, and slower on command. */
 public final class Below {
     private final Sharing slots;
     private double speed = 1;
 
-    public Below(DoubleSupplier clock, Timers timers, double slots) {
+    public Below(DoubleSupplier clock, Scheduler timers, double slots) {
         this.slots = new Sharing(clock, timers, slots, () -> speed, crowd -> 1 / (1 + 0.1 * Math.max(0, crowd - 1)));
     }
 
--- a/src/main/java/topazladder/emulator/Branch.java
+++ b/src/main/java/topazladder/emulator/Branch.java
@@ -8,21 +8,22 @@
 import topazladder.config.SettingsReader;
 import topazladder.emulator.Traffic.Wanted;
 import topazladder.request.Outcome;
-import topazladder.service.Caller;
-import topazladder.service.Callers;
+import topazladder.service.AdmissionLevel;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.IncomingRequest;
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Response;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
+import topazladder.service.ResponseListener;
 import topazladder.service.RuntimePort;
 
 /**
  * One instance of the program in virtual time, the program's own objects from the dispatcher inwards, with a runtime
  * and callers of its own. It counts what its callers got, by windows.
  */
-final class Branch implements RuntimePort, Callers, Runtime.Listener {
+final class Branch implements RuntimePort, ClientConnections, Runtime.Listener {
     private static final double LINK = Calls.LINK;
     /** Callers heed a level for a second. */
     private static final double HEEDED = 1;
@@ -87,7 +88,7 @@
         instance = new InstanceLifecycle(name, plan.seed(), 10, time, dispatcher, this, time, () -> {});
         instance.listenersOpened();
         instance.runtimeConnected(plan.cold());
-        time.in(0, this::next);
+        time.schedule(0, this::next);
         look();
     }
 
@@ -112,7 +113,7 @@
     private void look() {
         crowd += (runtime.running() - crowd) * 0.05;
         worstCrowd = Math.max(worstCrowd, crowd);
-        time.in(0.1, this::look);
+        time.schedule(0.1, this::look);
     }
 
     private void next() {
@@ -129,7 +130,7 @@
             String fingerprint = w.kind().requestClass().idempotencyWindowSeconds() > 0 ? name + "f" + refs : null;
             send(this, w, fingerprint, time.getAsDouble(), at, false);
         }
-        time.in(traffic.gap(rate), this::next);
+        time.schedule(traffic.gap(rate), this::next);
     }
 
     private int window(double now) {
@@ -147,36 +148,37 @@
 
     /** A request that somebody sends now; reading it takes the cores. Its answer comes a link's time later. */
     void take(IncomingRequest arrival, Consumer<Response> then) {
-        time.in(LINK, () -> runtime.read(reading, () -> dispatcher.dispatch(arrival, new Caller() {
+        time.schedule(LINK, () -> runtime.read(reading, () -> dispatcher.dispatch(arrival, new ResponseListener() {
             @Override
-            public void answer(Response a) {
-                time.in(LINK, () -> then.accept(a));
+            public void onResponse(Response a) {
+                time.schedule(LINK, () -> then.accept(a));
             }
 
             @Override
-            public void unusable(Response a) {
+            public void onInvalidRequest(Response a) {
                 throw new IllegalStateException("the emulator sent what can't be decided on");
             }
 
             @Override
-            public void health(boolean good, Double heard) {}
+            public void onHealth(boolean good, AdmissionLevel heard) {}
         })));
     }
 
     private void answered(Branch by, Response a, Wanted w, String fingerprint, double first, int at, boolean retry) {
-        by.level = a.level() == null ? 0 : a.level();
+        by.level = a.admissionLevel().value();
         by.heardAt = time.getAsDouble();
         double took = time.getAsDouble() - first;
-        if (a.how() == How.SERVED && took <= w.kind().requestClass().latencyObjectiveSeconds()) {
+        if (a.status() == Status.SERVED && took <= w.kind().requestClass().latencyObjectiveSeconds()) {
             boolean poorer = new String(a.body(), StandardCharsets.US_ASCII).startsWith("poorer");
             if (at >= 0) {
                 earned[at] += w.kind().requestClass().priorityWeight()
                         * (poorer ? w.kind().requestClass().degradedValueShare() : 1);
             }
-        } else if (a.how() == How.REJECTED && !retry && !a.notElsewhere() && habits.nextDouble() < retries) {
+        } else if (a.status() == Status.REJECTED && !retry && !a.doNotRetryElsewhere()
+                && habits.nextDouble() < retries) {
             List<Branch> others = all.stream().filter(b -> b != by).toList();
             Branch next = others.isEmpty() ? by : others.get(habits.nextInt(others.size()));
-            time.in(0.02, () -> send(next, w, fingerprint, first, at, true));
+            time.schedule(0.02, () -> send(next, w, fingerprint, first, at, true));
         }
     }
 
@@ -184,32 +186,32 @@
 
     @Override
     public void start(String ref, String requestClass, byte[] body) {
-        time.in(LINK, () -> runtime.start(ref, body));
+        time.schedule(LINK, () -> runtime.start(ref, body));
     }
 
     @Override
-    public void give(String ref, byte[] reply) {
-        time.in(LINK, () -> runtime.goOn(ref, false));
+    public void resumeWithReply(String ref, byte[] reply) {
+        time.schedule(LINK, () -> runtime.goOn(ref, false));
     }
 
     @Override
-    public void omit(String ref, long notice) {
-        time.in(LINK, () -> runtime.goOn(ref, true));
+    public void resumeWithoutReply(String ref, long notice) {
+        time.schedule(LINK, () -> runtime.goOn(ref, true));
     }
 
     @Override
-    public void askGauges() {
-        time.in(2 * LINK, () -> dispatcher.gaugesReceived(runtime.gauges()));
+    public void requestGauges() {
+        time.schedule(2 * LINK, () -> dispatcher.gaugesReceived(runtime.gauges()));
     }
 
     @Override
-    public void askWhetherWorkGetsDone(long tag) {
-        time.in(2 * LINK, () -> dispatcher.healthCheckCompleted(tag, true));
+    public void requestHealthCheck(long tag) {
+        time.schedule(2 * LINK, () -> dispatcher.healthCheckCompleted(tag, true));
     }
 
     @Override
     public void ended(String ref, Outcome how, double elapsed, byte[] result) {
-        time.in(LINK, () -> dispatcher.runEnded(ref, how, elapsed, result));
+        time.schedule(LINK, () -> dispatcher.runEnded(ref, how, elapsed, result));
     }
 
     @Override
@@ -223,10 +225,10 @@
     public void closeIdle(double seconds) {}
 
     @Override
-    public void lastCall() {}
+    public void stopAccepting() {}
 
     @Override
-    public int connections() {
+    public int openConnections() {
         return 0;
     }
 }
--- a/src/main/java/topazladder/emulator/Calls.java
+++ b/src/main/java/topazladder/emulator/Calls.java
@@ -36,7 +36,7 @@
 
     /** A run wants a call: the dispatcher hears of it a link later. */
     void wanted(String ref, long notice, byte[] body) {
-        time.in(LINK, () -> dispatcher.dependencyCallRequested(ref, notice, body));
+        time.schedule(LINK, () -> dispatcher.dependencyCallRequested(ref, notice, body));
     }
 
     @Override
@@ -45,7 +45,7 @@
         begun.put(ref, mine);
         below.call(prefix + ref, Double.parseDouble(new String(body, StandardCharsets.US_ASCII)),
                 () -> ended(ref, mine, Outcome.SUCCEEDED));
-        time.in(patience, () -> ended(ref, mine, Outcome.TIMED_OUT));
+        time.schedule(patience, () -> ended(ref, mine, Outcome.TIMED_OUT));
     }
 
     private void ended(String ref, double at, Outcome how) {
@@ -53,12 +53,12 @@
             if (how != Outcome.SUCCEEDED) {
                 below.giveUp(prefix + ref);
             }
-            time.in(LINK, () -> dispatcher.dependencyCallEnded(ref, how, new byte[] {'y'}));
+            time.schedule(LINK, () -> dispatcher.dependencyCallEnded(ref, how, new byte[] {'y'}));
         }
     }
 
     @Override
-    public void giveUp(String ref) {
+    public void cancel(String ref) {
         begun.remove(ref);
         below.giveUp(prefix + ref);
     }
--- a/src/main/java/topazladder/emulator/DeliveryTrial.java
+++ b/src/main/java/topazladder/emulator/DeliveryTrial.java
@@ -21,14 +21,15 @@
 import topazladder.config.SettingsReader;
 import topazladder.delivery.Consumer;
 import topazladder.request.Outcome;
-import topazladder.service.Caller;
-import topazladder.service.Callers;
+import topazladder.service.AdmissionLevel;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.IncomingRequest;
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Response;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
+import topazladder.service.ResponseListener;
 import topazladder.service.RuntimePort;
 
 /**
@@ -89,7 +90,7 @@
     }
 
     /** One instance with its machine, its dependency and its link. */
-    private final class Worker implements RuntimePort, Callers, Runtime.Listener {
+    private final class Worker implements RuntimePort, ClientConnections, Runtime.Listener {
         final String name;
         final Runtime runtime;
         final Calls calls;
@@ -124,7 +125,7 @@
         private void look() {
             if (!over) {
                 consumer.look();
-                time.in(0.25, this::look);
+                time.schedule(0.25, this::look);
             }
         }
 
@@ -140,27 +141,27 @@
             runs.add(new Run(name, number, requestClass, time.getAsDouble(), arrived.getOrDefault(ref,
                     time.getAsDouble())));
             bodies.put(ref, body);
-            time.in(0.0005, () -> runtime.start(ref, body));
+            time.schedule(0.0005, () -> runtime.start(ref, body));
         }
 
         @Override
-        public void give(String ref, byte[] reply) {
-            time.in(0.0005, () -> runtime.goOn(ref, false));
+        public void resumeWithReply(String ref, byte[] reply) {
+            time.schedule(0.0005, () -> runtime.goOn(ref, false));
         }
 
         @Override
-        public void omit(String ref, long notice) {
-            time.in(0.0005, () -> runtime.goOn(ref, true));
+        public void resumeWithoutReply(String ref, long notice) {
+            time.schedule(0.0005, () -> runtime.goOn(ref, true));
         }
 
         @Override
-        public void askGauges() {
-            time.in(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
+        public void requestGauges() {
+            time.schedule(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
         }
 
         @Override
-        public void askWhetherWorkGetsDone(long tag) {
-            time.in(0.001, () -> dispatcher.healthCheckCompleted(tag, true));
+        public void requestHealthCheck(long tag) {
+            time.schedule(0.001, () -> dispatcher.healthCheckCompleted(tag, true));
         }
 
         @Override
@@ -168,7 +169,7 @@
             if (how == Outcome.SUCCEEDED) {
                 done.add(number(bodies.get(ref)));
             }
-            time.in(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
+            time.schedule(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
         }
 
         @Override
@@ -180,10 +181,10 @@
         public void closeIdle(double seconds) {}
 
         @Override
-        public void lastCall() {}
+        public void stopAccepting() {}
 
         @Override
-        public int connections() {
+        public int openConnections() {
             return consumer.open();
         }
     }
@@ -239,7 +240,7 @@
             if (chance.nextInt(3) == 0) {
                 double at = 4 + chance.nextDouble() * (LOAD_FOR - 4);
                 note(at, "a leaves");
-                time.in(at, () -> workers.get(0).leave());
+                time.schedule(at, () -> workers.get(0).leave());
                 if (chance.nextBoolean()) {
                     vanish(at + chance.nextDouble() * 3, 0.2 + 3 * chance.nextDouble());
                 }
@@ -264,7 +265,7 @@
 
     private void load(double until, double rate) {
         if (time.getAsDouble() < until) {
-            time.in(-Math.log(1 - chance.nextDouble()) / rate, () -> {
+            time.schedule(-Math.log(1 - chance.nextDouble()) / rate, () -> {
                 publish();
                 load(until, rate);
             });
@@ -291,10 +292,11 @@
         if (requestClass.equals("order-place") && chance.nextInt(6) == 0) {
             if (chance.nextBoolean()) {
                 // The publisher heard no confirmation and sends it again.
-                time.in(chance.nextDouble() * 5, () -> broker.publish("in", queue + ".new", headers, props, body));
+                time.schedule(chance.nextDouble() * 5,
+                        () -> broker.publish("in", queue + ".new", headers, props, body));
             } else {
                 // The same order comes on a caller's connection as well.
-                time.in(chance.nextDouble(), () -> callersOrder(number, body));
+                time.schedule(chance.nextDouble(), () -> callersOrder(number, body));
             }
         }
     }
@@ -309,19 +311,19 @@
         to.dispatcher.dispatch(
                 new IncomingRequest(ref, "order-place", null, time.getAsDouble(), false, 10, 0.5, "m" + number,
                         body),
-                new Caller() {
+                new ResponseListener() {
                     @Override
-                    public void answer(Response a) {
-                        if (a.how() == How.SERVED) {
+                    public void onResponse(Response a) {
+                        if (a.status() == Status.SERVED) {
                             servedToCallers.add(number);
                         }
                     }
 
                     @Override
-                    public void unusable(Response a) {}
+                    public void onInvalidRequest(Response a) {}
 
                     @Override
-                    public void health(boolean good, Double level) {}
+                    public void onHealth(boolean good, AdmissionLevel level) {}
                 });
     }
 
@@ -330,42 +332,42 @@
         switch (chance.nextInt(6)) {
             case 0 -> {
                 note(at, "link of " + w.name + " breaks, both ends notice at once");
-                time.in(at, () -> w.link.cut(0, 0));
+                time.schedule(at, () -> w.link.cut(0, 0));
             }
             case 1 -> {
                 double b = chance.nextDouble() * 4;
                 note(at, String.format(Locale.ROOT, "link of %s is half open, the broker notices %.1f s later",
                         w.name, b));
-                time.in(at, () -> w.link.cut(b, 0));
+                time.schedule(at, () -> w.link.cut(b, 0));
             }
             case 2 -> {
                 double c = chance.nextDouble() * 4;
                 note(at, String.format(Locale.ROOT, "link of %s is half open, the instance notices %.1f s later",
                         w.name, c));
-                time.in(at, () -> w.link.cut(0, c));
+                time.schedule(at, () -> w.link.cut(0, c));
             }
             case 3 -> vanish(at, 0.2 + 6 * chance.nextDouble());
             case 4 -> {
                 String queue = chance.nextBoolean() ? "orders" : "stock";
                 note(at, "channel of " + queue + " at " + w.name + " ends with an error");
-                time.in(at, () -> w.link.channelError(queue));
+                time.schedule(at, () -> w.link.channelError(queue));
             }
             default -> {
                 double slow = 0.05 + chance.nextDouble();
                 note(at, String.format(Locale.ROOT, "link of %s takes %.2f s a message for a second", w.name, slow));
-                time.in(at, () -> w.link.slow(slow));
-                time.in(at + 1, () -> w.link.slow(0.001));
+                time.schedule(at, () -> w.link.slow(slow));
+                time.schedule(at + 1, () -> w.link.slow(0.001));
             }
         }
     }
 
     private void vanish(double at, double seconds) {
         note(at, String.format(Locale.ROOT, "the broker vanishes for %.1f s", seconds));
-        time.in(at, () -> workers.forEach(w -> {
+        time.schedule(at, () -> workers.forEach(w -> {
             w.link.brokerIs(false);
             w.link.cut(0, 0);
         }));
-        time.in(at + seconds, () -> workers.forEach(w -> w.link.brokerIs(true)));
+        time.schedule(at + seconds, () -> workers.forEach(w -> w.link.brokerIs(true)));
     }
 
     private int left() {
--- a/src/main/java/topazladder/emulator/MixedTrial.java
+++ b/src/main/java/topazladder/emulator/MixedTrial.java
@@ -15,14 +15,15 @@
 import topazladder.delivery.Consumer;
 import topazladder.emulator.Traffic.Wanted;
 import topazladder.request.Outcome;
-import topazladder.service.Caller;
-import topazladder.service.Callers;
+import topazladder.service.AdmissionLevel;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.IncomingRequest;
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Response;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
+import topazladder.service.ResponseListener;
 import topazladder.service.RuntimePort;
 
 /**
@@ -71,7 +72,7 @@
         return e / a;
     }
 
-    private final class Machine implements RuntimePort, Callers, Runtime.Listener {
+    private final class Machine implements RuntimePort, ClientConnections, Runtime.Listener {
         final Runtime runtime = new Runtime(time, time, new Runtime.Shape(CORES, 1, 1, 1, 2), false, this);
         final Calls calls = new Calls(time, new Below(time, time, 12), "");
         final SettingsReader terms = SettingsReader.ofLines(PeerTrial.SETTINGS);
@@ -93,22 +94,22 @@
         }
 
         @Override
-        public void give(String ref, byte[] reply) {
+        public void resumeWithReply(String ref, byte[] reply) {
             runtime.goOn(ref, false);
         }
 
         @Override
-        public void omit(String ref, long notice) {
+        public void resumeWithoutReply(String ref, long notice) {
             runtime.goOn(ref, true);
         }
 
         @Override
-        public void askGauges() {
-            time.in(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
+        public void requestGauges() {
+            time.schedule(0.001, () -> dispatcher.gaugesReceived(runtime.gauges()));
         }
 
         @Override
-        public void askWhetherWorkGetsDone(long tag) {
+        public void requestHealthCheck(long tag) {
             dispatcher.healthCheckCompleted(tag, true);
         }
 
@@ -123,7 +124,7 @@
                 earned[half(name)] += w.kind().requestClass().priorityWeight()
                         * (poorer ? w.kind().requestClass().degradedValueShare() : 1);
             }
-            time.in(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
+            time.schedule(0.0005, () -> dispatcher.runEnded(ref, how, elapsed, result));
         }
 
         @Override
@@ -135,10 +136,10 @@
         public void closeIdle(double seconds) {}
 
         @Override
-        public void lastCall() {}
+        public void stopAccepting() {}
 
         @Override
-        public int connections() {
+        public int openConnections() {
             return 0;
         }
     }
@@ -183,7 +184,7 @@
 
     private void look(Consumer consumer) {
         consumer.look();
-        time.in(0.25, () -> look(consumer));
+        time.schedule(0.25, () -> look(consumer));
     }
 
     private void next(Traffic traffic, SplittableRandom habits, double rate, Machine machine, Broker broker,
@@ -209,21 +210,21 @@
             machine.runtime.read(0.015,
                     () -> machine.dispatcher.dispatch(new IncomingRequest("c" + name, w.kind().requestClass()
                             .name(), null,
-                            sent, false, 10, w.rank(), fingerprint, body), new Caller() {
+                            sent, false, 10, w.rank(), fingerprint, body), new ResponseListener() {
                                 @Override
-                                public void answer(Response a) {
-                                    if (a.how() != How.SERVED) {
+                                public void onResponse(Response a) {
+                                    if (a.status() != Status.SERVED) {
                                         wanted.remove(name);
                                     }
                                 }
 
                                 @Override
-                                public void unusable(Response a) {}
+                                public void onInvalidRequest(Response a) {}
 
                                 @Override
-                                public void health(boolean good, Double level) {}
+                                public void onHealth(boolean good, AdmissionLevel level) {}
                             }));
         }
-        time.in(traffic.gap(rate), () -> next(traffic, habits, rate, machine, broker, number + 1));
+        time.schedule(traffic.gap(rate), () -> next(traffic, habits, rate, machine, broker, number + 1));
     }
 }
--- a/src/main/java/topazladder/emulator/PeerTrial.java
+++ b/src/main/java/topazladder/emulator/PeerTrial.java
@@ -171,12 +171,12 @@
         }
         Branch warm = all.get(0);
         List<LearnedEstimate> before = new ArrayList<>();
-        time.in(RETURNS - 15, () -> {
+        time.schedule(RETURNS - 15, () -> {
             before.addAll(warm.exchange().learnedEstimates());
             below.slowDown(condition.slower);
         });
         long coldSeed = chance.nextLong();
-        time.in(RETURNS, () -> {
+        time.schedule(RETURNS, () -> {
             all.add(new Branch("cold", time, below, new Branch.Plan(terms, shape, true, kinds, rate, HEED, RETRY,
                     READING * meanRun, returns, end, WINDOW, coldSeed), all));
             all.get(WARM).exchange().applyEstimates(
--- a/src/main/java/topazladder/emulator/Runtime.java
+++ b/src/main/java/topazladder/emulator/Runtime.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import topazladder.request.Outcome;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * The machine that does an instance's work: cores shared by all that runs, slower while it is cold and in a crowd.
@@ -52,7 +52,7 @@
     private double lookedAt;
     private double use;
 
-    public Runtime(DoubleSupplier clock, Timers timers, Shape shape, boolean cold, Listener listener) {
+    public Runtime(DoubleSupplier clock, Scheduler timers, Shape shape, boolean cold, Listener listener) {
         this.clock = clock;
         this.shape = shape;
         this.listener = listener;
--- a/src/main/java/topazladder/emulator/Sharing.java
+++ b/src/main/java/topazladder/emulator/Sharing.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 import java.util.function.DoubleUnaryOperator;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * So many servers shared by all jobs at once: each job gets one whole server, or its part where there are more jobs.
@@ -27,7 +27,7 @@
     }
 
     private final DoubleSupplier clock;
-    private final Timers timers;
+    private final Scheduler timers;
     private final double servers;
     private final DoubleSupplier speed;
     private final DoubleUnaryOperator keptOf;
@@ -39,7 +39,7 @@
     private long wake;
 
     /** @param keptOf the part of its capacity that is left with so many jobs on each server */
-    Sharing(DoubleSupplier clock, Timers timers, double servers, DoubleSupplier speed, DoubleUnaryOperator keptOf) {
+    Sharing(DoubleSupplier clock, Scheduler timers, double servers, DoubleSupplier speed, DoubleUnaryOperator keptOf) {
         this.clock = clock;
         this.timers = timers;
         this.servers = servers;
@@ -95,7 +95,7 @@
         }
         rate = speed.getAsDouble() * Math.min(1, servers / n) * keptOf.applyAsDouble(n / servers);
         double least = jobs.values().stream().mapToDouble(j -> j.left).min().orElse(0);
-        timers.in(Math.min(LONGEST_STEP, Math.max(0, least / rate)), () -> {
+        timers.schedule(Math.min(LONGEST_STEP, Math.max(0, least / rate)), () -> {
             if (mine == wake) {
                 turn();
             }
--- a/src/main/java/topazladder/emulator/SubsetTrial.java
+++ b/src/main/java/topazladder/emulator/SubsetTrial.java
@@ -105,11 +105,11 @@
         }
 
         void begin() {
-            time.in(traffic.gap(REQUESTS_A_CALLER), this::next);
+            time.schedule(traffic.gap(REQUESTS_A_CALLER), this::next);
         }
 
         private void next() {
-            time.in(traffic.gap(REQUESTS_A_CALLER), this::next);
+            time.schedule(traffic.gap(REQUESTS_A_CALLER), this::next);
             Traffic.Wanted w = traffic.next();
             int which = chance.nextInt(subset.length);
             double now = time.getAsDouble();
@@ -135,7 +135,7 @@
             RequestClass requestClass = w.kind().requestClass();
             instances.get(subset[which]).take(new IncomingRequest(name + refs++, requestClass.name(), null, now, false,
                     FOOTPRINT_KB, w.rank(), null, w.work().body()), answer -> {
-                        level[which] = answer.level() == null ? 0 : answer.level();
+                        level[which] = answer.admissionLevel().value();
                         heardAt[which] = time.getAsDouble();
                         if (counts) {
                             note(answer, requestClass, time.getAsDouble() - now);
@@ -144,9 +144,9 @@
         }
 
         private void note(Response answer, RequestClass requestClass, double took) {
-            if (answer.how() == Response.How.REJECTED) {
+            if (answer.status() == Response.Status.REJECTED) {
                 tally.turnedAway++;
-            } else if (answer.how() == Response.How.SERVED && took <= requestClass.latencyObjectiveSeconds()) {
+            } else if (answer.status() == Response.Status.SERVED && took <= requestClass.latencyObjectiveSeconds()) {
                 tally.earned += requestClass.priorityWeight();
             }
         }
--- a/src/main/java/topazladder/emulator/Timeline.java
+++ b/src/main/java/topazladder/emulator/Timeline.java
@@ -3,10 +3,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 import java.util.function.DoubleSupplier;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /** Virtual time: what is due happens in the order of its time, and of its making where times are equal. */
-public final class Timeline implements Timers, DoubleSupplier {
+public final class Timeline implements Scheduler, DoubleSupplier {
     private record Due(double at, long order, Runnable what) {
     }
 
@@ -25,7 +25,7 @@
     }
 
     @Override
-    public void in(double seconds, Runnable what) {
+    public void schedule(double seconds, Runnable what) {
         due.add(new Due(now + Math.max(0, seconds), order++, what));
     }
 
--- a/src/main/java/topazladder/emulator/VirtualLink.java
+++ b/src/main/java/topazladder/emulator/VirtualLink.java
@@ -76,7 +76,7 @@
             return;
         }
         if (!brokerUp) {
-            time.in(jitter.next(), this::connect);
+            time.schedule(jitter.next(), this::connect);
             return;
         }
         jitter.reset();
@@ -112,12 +112,12 @@
         int mine = ++generation;
         List<Channel> old = new ArrayList<>(channels.values());
         channels = new LinkedHashMap<>();
-        time.in(brokerNotices, () -> old.forEach(Channel::close));
-        time.in(clientNotices, () -> {
+        time.schedule(brokerNotices, () -> old.forEach(Channel::close));
+        time.schedule(clientNotices, () -> {
             if (mine == generation) {
                 clientSees = false;
                 consumer.linkLost();
-                time.in(jitter.next(), this::connect);
+                time.schedule(jitter.next(), this::connect);
             }
         });
     }
@@ -128,7 +128,7 @@
         if (c != null) {
             c.close();
             int mine = generation;
-            time.in(latency, () -> {
+            time.schedule(latency, () -> {
                 if (mine == generation) {
                     consumer.channelLost(queue);
                     open(queue);
@@ -139,7 +139,7 @@
 
     private void toClient(int mine, Runnable what) {
         lastToClient = Math.max(lastToClient, time.getAsDouble() + latency * (0.5 + chance.nextDouble()));
-        time.in(lastToClient - time.getAsDouble(), () -> {
+        time.schedule(lastToClient - time.getAsDouble(), () -> {
             if (mine == generation) {
                 what.run();
             }
@@ -152,7 +152,7 @@
         }
         int mine = generation;
         lastToBroker = Math.max(lastToBroker, time.getAsDouble() + latency * (0.5 + chance.nextDouble()));
-        time.in(lastToBroker - time.getAsDouble(), () -> {
+        time.schedule(lastToBroker - time.getAsDouble(), () -> {
             if (mine == generation) {
                 what.run();
             }
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -49,7 +49,7 @@
 import topazladder.release.Plan;
 import topazladder.release.Release;
 import topazladder.release.ReleaseOp;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * A hall in virtual time: the program's own members, voters and library, between links, disks and clocks that fail by a
@@ -251,7 +251,7 @@
             return decision.operation();
         });
         // Whoever is told that nobody knows looks whether it was done, and says it again.
-        time.in(begun ? 5 : 1, () -> {
+        time.schedule(begun ? 5 : 1, () -> {
             if (release() == null) {
                 release(plan);
             }
@@ -381,7 +381,7 @@
                         n.serving)));
             }
         }
-        time.in(Fleet.STEP, this::serve);
+        time.schedule(Fleet.STEP, this::serve);
     }
 
     private void call() {
@@ -396,7 +396,7 @@
             setup.below().calls(time.getAsDouble(), n.index, does);
         }
         setup.below().look(time.getAsDouble());
-        time.in(Servers.STEP, this::call);
+        time.schedule(Servers.STEP, this::call);
     }
 
     public OutCount outs() {
@@ -440,16 +440,16 @@
                     throw new IllegalStateException(e);
                 }
             }
-            time.in(chance.nextDouble(), n::start);
+            time.schedule(chance.nextDouble(), n::start);
         }
         for (Fault f : schedule.faults()) {
-            time.in(f.at(), () -> begin(f));
+            time.schedule(f.at(), () -> begin(f));
         }
         if (setup.roll() != null) {
-            time.in(Fleet.STEP, this::serve);
+            time.schedule(Fleet.STEP, this::serve);
         }
         if (setup.below() != null) {
-            time.in(Servers.STEP, this::call);
+            time.schedule(Servers.STEP, this::call);
         }
         return this;
     }
@@ -531,7 +531,7 @@
         switch (f.kind()) {
             case STALL -> {
                 nodes[f.who()].stall();
-                time.in(f.seconds(), nodes[f.who()]::resume);
+                time.schedule(f.seconds(), nodes[f.who()]::resume);
             }
             case KILL -> nodes[f.who()].kill(f.seconds(), false);
             case WIPE -> nodes[f.who()].kill(f.seconds(), true);
@@ -544,12 +544,12 @@
             case DISK_FULL -> {
                 Node n = nodes[f.who()];
                 n.disk.full((long) f.amount());
-                time.in(f.seconds(), n.disk::room);
+                time.schedule(f.seconds(), n.disk::room);
             }
             case KILL_AT_VOTE -> nodes[f.who()].killAtVote(f.seconds());
             default -> {
                 links.begin(f);
-                time.in(f.seconds(), () -> {
+                time.schedule(f.seconds(), () -> {
                     links.end(f);
                     happened("over: " + f);
                 });
@@ -594,7 +594,8 @@
             // On one connection nothing overtakes.
             double arrives = Math.max(time.getAsDouble() + delay, from.lastTo.getOrDefault(to, 0.0));
             from.lastTo.put(to, arrives);
-            time.in(arrives - time.getAsDouble(), () -> target.run(life, () -> target.heard(from.name, received)));
+            time.schedule(arrives - time.getAsDouble(),
+                    () -> target.run(life, () -> target.heard(from.name, received)));
         }
     }
 
@@ -698,7 +699,7 @@
 
         private void in(double seconds, Runnable what) {
             int of = life;
-            time.in(seconds / rate, () -> run(of, what));
+            time.schedule(seconds / rate, () -> run(of, what));
         }
 
         void start() {
@@ -712,7 +713,7 @@
             if (loops > 0) {
                 loops--;
                 int of = life + 1;
-                time.in(LOOP_FOR, () -> {
+                time.schedule(LOOP_FOR, () -> {
                     if (life == of && up) {
                         kill(LOOP_FOR, false);
                     }
@@ -733,7 +734,7 @@
             happened(name + " starts, life " + life);
             SplittableRandom own = chance.split();
             DoubleSupplier clock = this::clock;
-            Timers timers = this::in;
+            Scheduler timers = this::in;
             HallTerms terms = terms();
             member = new MemberNode(terms, Planted.holder(plant, new MemberIdentity(name, life)), timers, clock,
                     own.split(),
@@ -833,7 +834,7 @@
                     disk.wipe();
                 }
             }
-            time.in(until, this::start);
+            time.schedule(until, this::start);
         }
 
         /** Its answer is on its way by then, and its vote is kept. */
@@ -844,7 +845,7 @@
                     disk.whenVoted(() -> {});
                     if (time.getAsDouble() <= until) {
                         int of = life;
-                        time.in(0.1 * QUICKEST, () -> {
+                        time.schedule(0.1 * QUICKEST, () -> {
                             if (life == of) {
                                 happened(name + " has voted");
                                 kill(SLOWEST, false);
@@ -923,7 +924,8 @@
 
         private void touch(String duty, long token) {
             String holder = name + '#' + life;
-            time.in(chance.nextDouble(QUICKEST, SLOWEST), () -> ledger.effect(time.getAsDouble(), duty, token, holder));
+            time.schedule(chance.nextDouble(QUICKEST, SLOWEST),
+                    () -> ledger.effect(time.getAsDouble(), duty, token, holder));
         }
 
         private final class MemberWorld implements MemberNode.World {
--- a/src/main/java/topazladder/experiment/ReleasesExperiment.java
+++ b/src/main/java/topazladder/experiment/ReleasesExperiment.java
@@ -74,14 +74,14 @@
         HallWorld world = new HallWorld(s, setup, plant).open();
         Plan plan = new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 9), new Plan.Wave("", 0, 0.5, 9)),
                 Judge.Terms.USUAL, 40, 3, members, false);
-        world.time().in(BEGIN, () -> world.release(plan));
+        world.time().schedule(BEGIN, () -> world.release(plan));
         // Operators that change their minds, sometimes at the same moment.
         int words = chance.nextInt(3);
         for (int i = 0; i < words; i++) {
             double at = chance.nextDouble(BEGIN + 1, BEGIN + 60);
             int what = chance.nextInt(3);
-            world.time().in(at, () -> word(world, what));
-            world.time().in(at + (chance.nextBoolean() ? 0 : 15), () -> word(world, 1 + chance.nextInt(2)));
+            world.time().schedule(at, () -> word(world, what));
+            world.time().schedule(at + (chance.nextBoolean() ? 0 : 15), () -> word(world, 1 + chance.nextInt(2)));
         }
         world.time().runUntil(s.length());
         return new Played(world, world.outcome(), bad);
@@ -222,7 +222,7 @@
                 new HallWorld.Roll(new Fleet(members, LOAD, Map.of(), new SplittableRandom(7)), Supervisor.GOOD, 2,
                         DOWN, Set.of())),
                 plant).open();
-        world.time().in(BEGIN, () -> world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 4)),
+        world.time().schedule(BEGIN, () -> world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 4)),
                 Judge.Terms.USUAL, 60, 3, members, false)));
         return world;
     }
@@ -284,7 +284,7 @@
 
     private static void halted(HallWorld world, double seconds) {
         word(world, 0);
-        world.time().in(seconds, () -> word(world, 1));
+        world.time().schedule(seconds, () -> word(world, 1));
     }
 
     public static final String REAL_HEAD = "| processes | releases | outs by agreement | most at once | budget | bad |"
@@ -422,7 +422,7 @@
             double every = (DOWN + 4) / atOnce;
             for (int i = 0; i < members; i++) {
                 int who = i;
-                world.time().in(way.equals("fixed timers") ? i * every : chance.nextDouble(members * every / 4),
+                world.time().schedule(way.equals("fixed timers") ? i * every : chance.nextDouble(members * every / 4),
                         () -> world.rollOne(who, "B"));
             }
         }
--- a/src/main/java/topazladder/experiment/WorstExperiment.java
+++ b/src/main/java/topazladder/experiment/WorstExperiment.java
@@ -66,8 +66,9 @@
         world.time().runUntil(5.9);
         world.mostOut();
         world.ledger().measureAnew();
-        world.time().in(BEGIN - 5.9, () -> world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 4)),
-                Judge.Terms.USUAL, 40, 3, s.processes(), false)));
+        world.time().schedule(BEGIN - 5.9,
+                () -> world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 4)),
+                        Judge.Terms.USUAL, 40, 3, s.processes(), false)));
         world.time().runUntil(s.length());
         HallWorld.Outcome o = world.outcome();
         List<String> broken = new ArrayList<>(o.breaks());
--- a/src/main/java/topazladder/hall/ConductorNode.java
+++ b/src/main/java/topazladder/hall/ConductorNode.java
@@ -9,7 +9,7 @@
 import topazladder.lease.MemberIdentity;
 import topazladder.release.Conductor;
 import topazladder.release.ReleaseOp;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * The conducting duty at its holder: asks the leader to be shown how things stand, decides, and says what should be
@@ -21,7 +21,7 @@
 
     private final MemberIdentity here;
     private final String duty;
-    private final Timers timers;
+    private final Scheduler timers;
     private final DoubleSupplier clock;
     private final LongSupplier timeOfDay;
     private final MemberNode member;
@@ -33,7 +33,8 @@
     private boolean answered;
 
     /** @param maker of what decides; trials plant one that errs */
-    public ConductorNode(MemberIdentity here, String duty, Timers timers, DoubleSupplier clock, LongSupplier timeOfDay,
+    public ConductorNode(MemberIdentity here, String duty, Scheduler timers, DoubleSupplier clock,
+            LongSupplier timeOfDay,
             MemberNode member, Function<ReleaseOp.By, Conductor> maker) {
         this.here = here;
         this.duty = duty;
@@ -70,7 +71,7 @@
 
     private void again(double in, long of) {
         long same = generation;
-        timers.in(in, () -> {
+        timers.schedule(in, () -> {
             if (same == generation && of == number) {
                 say(List.of());
             }
--- a/src/main/java/topazladder/hall/MemberNode.java
+++ b/src/main/java/topazladder/hall/MemberNode.java
@@ -17,7 +17,7 @@
 import topazladder.lease.MemberIdentity;
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * A member of a hall without I/O: who is there, and what it holds. It never asks the group anything on a request's
@@ -66,7 +66,7 @@
     }
 
     private final HallTerms terms;
-    private final Timers timers;
+    private final Scheduler timers;
     private final DoubleSupplier clock;
     private final World world;
     private final Membership membership;
@@ -87,7 +87,8 @@
     private double lastNews = Double.NEGATIVE_INFINITY;
 
     /** @param holder made for the same member; handed in so that trials can plant one that errs */
-    public MemberNode(HallTerms terms, LeaseHolder holder, Timers timers, DoubleSupplier clock, RandomGenerator chance,
+    public MemberNode(HallTerms terms, LeaseHolder holder, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator chance,
             World world) {
         this.terms = terms;
         this.holder = holder;
@@ -148,7 +149,7 @@
     private void sayLeaving() {
         if (!agreed && !over && guide.whom() != null) {
             world.say(guide.whom(), addressOf(guide.whom()), new Saying.Leaving(here(), "a signal"));
-            timers.in(LEAVING_EVERY, this::sayLeaving);
+            timers.schedule(LEAVING_EVERY, this::sayLeaving);
         }
     }
 
@@ -229,7 +230,7 @@
         double in =
                 Math.min(membership.next(now), terms.voters().isEmpty() ? Double.MAX_VALUE : holder.nextDeadline(now));
         long mine = ++wake;
-        timers.in(Math.min(in, STEADY_AFTER), () -> {
+        timers.schedule(Math.min(in, STEADY_AFTER), () -> {
             if (mine == wake && !over) {
                 members(membership.tick(clock.getAsDouble()));
                 look();
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -20,7 +20,7 @@
 import topazladder.lease.LeaseResponse;
 import topazladder.lease.LeaseStateMachine.Outcome;
 import topazladder.lease.MemberIdentity;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * A member's part in the group, without I/O but for its store. A voter whose folder is empty does not vote: it asks,
@@ -51,7 +51,7 @@
 
     private final HallTerms terms;
     private final VoterStore store;
-    private final Timers timers;
+    private final Scheduler timers;
     private final DoubleSupplier clock;
     private final RandomGenerator chance;
     private final World world;
@@ -65,7 +65,7 @@
     private Phase phase = Phase.ASKING_TO_VOTE;
     private String doing = "";
 
-    public VoterNode(HallTerms terms, VoterStore store, Timers timers, DoubleSupplier clock, RandomGenerator chance,
+    public VoterNode(HallTerms terms, VoterStore store, Scheduler timers, DoubleSupplier clock, RandomGenerator chance,
             World world) {
         this(terms, store, timers, clock, chance, world, new ReplicatedState(), null, null, null);
     }
@@ -73,7 +73,7 @@
     /**
      * @param leaseManager and what is behind it, of what is agreed, or null for the usual; trials plant ones that err
      */
-    public VoterNode(HallTerms terms, VoterStore store, Timers timers, DoubleSupplier clock, RandomGenerator chance,
+    public VoterNode(HallTerms terms, VoterStore store, Scheduler timers, DoubleSupplier clock, RandomGenerator chance,
             World world, ReplicatedState agreed, LeaseManager leaseManager, DisruptionController permits,
             Verdicts verdicts) {
         this.terms = terms;
@@ -113,7 +113,7 @@
         if (phase == Phase.ASKING_TO_VOTE) {
             terms.voters().stream().filter(v -> !v.equals(terms.name()))
                     .forEach(v -> world.say(v, new Saying.AsksToVote(newborn)));
-            timers.in(ASK_EVERY, this::askToVote);
+            timers.schedule(ASK_EVERY, this::askToVote);
         }
     }
 
@@ -173,7 +173,7 @@
         }
         phase = Phase.FAILED;
         world.failed(why);
-        timers.in(AGAIN_AFTER, () -> {
+        timers.schedule(AGAIN_AFTER, () -> {
             if (phase == Phase.FAILED) {
                 agreed.clear();
                 phase = Phase.ASKING_TO_VOTE;
--- a/src/main/java/topazladder/net/CallerConnection.java
+++ b/src/main/java/topazladder/net/CallerConnection.java
@@ -12,12 +12,13 @@
 import topazladder.net.codec.CallerMessage;
 import topazladder.net.codec.FrameReader;
 import topazladder.net.codec.MalformedMessageException;
-import topazladder.service.Caller;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.InFlightRequest;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Response;
+import topazladder.service.ResponseListener;
 
 /**
  * One caller's connection, and the requests that are open on it. Whoever breaks the protocol on it is told so, and
@@ -98,7 +99,7 @@
             }
             awaiting = !reader.isEmpty();
         } catch (MalformedMessageException e) {
-            part(Count.CONNECTIONS_ENDED_AS_MALFORMED, e.getMessage());
+            part(Count.CONNECTIONS_CLOSED_MALFORMED, e.getMessage());
         }
     }
 
@@ -108,7 +109,7 @@
             if (waiting != null) {
                 waiting.gone();
                 if (++takenBack > MOST_TAKEN_BACK) {
-                    part(Count.CONNECTIONS_ENDED_AS_TAKING_BACK, "too many requests taken back");
+                    part(Count.CONNECTIONS_CLOSED_TOO_MANY_CANCELLED, "too many requests taken back");
                 }
             }
             return;
@@ -117,7 +118,7 @@
             throw new MalformedMessageException("stream " + message.stream() + " used twice");
         }
         if (open.size() >= MOST_OPEN) {
-            part(Count.CONNECTIONS_ENDED_AS_OVERFULL, "more than " + MOST_OPEN + " requests open");
+            part(Count.CONNECTIONS_CLOSED_TOO_MANY_OPEN, "more than " + MOST_OPEN + " requests open");
             return;
         }
         lastStream = message.stream();
@@ -131,7 +132,7 @@
             proven |= waiting.inFlight != null;
             asked++;
         } else {
-            dispatcher.answerUnusable(waiting);
+            dispatcher.respondInvalid(waiting);
         }
     }
 
@@ -208,7 +209,7 @@
     /** What was never said, or said by half, ends it; what waits for an answer or between two requests does not. */
     void closeIfDumb() {
         if (!parting && awaiting && ++looks > DUMB_LOOKS) {
-            part(proven ? Count.CONNECTIONS_ENDED_AS_HALF_SAID : Count.CONNECTIONS_ENDED_AS_SILENT,
+            part(proven ? Count.CONNECTIONS_CLOSED_INCOMPLETE : Count.CONNECTIONS_CLOSED_SILENT,
                     "no whole request in time");
         }
     }
@@ -245,7 +246,7 @@
         counters.add(kind);
         parting = true;
         for (Waiting waiting : List.copyOf(open.values())) {
-            waiting.answer(Response.UNUSABLE);
+            waiting.onResponse(Response.INVALID_REQUEST);
             waiting.gone();
         }
         write(CallerFrames.error(why));
@@ -273,7 +274,7 @@
     }
 
     /** Whoever waits on one stream. */
-    private final class Waiting implements Caller {
+    private final class Waiting implements ResponseListener {
         private final long stream;
         private InFlightRequest inFlight;
 
@@ -282,7 +283,7 @@
         }
 
         @Override
-        public void answer(Response answer) {
+        public void onResponse(Response answer) {
             if (open.remove(stream) != null) {
                 takenBack = 0;
                 write(CallerFrames.answer(stream, answer));
@@ -291,15 +292,15 @@
         }
 
         @Override
-        public void unusable(Response answer) {
-            answer(answer);
+        public void onInvalidRequest(Response answer) {
+            onResponse(answer);
             if (++unusable >= MOST_UNUSABLE) {
-                part(Count.CONNECTIONS_ENDED_AS_UNUSABLE, "too many requests that can't be decided on");
+                part(Count.CONNECTIONS_CLOSED_TOO_MANY_INVALID, "too many requests that can't be decided on");
             }
         }
 
         @Override
-        public void health(boolean good, Double level) {
+        public void onHealth(boolean good, AdmissionLevel level) {
             if (open.remove(stream) != null) {
                 write(CallerFrames.health(stream, good, level));
                 closeIfAllIsSaid();
--- a/src/main/java/topazladder/net/CallerServer.java
+++ b/src/main/java/topazladder/net/CallerServer.java
@@ -13,13 +13,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.service.Callers;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.RequestDispatcher;
 
 /** Listens for callers and keeps their connections, so many and no more. */
-final class CallerServer implements Callers {
+final class CallerServer implements ClientConnections {
     /** Looks for idle connections no more often than this, however short they may idle. */
     static final long LEAST_SWEEP_MS = 100;
 
@@ -72,7 +72,7 @@
 
     private void connected(NetSocket socket) {
         boolean full = connections.size() >= most && !makeRoom();
-        counters.add(full ? Count.CONNECTIONS_TURNED_AWAY : Count.CONNECTIONS_TAKEN);
+        counters.add(full ? Count.CONNECTIONS_REJECTED : Count.CONNECTIONS_ACCEPTED);
         CallerConnection c = new CallerConnection(vertx, socket, dispatcher, counters, this::closed);
         connections.add(c);
         if (full || lastCall) {
@@ -89,7 +89,7 @@
     private boolean makeRoom() {
         CallerConnection least = connections.stream().filter(CallerConnection::vacant).min(LEAST_FIRST).orElse(null);
         if (least != null) {
-            counters.add(Count.CONNECTIONS_GIVEN_WAY);
+            counters.add(Count.CONNECTIONS_EVICTED);
             connections.remove(least);
             if (least.proven()) {
                 least.hangUp(); // a request may be on its way just now
@@ -131,7 +131,7 @@
     }
 
     @Override
-    public void lastCall() {
+    public void stopAccepting() {
         lastCall = true;
         new ArrayList<>(connections).forEach(CallerConnection::lastCall);
         stopListening(true);
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public int connections() {
+    public int openConnections() {
         return connections.size();
     }
 }
--- a/src/main/java/topazladder/net/ControlPlane.java
+++ b/src/main/java/topazladder/net/ControlPlane.java
@@ -42,7 +42,7 @@
     }
 
     private void report(InstanceLifecycle instance) {
-        socket.send(Buffer.buffer("lease " + name + (instance.ready() ? " Ready" : " NotReady")),
+        socket.send(Buffer.buffer("lease " + name + (instance.isReady() ? " Ready" : " NotReady")),
                 address.port(), address.host());
     }
 }
--- a/src/main/java/topazladder/net/DependencyLink.java
+++ b/src/main/java/topazladder/net/DependencyLink.java
@@ -108,7 +108,7 @@
 
     @Override
     public void call(String ref, double patience, boolean repeatable, byte[] body) {
-        giveUp(ref);
+        cancel(ref);
         Call call = new Call(ref, repeatable, patience, body);
         calls.put(ref, call);
         if (address == null && choice == null) {
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void giveUp(String ref) {
+    public void cancel(String ref) {
         Call call = calls.get(ref);
         if (call != null) {
             call.leave();
@@ -213,7 +213,7 @@
             if (line != null) {
                 tells(How.SILENT);
             }
-            counters.add(Count.CALLS_TOO_LONG);
+            counters.add(Count.CALLS_TIMED_OUT);
             // The index knows how long it is waited for and says when that is over; silence is the connection's.
             over(written ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE, null);
         }
@@ -301,7 +301,7 @@
         private void elsewhere(Call refused) {
             refused.tells(How.REFUSED);
             if (refused.refusedBy < 0 && choice.mayRepeat()) {
-                counters.add(Count.CALLS_REPEATED);
+                counters.add(Count.CALLS_RETRIED);
                 refused.refusedBy = server;
                 refused.server = -1;
                 place(refused);
@@ -330,14 +330,14 @@
                     if (r.ref().equals(call.ref)) {
                         replied(r);
                     } else {
-                        counters.add(Count.REPLIES_TO_NO_CALL);
+                        counters.add(Count.REPLIES_UNEXPECTED);
                     }
                 }
                 if (call == null && !reader.isEmpty()) {
                     throw new MalformedMessageException("the start of another reply");
                 }
             } catch (MalformedMessageException e) {
-                counters.add(Count.REPLIES_UNREADABLE);
+                counters.add(Count.REPLIES_MALFORMED);
                 end();
             }
         }
@@ -383,7 +383,7 @@
             Call broken = call;
             call = null;
             if (broken != null) {
-                counters.add(Count.CALLS_CUT_OFF);
+                counters.add(Count.CALLS_CONNECTION_LOST);
                 broken.tells(How.CUT);
                 broken.line = null;
                 broken.over(Outcome.CONNECTION_LOST, null);
--- a/src/main/java/topazladder/net/RuntimeLink.java
+++ b/src/main/java/topazladder/net/RuntimeLink.java
@@ -156,7 +156,7 @@
         if (socket == s) {
             socket = null;
             caughtUp = false;
-            dispatcher.runtimeLost();
+            dispatcher.runtimeDisconnected();
             if (!over) {
                 counters.add(Count.LINKS_LOST);
                 LOG.warn("the link to the runtime is lost after notice {}", lastNotice);
@@ -193,7 +193,7 @@
                 take(RuntimeLines.notice(l));
             }
         } catch (MalformedMessageException e) {
-            counters.add(Count.LINES_UNREADABLE);
+            counters.add(Count.LINES_MALFORMED);
             LOG.warn("the runtime sent what can't be read: {}", e.getMessage());
             from.close();
         }
@@ -223,11 +223,11 @@
         } else if (notice instanceof Nack n) {
             unacknowledged.heardOf(n.ref());
             if (n.command().equals("start")) {
-                dispatcher.notStarted(n.ref());
+                dispatcher.commandRefused(n.ref());
             } else if (n.command().equals("selftest")) {
                 dispatcher.healthCheckCompleted(tag(n.ref()), false);
             } else {
-                counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
+                counters.add(Count.COMMANDS_REFUSED);
             }
         }
         // A remark has no meaning, so that its number must not pass over a notice that has one.
@@ -296,17 +296,17 @@
     }
 
     @Override
-    public void give(String ref, byte[] reply) {
+    public void resumeWithReply(String ref, byte[] reply) {
         command(ref, false, RuntimeLines.give(ref, reply));
     }
 
     @Override
-    public void omit(String ref, long notice) {
+    public void resumeWithoutReply(String ref, long notice) {
         command(ref, false, RuntimeLines.omit(ref, notice));
     }
 
     @Override
-    public void askGauges() {
+    public void requestGauges() {
         if (socket != null && ++unanswered > MOST_UNANSWERED && System.nanoTime() - lastWord > SILENT_NS) {
             unanswered = 0;
             lastWord = System.nanoTime();
@@ -320,7 +320,7 @@
     }
 
     @Override
-    public void askWhetherWorkGetsDone(long tag) {
+    public void requestHealthCheck(long tag) {
         if (socket == null) {
             dispatcher.healthCheckCompleted(tag, false); // nobody would ever tell
         }
--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -23,14 +23,15 @@
 import topazladder.net.amqp.AmqpNode;
 import topazladder.net.hall.HallNode;
 import topazladder.net.peer.PeerNode;
-import topazladder.service.Callers;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.DependencyCircuitBreaker;
 import topazladder.service.InstanceExtension;
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
+import topazladder.service.ServedValue;
 
 /** Puts the parts of a real service instance together, all on one event loop. */
 public final class ServiceInstance {
@@ -71,8 +72,8 @@
     public ServiceInstance(ServiceSettings terms, ExtensionSettings own, IntConsumer exit) {
         this.terms = terms;
         this.exit = exit;
-        int toIndex = Math.max(1, terms.sockets() / INDEX_PART);
-        int toCallers = Math.max(1, terms.sockets() - OTHER_DESCRIPTORS - toIndex);
+        int toIndex = Math.max(1, terms.maxSockets() / INDEX_PART);
+        int toCallers = Math.max(1, terms.maxSockets() - OTHER_DESCRIPTORS - toIndex);
         AcceptGate gate = new AcceptGate(toCallers + NEWCOMERS);
         vertx = Vertx.builder().withTransport(gate)
                 .with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
@@ -85,27 +86,27 @@
         index = new DependencyLink(vertx, terms.index(), toIndex, counters);
         control = new ControlPlane(vertx, terms.control(), terms.name());
         DoubleSupplier clock = ServiceInstance::unixSeconds;
-        Timers timers = (seconds, what) -> vertx.setTimer(Math.max(1, Math.round(seconds * 1000)),
+        Scheduler timers = (seconds, what) -> vertx.setTimer(Math.max(1, Math.round(seconds * 1000)),
                 id -> what.run());
         dispatcher = new RequestDispatcher(clock, terms.terms(), runtime, index, callers, timers, counters);
-        instance = new InstanceLifecycle(terms.name(), terms.seed(), terms.stopAfter(), clock, dispatcher,
+        instance = new InstanceLifecycle(terms.name(), terms.seed(), terms.stopAfterSeconds(), clock, dispatcher,
                 withParts(callers),
                 timers,
                 this::exit);
         addParts(own, clock, timers);
     }
 
-    private void addParts(ExtensionSettings own, DoubleSupplier clock, Timers timers) {
+    private void addParts(ExtensionSettings own, DoubleSupplier clock, Scheduler timers) {
         AmqpNode brokers = own.brokers().isEmpty() ? null
                 : new AmqpNode(vertx, terms, own, clock, timers, dispatcher, instance, counters);
         if (own.peering() != null) {
             HallNode[] hall = new HallNode[1];
             PeerNode peers = new PeerNode(vertx, terms, own, dispatcher, instance, counters, () -> hall[0]);
             parts.add(peers);
-            if (own.members() != null) {
+            if (own.cluster() != null) {
                 DependencyCircuitBreaker reach =
                         new DependencyCircuitBreaker(new SplittableRandom(terms.seed() ^ System.nanoTime()));
-                if (own.members().duties().stream().anyMatch(d -> d.what() instanceof ClusterSettings.Probe)) {
+                if (own.cluster().leases().stream().anyMatch(d -> d.task() instanceof ClusterSettings.Probe)) {
                     index.tryBy(reach);
                 }
                 hall[0] = new HallNode(vertx, terms, own, instance::phase, counters, peers::keys,
@@ -139,7 +140,7 @@
     /** The notice to leave, from any thread. */
     public void leave() {
         onLoop(() -> {
-            parts.forEach(InstanceExtension::leave);
+            parts.forEach(InstanceExtension::startShutdown);
             instance.shutdown();
         });
     }
@@ -152,26 +153,26 @@
     }
 
     private ThroughputMeter.Counted counted() {
-        double[] payoff = dispatcher.payoff();
-        return new ThroughputMeter.Counted(payoff[0], payoff[1], counters.of(Count.FAILED));
+        ServedValue value = dispatcher.servedValue();
+        return new ThroughputMeter.Counted(value.offered(), value.served(), counters.get(Count.FAILED));
     }
 
     /** What a part has to settle holds the stop back as an open connection does. */
-    private Callers withParts(Callers server) {
-        return new Callers() {
+    private ClientConnections withParts(ClientConnections server) {
+        return new ClientConnections() {
             @Override
             public void closeIdle(double seconds) {
                 server.closeIdle(seconds);
             }
 
             @Override
-            public void lastCall() {
-                server.lastCall();
+            public void stopAccepting() {
+                server.stopAccepting();
             }
 
             @Override
-            public int connections() {
-                return server.connections() + parts.stream().mapToInt(InstanceExtension::busy).sum();
+            public int openConnections() {
+                return server.openConnections() + parts.stream().mapToInt(InstanceExtension::pendingWork).sum();
             }
         };
     }
@@ -181,7 +182,7 @@
         try {
             ServiceSettings read = configuration.get();
             onLoop(() -> {
-                counters.add(Count.CONFIGURATIONS_READ);
+                counters.add(Count.CONFIGURATIONS_RELOADED);
                 LOG.info("{} reads its configuration anew", terms.name());
                 if (!read.alikeButForAddresses(terms)) {
                     LOG.warn("the configuration differs in more than addresses: that holds from the next start on");
@@ -192,7 +193,7 @@
             });
         } catch (InvalidSettingsException e) {
             onLoop(() -> {
-                counters.add(Count.CONFIGURATIONS_REFUSED);
+                counters.add(Count.CONFIGURATIONS_REJECTED);
                 LOG.error("the configuration stays as it was: {}", e.getMessage());
             });
         }
@@ -205,7 +206,7 @@
             onLoop(() -> parts.forEach(p -> p.reload(read)));
         } catch (InvalidSettingsException e) {
             onLoop(() -> {
-                counters.add(Count.CONFIGURATIONS_REFUSED);
+                counters.add(Count.CONFIGURATIONS_REJECTED);
                 LOG.error("the settings stay as they were: {}", e.getMessage());
             });
         }
@@ -227,17 +228,17 @@
 
     /** One request's fault must not end the process that all others are in. */
     private void fault(Throwable e) {
-        counters.add(Count.FAULTS);
+        counters.add(Count.INTERNAL_ERRORS);
         LOG.error("a fault of the program", e);
     }
 
     private void tellCounters() {
-        LOG.info("{} {} {} connections={}", terms.name(), counters, dispatcher, callers.connections());
+        LOG.info("{} {} {} connections={}", terms.name(), counters, dispatcher, callers.openConnections());
     }
 
     private void exit() {
         tellCounters();
-        boolean left = callers.connections() > 0;
+        boolean left = callers.openConnections() > 0;
         callers.end();
         closeParts(parts.iterator(), () -> {
             runtime.close();
--- a/src/main/java/topazladder/net/WarmUp.java
+++ b/src/main/java/topazladder/net/WarmUp.java
@@ -66,7 +66,7 @@
             String at = terms.listen().host();
             ServiceInstance service = new ServiceInstance(new ServiceSettings("rehearsal", new Address(at, port),
                     new Address(at, runtime.getLocalPort()), new Address(at, index.getLocalPort()),
-                    new Address(at, index.getLocalPort()), 1, 0.3, terms.sockets(), terms.terms()),
+                    new Address(at, index.getLocalPort()), 1, 0.3, terms.maxSockets(), terms.terms()),
                     status -> over.countDown());
             service.start();
             daemon(runtime, this::runtime);
--- a/src/main/java/topazladder/net/amqp/AmqpLink.java
+++ b/src/main/java/topazladder/net/amqp/AmqpLink.java
@@ -297,7 +297,7 @@
         f.setVirtualHost(to.virtualHost());
         f.setAutomaticRecoveryEnabled(false);
         f.setTopologyRecoveryEnabled(false);
-        f.setRequestedHeartbeat((int) Math.ceil(to.heartbeat()));
+        f.setRequestedHeartbeat((int) Math.ceil(to.heartbeatSeconds()));
         f.setConnectionTimeout(LONGEST_WAIT_MS);
         f.setHandshakeTimeout(LONGEST_WAIT_MS);
         f.setChannelRpcTimeout(LONGEST_WAIT_MS);
@@ -382,11 +382,11 @@
 
     private void topology(Session s, BrokerSettings to) throws Exception {
         Channel c = s.consuming.createChannel();
-        Topology t = to.declare();
+        Topology t = to.declaredTopology();
         if (t == null) {
             for (QueueSettings q : to.queues()) {
                 c.queueDeclarePassive(q.queue());
-                for (Route r : new Route[] {q.delay(), q.deadLetter()}) {
+                for (Route r : new Route[] {q.delayRoute(), q.deadLetterRoute()}) {
                     if (r != null && !r.exchange().isEmpty()) {
                         c.exchangeDeclarePassive(r.exchange());
                     }
@@ -404,11 +404,11 @@
                 if (q.deadLetterKey() != null) {
                     arguments.put("x-dead-letter-routing-key", q.deadLetterKey());
                 }
-                if (q.timeToLive() > 0) {
-                    arguments.put("x-message-ttl", Math.round(q.timeToLive() * 1000));
+                if (q.timeToLiveSeconds() > 0) {
+                    arguments.put("x-message-ttl", Math.round(q.timeToLiveSeconds() * 1000));
                 }
-                if (q.mostMessages() > 0) {
-                    arguments.put("x-max-length", (long) q.mostMessages());
+                if (q.maxMessages() > 0) {
+                    arguments.put("x-max-length", (long) q.maxMessages());
                 }
                 c.queueDeclare(q.name(), true, false, false, arguments);
             }
--- a/src/main/java/topazladder/net/amqp/AmqpNode.java
+++ b/src/main/java/topazladder/net/amqp/AmqpNode.java
@@ -18,7 +18,7 @@
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.InstanceLifecycle.Phase;
 import topazladder.service.RequestDispatcher;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /** Consuming from brokers: a link and a consumer for each, as long as the instance serves. */
 public final class AmqpNode implements InstanceExtension {
@@ -34,7 +34,7 @@
     private boolean opened;
     private boolean leaving;
 
-    public AmqpNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, DoubleSupplier clock, Timers timers,
+    public AmqpNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, DoubleSupplier clock, Scheduler timers,
             RequestDispatcher dispatcher, InstanceLifecycle instance, Counters counters) {
         this.vertx = vertx;
         this.instance = instance;
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void leave() {
+    public void startShutdown() {
         leaving = true;
         if (opened) {
             sources.values().forEach(s -> s.consumer().leave());
@@ -107,7 +107,7 @@
     }
 
     @Override
-    public int busy() {
+    public int pendingWork() {
         return sources.values().stream().filter(s -> s.link().isUp()).mapToInt(s -> s.consumer().open()).sum();
     }
 
--- a/src/main/java/topazladder/net/amqp/Pem.java
+++ b/src/main/java/topazladder/net/amqp/Pem.java
@@ -35,16 +35,16 @@
             CertificateFactory certificates = CertificateFactory.getInstance("X.509");
             KeyStore trust = empty();
             int i = 0;
-            for (Certificate c : read(certificates, tls.trust())) {
+            for (Certificate c : read(certificates, tls.trustedCertificates())) {
                 trust.setCertificateEntry("trusted" + i++, c);
             }
             TrustManagerFactory trusting = TrustManagerFactory.getInstance(TrustManagerFactory.getDefaultAlgorithm());
             trusting.init(trust);
             KeyManagerFactory keys = null;
-            if (tls.key() != null) {
+            if (tls.privateKey() != null) {
                 KeyStore mine = empty();
-                mine.setKeyEntry("own", key(new String(tls.key().bytes(), StandardCharsets.US_ASCII)), IN_MEMORY,
-                        read(certificates, tls.certificate()).toArray(Certificate[]::new));
+                mine.setKeyEntry("own", key(new String(tls.privateKey().bytes(), StandardCharsets.US_ASCII)), IN_MEMORY,
+                        read(certificates, tls.certificateChain()).toArray(Certificate[]::new));
                 keys = KeyManagerFactory.getInstance(KeyManagerFactory.getDefaultAlgorithm());
                 keys.init(mine, IN_MEMORY);
             }
--- a/src/main/java/topazladder/net/codec/CallerFrames.java
+++ b/src/main/java/topazladder/net/codec/CallerFrames.java
@@ -4,6 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.Response;
 
 /** Writes the frames that go to callers. */
@@ -14,16 +15,16 @@
 
     public static byte[] answer(long stream, Response answer) {
         List<String> fields = new ArrayList<>();
-        pressure(fields, answer.level());
-        if (answer.stayAway() > 0) {
+        pressure(fields, answer.admissionLevel());
+        if (answer.retryAfterSeconds() > 0) {
             fields.add("cooldown");
-            fields.add(String.valueOf((long) Math.ceil(answer.stayAway() * 1000)));
+            fields.add(String.valueOf((long) Math.ceil(answer.retryAfterSeconds() * 1000)));
         }
-        if (answer.notElsewhere()) {
+        if (answer.doNotRetryElsewhere()) {
             fields.add("nowhere");
             fields.add("1");
         }
-        int code = switch (answer.how()) {
+        int code = switch (answer.status()) {
             case SERVED -> 0;
             case REJECTED -> 1;
             case FAILED -> 2;
@@ -31,7 +32,7 @@
         return frame(17, stream, code, fields, answer.body());
     }
 
-    public static byte[] health(long stream, boolean good, Double level) {
+    public static byte[] health(long stream, boolean good, AdmissionLevel level) {
         List<String> fields = new ArrayList<>();
         pressure(fields, level);
         return frame(33, stream, good ? 0 : 1, fields, NOTHING);
@@ -46,10 +47,10 @@
         return ByteBuffer.allocate(9).putInt(5).put((byte) 48).putInt(0).array();
     }
 
-    private static void pressure(List<String> fields, Double level) {
-        if (level != null) {
+    private static void pressure(List<String> fields, AdmissionLevel level) {
+        if (level.isPosted()) {
             fields.add("pressure");
-            fields.add(String.valueOf(level));
+            fields.add(String.valueOf(level.value()));
         }
     }
 
--- a/src/main/java/topazladder/net/hall/Founding.java
+++ b/src/main/java/topazladder/net/hall/Founding.java
@@ -21,10 +21,10 @@
      * @return what was done, in words
      */
     public static String found(String name, ClusterSettings settings, long formed) {
-        if (!settings.voters().contains(name) || settings.folder() == null) {
+        if (!settings.voters().contains(name) || settings.dataFolder() == null) {
             throw new InvalidSettingsException(name + " should be one of hall.voters, with a hall.folder");
         }
-        try (SqliteStore store = new SqliteStore(settings.folder())) {
+        try (SqliteStore store = new SqliteStore(settings.dataFolder())) {
             VoterStore.Founding before = store.founding();
             if (before != null && before.formed() >= formed) {
                 throw new InvalidSettingsException(
--- a/src/main/java/topazladder/net/hall/GroupThread.java
+++ b/src/main/java/topazladder/net/hall/GroupThread.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * The one thread that owns the group's state. It is not the event loop: a voter's store waits for its disk, and no
  * request may wait for that. What goes between the two is handed over as a task.
  */
-final class GroupThread implements Timers {
+final class GroupThread implements Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(GroupThread.class);
 
     private final ScheduledThreadPoolExecutor thread;
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void in(double seconds, Runnable what) {
+    public void schedule(double seconds, Runnable what) {
         try {
             thread.schedule(() -> {
                 try {
@@ -45,7 +45,7 @@
     }
 
     void execute(Runnable what) {
-        in(0, what);
+        schedule(0, what);
     }
 
     /** What is under way comes to its end; nothing new begins. */
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -59,7 +59,7 @@
 import topazladder.service.DependencyCircuitBreaker;
 import topazladder.service.InstanceExtension;
 import topazladder.service.InstanceLifecycle.Phase;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * A member of a hall on sockets: who is there and what it holds on the event loop, its vote on a thread of its own.
@@ -138,7 +138,7 @@
         this.drain = drain;
         this.counted = counted;
         loop = vertx.getOrCreateContext();
-        settings = own.members();
+        settings = own.cluster();
         meter = new ThroughputMeter(settings.version());
         routes = settings.routes();
         name = terms.name();
@@ -147,20 +147,22 @@
         chance = new SplittableRandom(terms.seed() ^ life);
         clock = new HallClock(HallNode::monotonic, () -> System.currentTimeMillis() / 1e3, settings.clockRate());
         MemberIdentity here = new MemberIdentity(name, life);
-        Timers clockTimers = (seconds, what) -> vertx.setTimer(Math.max(1,
+        Scheduler clockTimers = (seconds, what) -> vertx.setTimer(Math.max(1,
                 (long) Math.ceil(seconds / settings.clockRate() * 1000)), id -> what.run());
         hall = terms(name, own);
         member = new MemberNode(hall, new LeaseHolder(here), clockTimers, clock, chance.split(), new World());
         links = new HallLinks(vertx, new Greetings.Who(name, life), keys, (from, what) -> {}, traffic);
-        door = new HallDoor(vertx, this::heard, () -> counters.add(Count.MEMBERS_REFUSED), traffic);
-        for (ClusterSettings.Duty d : settings.duties()) {
+        door = new HallDoor(vertx, this::heard, () -> counters.add(Count.MEMBERS_REJECTED), traffic);
+        for (ClusterSettings.Lease d : settings.leases()) {
             works.put(d.name(), work(d, here, queue, index));
         }
-        use = settings.below() == null ? null : new Use(new Use.Terms(settings.below().servers().stream()
-                .map(ClusterSettings.Below.Server::name).toList(), settings.below().alone()), chance.split());
+        use = settings.dependencyPool() == null ? null
+                : new Use(new Use.Terms(settings.dependencyPool().servers().stream()
+                        .map(ClusterSettings.DependencyPool.Server::name).toList(),
+                        settings.dependencyPool().maxLocallyEjectedShare()), chance.split());
         member.below(use);
         if (hall.votes()) {
-            if (settings.folder() == null) {
+            if (settings.dataFolder() == null) {
                 throw new InvalidSettingsException("hall.folder is missing, and this member votes");
             }
             thread = new GroupThread(name, settings.clockRate());
@@ -180,12 +182,14 @@
     }
 
     static HallTerms terms(String name, ExtensionSettings own) {
-        ClusterSettings s = own.members();
-        return new HallTerms(name, text(s.advertise()), own.hall(), s.seeds().stream().map(HallNode::text).toList(),
-                s.voters(), s.heartbeat(), s.duties().stream().map(d -> new LeaseSettings(d.name(), d.lease(),
-                        d.mostLosses())).toList(),
-                !s.holdsNone(), new Membership.Terms(s.period(), 3, 3600),
-                s.budgets(), HallMessages.SCHEMA);
+        ClusterSettings s = own.cluster();
+        return new HallTerms(name, text(s.advertisedAddress()), own.zone(),
+                s.seeds().stream().map(HallNode::text).toList(),
+                s.voters(), s.heartbeatSeconds(),
+                s.leases().stream().map(d -> new LeaseSettings(d.name(), d.durationSeconds(),
+                        d.maxConsecutiveLosses())).toList(),
+                !s.ineligibleForLeases(), new Membership.Terms(s.probePeriodSeconds(), 3, 3600),
+                s.disruptionBudgets(), HallMessages.SCHEMA);
     }
 
     private static String text(Address a) {
@@ -195,13 +199,13 @@
     /** On the group's thread. A folder that can't be opened costs a vote, and no request: it is tried again. */
     private void openVoter() {
         try {
-            voter = voter(new SqliteStore(settings.folder()));
+            voter = voter(new SqliteStore(settings.dataFolder()));
             voter.open();
         } catch (IOException | RuntimeException | LinkageError e) {
             // The last where the store's own library can't be loaded, as from a disk that fails.
             voter = null;
             LOG.error("{} does not vote for now: {}", name, e.toString());
-            thread.in(AGAIN_AFTER, this::openVoter);
+            thread.schedule(AGAIN_AFTER, this::openVoter);
         }
     }
 
@@ -216,25 +220,25 @@
             @Override
             public void failed(Throwable why) {
                 LOG.error("{} does not vote for now: {}", name, why.toString());
-                loop.runOnContext(v -> counters.add(Count.REPLICAS_LOST));
+                loop.runOnContext(v -> counters.add(Count.REPLICAS_FAILED));
             }
         });
     }
 
-    private LeasedTask work(ClusterSettings.Duty d, MemberIdentity here,
+    private LeasedTask work(ClusterSettings.Lease d, MemberIdentity here,
             Function<ClusterSettings.Consume, LeasedTask> queue,
             Supplier<Address> index) {
-        if (d.what()instanceof ClusterSettings.Touch t) {
+        if (d.task()instanceof ClusterSettings.Touch t) {
             return new TouchWork(vertx, d.name(), here.toString(), t);
-        } else if (d.what()instanceof ClusterSettings.Probe p) {
+        } else if (d.task()instanceof ClusterSettings.Probe p) {
             return new ProbeWork(vertx, index, p, (well, token) -> found(new Saying.Found("index", well, 0, token)));
         }
-        if (d.what() instanceof ClusterSettings.Conduct) {
+        if (d.task() instanceof ClusterSettings.ConductRollouts) {
             conductor = new ConductorNode(here, d.name(), (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)),
                     id -> what.run()), clock, System::currentTimeMillis, member, by -> new Conductor(name, by));
             return new ConductWork(conductor);
         }
-        return queue.apply((ClusterSettings.Consume) d.what());
+        return queue.apply((ClusterSettings.Consume) d.task());
     }
 
     /** On the group's thread. */
@@ -251,7 +255,7 @@
 
     /** The servers of the index to choose from; null where the settings name none. */
     public DependencyEndpointChoice choice() {
-        return use == null ? null : new PoolChoice(settings.below(), use, clock, member::noticed);
+        return use == null ? null : new PoolChoice(settings.dependencyPool(), use, clock, member::noticed);
     }
 
     /** What the links between members have cost this one. */
@@ -287,12 +291,12 @@
 
     @Override
     public void reload(ExtensionSettings other) {
-        if (other.members() == null) {
+        if (other.cluster() == null) {
             LOG.warn("the hall can't be left without a restart");
             return;
         }
-        routes = other.members().routes();
-        if (!other.members().duties().equals(settings.duties())) {
+        routes = other.cluster().routes();
+        if (!other.cluster().leases().equals(settings.leases())) {
             LOG.warn("other duties need a restart of this member");
         }
         HallTerms next = terms(name, other);
@@ -306,13 +310,13 @@
     }
 
     @Override
-    public void leave() {
+    public void startShutdown() {
         leaving = true;
         member.leave();
     }
 
     @Override
-    public int busy() {
+    public int pendingWork() {
         return member.clear() ? 0 : 1;
     }
 
@@ -362,7 +366,7 @@
     /** A connection on which a member greeted rightly. */
     public void take(NetSocket socket, PeerFrames.Seal seal, byte[] greeting, PeerFrames.Reader reader)
             throws MalformedMessageException {
-        counters.add(Count.MEMBERS_TAKEN);
+        counters.add(Count.MEMBERS_CONNECTED);
         door.take(socket, seal, greeting, reader);
     }
 
@@ -386,12 +390,12 @@
                 return;
             }
         }
-        counters.add(Count.SAID_TO_MEMBERS);
+        counters.add(Count.MEMBER_MESSAGES_SENT);
         links.say(at, what);
     }
 
     private void heard(String from, Saying what, HallDoor.Back back) {
-        counters.add(Count.HEARD_OF_MEMBERS);
+        counters.add(Count.MEMBER_MESSAGES_RECEIVED);
         if (what instanceof Saying.Asking a && !a.address().isEmpty()) {
             askers.put(from, a.address());
         }
@@ -610,7 +614,7 @@
 
         @Override
         public void start(String duty, long token) {
-            counters.add(Count.DUTIES_TAKEN);
+            counters.add(Count.LEASES_ACQUIRED);
             LeasedTask work = works.get(duty);
             if (work == null) {
                 member.stopped(duty, token, "this member's settings have no such duty");
@@ -622,24 +626,25 @@
 
         @Override
         public void stop(String duty, long token, double within) {
-            counters.add(Count.DUTIES_STOPPED);
+            counters.add(Count.LEASES_RELEASED);
             works.get(duty).stop(within, () -> loop.runOnContext(v -> member.stopped(duty, token, null)));
         }
 
         @Override
         public void drain(long token, String version) {
-            if (version.isEmpty() || settings.nextFile() == null) {
-                drain.accept(settings.notice());
+            if (version.isEmpty() || settings.nextVersionFile() == null) {
+                drain.accept(settings.shutdownNoticeSeconds());
                 return;
             }
             // Written before it goes, whole or not at all: whoever starts it again reads it then.
             vertx.executeBlocking(() -> {
-                Path half = settings.nextFile().resolveSibling(settings.nextFile().getFileName() + ".new");
+                Path half =
+                        settings.nextVersionFile().resolveSibling(settings.nextVersionFile().getFileName() + ".new");
                 Files.writeString(half, version + "\n");
-                return Files.move(half, settings.nextFile(), StandardCopyOption.ATOMIC_MOVE,
+                return Files.move(half, settings.nextVersionFile(), StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
             }).onFailure(e -> LOG.error("{} can't be told to come back as {}: {}", name, version, e.toString()))
-                    .onComplete(done -> drain.accept(settings.notice()));
+                    .onComplete(done -> drain.accept(settings.shutdownNoticeSeconds()));
         }
 
         @Override
--- a/src/main/java/topazladder/net/hall/PoolChoice.java
+++ b/src/main/java/topazladder/net/hall/PoolChoice.java
@@ -4,7 +4,7 @@
 import java.util.function.DoubleSupplier;
 import topazladder.below.How;
 import topazladder.below.Use;
-import topazladder.config.ClusterSettings.Below;
+import topazladder.config.ClusterSettings.DependencyPool;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.net.DependencyEndpointChoice;
 
@@ -16,8 +16,8 @@
     private final Runnable noticed;
 
     /** @param noticed is told that a call has ended */
-    PoolChoice(Below terms, Use use, DoubleSupplier clock, Runnable noticed) {
-        addresses = terms.servers().stream().map(Below.Server::address).toList();
+    PoolChoice(DependencyPool terms, Use use, DoubleSupplier clock, Runnable noticed) {
+        addresses = terms.servers().stream().map(DependencyPool.Server::address).toList();
         this.use = use;
         this.clock = clock;
         this.noticed = noticed;
--- a/src/main/java/topazladder/net/hall/ProbeWork.java
+++ b/src/main/java/topazladder/net/hall/ProbeWork.java
@@ -39,7 +39,7 @@
     @Override
     public void start(long token, Supplier<OptionalLong> leave, Consumer<String> failed) {
         int mine = ++generation;
-        timer = vertx.setPeriodic(1, Math.max(1, Math.round(terms.every() * 1000)), id -> probe(mine, leave));
+        timer = vertx.setPeriodic(1, Math.max(1, Math.round(terms.intervalSeconds() * 1000)), id -> probe(mine, leave));
     }
 
     private void probe(int mine, Supplier<OptionalLong> leave) {
--- a/src/main/java/topazladder/net/hall/TouchWork.java
+++ b/src/main/java/topazladder/net/hall/TouchWork.java
@@ -42,7 +42,7 @@
         leave = mayGoOn;
         int mine = ++generation;
         connect(mine);
-        timer = vertx.setPeriodic(1, Math.max(1, Math.round(terms.every() * 1000)), id -> touch(mine));
+        timer = vertx.setPeriodic(1, Math.max(1, Math.round(terms.intervalSeconds() * 1000)), id -> touch(mine));
     }
 
     private void connect(int mine) {
--- a/src/main/java/topazladder/net/peer/PeerNode.java
+++ b/src/main/java/topazladder/net/peer/PeerNode.java
@@ -69,15 +69,15 @@
         long incarnation = System.currentTimeMillis() << 16 ^ ProcessHandle.current().pid();
         Origin here = new Origin(terms.name(), incarnation, ((Number) terms.terms().map().get("cores")).doubleValue(),
                 own.coreSpeed(), digest(terms.terms()));
-        learning = new Learning(here, PeerNode::seconds, settings.leaveOut());
-        asking = new Asking(terms.name(), incarnation, own.hall(),
-                new Bounds(settings.hedgeAfter(), settings.tryFor(), settings.tries()),
+        learning = new Learning(here, PeerNode::seconds, settings.excludedKinds());
+        asking = new Asking(terms.name(), incarnation, own.zone(),
+                new Bounds(settings.hedgeAfterSeconds(), settings.attemptTimeoutSeconds(), settings.maxAttempts()),
                 new SplittableRandom(terms.seed() ^ incarnation));
-        asker = new PeerAsker(vertx, here, settings.tryFor(), () -> keys, this);
+        asker = new PeerAsker(vertx, here, settings.attemptTimeoutSeconds(), () -> keys, this);
         server = settings.listen() == null ? null : new PeerServer(vertx, learning, dispatcher::learnedEstimates,
                 instance::phase, counters,
-                new Giving(settings.sharesPerSecond(), settings.loopShare()), () -> keys,
-                own.members() == null ? null
+                new Giving(settings.sharesPerSecond(), settings.maxEventLoopShare()), () -> keys,
+                own.cluster() == null ? null
                         : (socket, seal, greeting, reader) -> hall.get().take(socket, seal, greeting, reader));
     }
 
@@ -105,12 +105,12 @@
 
     private void take(Peering p) {
         List<byte[]> valid = new ArrayList<>(List.of(p.key().bytes()));
-        if (p.otherKey() != null) {
-            valid.add(p.otherKey().bytes());
+        if (p.secondaryKey() != null) {
+            valid.add(p.secondaryKey().bytes());
         }
         keys = valid;
         peers = p.peers().stream().map(peer -> new Candidate(peer.name(),
-                peer.address().host() + ":" + peer.address().port(), peer.hall())).toList();
+                peer.address().host() + ":" + peer.address().port(), peer.zone())).toList();
     }
 
     @Override
@@ -122,7 +122,7 @@
         began = seconds();
         List<Step> steps = asking.start(began, peers);
         if (asking.phase() == Phase.ASKING) {
-            instance.delayServing(settings.waitAtMost());
+            instance.delayServing(settings.maxWaitSeconds());
         }
         carryOut(steps);
     }
@@ -193,13 +193,13 @@
 
     @Override
     public void whole(int number) {
-        counters.add(Count.SHARES_TAKEN);
+        counters.add(Count.SHARES_RECEIVED);
         carryOut(asking.learned(seconds(), number));
     }
 
     @Override
     public void later(int number, double comeBackIn) {
-        counters.add(Count.SHARES_PUT_OFF);
+        counters.add(Count.SHARES_POSTPONED);
         carryOut(asking.later(seconds(), number, comeBackIn));
     }
 
--- a/src/main/java/topazladder/net/peer/PeerServer.java
+++ b/src/main/java/topazladder/net/peer/PeerServer.java
@@ -166,7 +166,7 @@
                     put(seal, new Delay(Reason.BUSY, turn.comeBackIn()));
                     return;
                 }
-                counters.add(Count.SHARES_GIVEN);
+                counters.add(Count.SHARES_SENT);
                 List<byte[]> chunks = PeerMessages.chunks(learning.toTell(known), now);
                 socket.write(Buffer.buffer(seal.frame(Type.HEADER, 0,
                         PeerMessages.head(learning.here(), chunks.size()))));
@@ -183,7 +183,7 @@
         }
 
         private void put(Seal seal, Delay delay) {
-            counters.add(Count.ASKERS_PUT_OFF);
+            counters.add(Count.PEERS_POSTPONED);
             socket.write(Buffer.buffer(seal.frame(Type.LATER, 0, PeerMessages.later(delay))));
             part();
         }
@@ -198,7 +198,7 @@
         /** Nothing is said to whoever has no key: not even why. */
         private void refuse() {
             over = true;
-            counters.add(Count.ASKERS_REFUSED);
+            counters.add(Count.PEERS_REJECTED);
             socket.close();
         }
     }
--- a/src/main/java/topazladder/rig/HollowMembers.java
+++ b/src/main/java/topazladder/rig/HollowMembers.java
@@ -78,7 +78,7 @@
                 HallNode ended = node;
                 node = null;
                 if (inOrder) {
-                    ended.leave();
+                    ended.startShutdown();
                     ended.close(() -> {});
                 } else {
                     ended.abort();
--- a/src/main/java/topazladder/rig/LiveCallers.java
+++ b/src/main/java/topazladder/rig/LiveCallers.java
@@ -19,7 +19,7 @@
 import topazladder.emulator.Traffic;
 import topazladder.emulator.Traffic.Wanted;
 import topazladder.faults.RequestLedger;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /** The callers of one instance, on a few connections; what that one defers they try at another, once. */
 final class LiveCallers {
@@ -37,7 +37,7 @@
 
     private final Vertx vertx;
     private final DoubleSupplier clock;
-    private final Timers timers;
+    private final Scheduler timers;
     private final int port;
     private final LiveRuntime machine;
     private final List<LiveCallers> all;
@@ -67,7 +67,7 @@
     private double[] earned = new double[0];
 
     /** @param scale of all times, beside those of the operators' brief */
-    LiveCallers(Vertx vertx, DoubleSupplier clock, Timers timers, String name, int port, LiveRuntime machine,
+    LiveCallers(Vertx vertx, DoubleSupplier clock, Scheduler timers, String name, int port, LiveRuntime machine,
             List<LiveCallers> all, List<Traffic.Kind> kinds, double rate, double[] habits, double reading,
             double scale, long seed) {
         this.vertx = vertx;
@@ -92,7 +92,7 @@
         for (int i = 0; i < CONNECTIONS; i++) {
             lines.add(new Line());
         }
-        timers.in(traffic.gap(rate), this::next);
+        timers.schedule(traffic.gap(rate), this::next);
     }
 
     /** Each request and answer is written down, as that instance's. */
@@ -159,7 +159,7 @@
                     ? String.format("%08x%024x", name.hashCode(), ++marks) : null;
             send(this, new Tried(w, fingerprint, now, false, this));
         }
-        timers.in(traffic.gap(rate), this::next);
+        timers.schedule(traffic.gap(rate), this::next);
     }
 
     private static void send(LiveCallers to, Tried t) {
@@ -192,7 +192,7 @@
             List<LiveCallers> others = all.stream().filter(o -> o != this && !o.over).toList();
             if (!others.isEmpty()) {
                 LiveCallers next = others.get(habits.nextInt(others.size()));
-                timers.in(0.02 * scale, () -> send(next, new Tried(t.wanted(), t.fingerprint(), t.first(), true,
+                timers.schedule(0.02 * scale, () -> send(next, new Tried(t.wanted(), t.fingerprint(), t.first(), true,
                         t.of())));
             }
         }
--- a/src/main/java/topazladder/rig/LiveRuntime.java
+++ b/src/main/java/topazladder/rig/LiveRuntime.java
@@ -14,7 +14,7 @@
 import topazladder.net.codec.LineReader;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.request.Outcome;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /** The emulator's runtime behind the protocol of a real one, for one process at a time. */
 final class LiveRuntime implements Runtime.Listener {
@@ -24,7 +24,7 @@
     }
 
     private final DoubleSupplier clock;
-    private final Timers timers;
+    private final Scheduler timers;
     private final NetServer server;
     private final Deque<Notice> notices = new ArrayDeque<>(); // the last so many
     private Runtime runtime;
@@ -47,7 +47,7 @@
         default void ended(String ref) {}
     }
 
-    LiveRuntime(Vertx vertx, DoubleSupplier clock, Timers timers, int port) {
+    LiveRuntime(Vertx vertx, DoubleSupplier clock, Scheduler timers, int port) {
         this.clock = clock;
         this.timers = timers;
         server = vertx.createNetServer(new NetServerOptions().setTcpNoDelay(true));
--- a/src/main/java/topazladder/rig/PathRig.java
+++ b/src/main/java/topazladder/rig/PathRig.java
@@ -34,7 +34,7 @@
     private static final long LONGEST_NANOS = 10_000_000_000L;
     private static final int DIGITS = 3;
     private static final double MILLI = 1e6;
-    private static final String SERVES = "n0 is serving after";
+    private static final String SERVES = "name=n0 from=awaiting-runtime to=serving";
 
     /**
      * What came of one start and one measurement.
--- a/src/main/java/topazladder/rig/PeerRig.java
+++ b/src/main/java/topazladder/rig/PeerRig.java
@@ -20,7 +20,7 @@
 import topazladder.emulator.PeerTrial.Outcome;
 import topazladder.emulator.Runtime;
 import topazladder.emulator.Traffic;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * Real processes of the program on loopback, all round them played by the emulator's parts in real time: two that are
@@ -78,7 +78,7 @@
         Runtime.Shape shape = new Runtime.Shape(CORES, 1, 0.25 + 0.15 * chance.nextDouble(),
                 (6 + 10 * chance.nextDouble()) * SCALE, 2);
         DoubleSupplier clock = PeerRig::seconds;
-        Timers timers = (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)), id -> what.run());
+        Scheduler timers = (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)), id -> what.run());
         Path key = folder.resolve("key");
         Files.writeString(key, "the key of this rig " + seed);
         List<Process> processes = new ArrayList<>();
--- a/src/main/java/topazladder/rig/RigLoad.java
+++ b/src/main/java/topazladder/rig/RigLoad.java
@@ -12,7 +12,7 @@
 import topazladder.emulator.Runtime;
 import topazladder.emulator.Traffic;
 import topazladder.faults.RequestLedger;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /**
  * What stands round a rig's processes: the runtime of each, its callers where there is load, the index of all, and the
@@ -74,7 +74,7 @@
         return () -> System.nanoTime() / 1e9;
     }
 
-    private Timers timers() {
+    private Scheduler timers() {
         return (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)), id -> what.run());
     }
 
--- a/src/main/java/topazladder/rig/RigProcesses.java
+++ b/src/main/java/topazladder/rig/RigProcesses.java
@@ -98,7 +98,7 @@
     }
 
     void found(int i, long formed) {
-        Founding.found(RigSettings.name(i), ExtensionSettingsFile.of(settings.of(i, version(i)), folder).members(),
+        Founding.found(RigSettings.name(i), ExtensionSettingsFile.of(settings.of(i, version(i)), folder).cluster(),
                 formed);
     }
 
--- a/src/main/java/topazladder/service/DependencyCircuitBreaker.java
+++ b/src/main/java/topazladder/service/DependencyCircuitBreaker.java
@@ -3,84 +3,105 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whether a service below is worth a try, by this instance's own tries and by what the one that probes for all has
- * told. While all hold it for dead only that one tries; when it is back, the instances come back spread over a while,
- * not all at once.
+ * A circuit breaker over connections to the dependency, which goes by this instance's own attempts and by what the
+ * lease holder that probes the dependency for all instances reports.
  *
- * <p>What one is told never keeps it from trying for good: without a word for a while it goes by its own tries again.
+ * <pre>
+ * CLOSED     --5 connections refused in a row--------------->  OPEN
+ * OPEN       --the prober reached the dependency------------>  RECOVERING
+ * OPEN, RECOVERING --a connection of this instance succeeded-> CLOSED
+ * RECOVERING --a random delay of up to a second has passed-->  CLOSED
+ * RECOVERING --the prober could not reach the dependency---->  OPEN
+ * </pre>
+ *
+ * <p>While the breaker is open only the prober tries, and all instances come back spread over a second rather than at
+ * once. A report never keeps an instance from trying for good: without one for five seconds it tries once a second by
+ * itself. Times are in seconds of one clock that never runs backwards.
  */
 public final class DependencyCircuitBreaker {
-    /** Refusals in a row after which it is held for dead. */
-    private static final int REFUSALS = 5;
-    /** Seconds without a word of the prober after which this one tries by itself, and between two such tries. */
-    private static final double ALONE_AFTER = 5;
-    private static final double ALONE_EVERY = 1;
-    /** Seconds over which those that were told come back. */
-    private static final double SPREAD = 1;
-    /** What is older says nothing. */
-    private static final double STALE = 10;
+    private static final int REFUSALS_UNTIL_OPEN = 5;
+    /** Without a report for so long, this instance tries by itself. */
+    private static final double REPORT_TIMEOUT_SECONDS = 5;
+    private static final double OWN_ATTEMPT_INTERVAL_SECONDS = 1;
+    private static final double RECOVERY_SPREAD_SECONDS = 1;
+    /** An older report says nothing. */
+    private static final double MAX_REPORT_AGE_SECONDS = 10;
 
-    public enum State { CLOSED, OPEN, RECOVERING }
+    /** Whether calls are made. */
+    public enum State {
+        /** They are. */
+        CLOSED,
+        /** They are not, but for the rare attempt where no reports come. */
+        OPEN,
+        /** They are from a moment on that was drawn at random. */
+        RECOVERING
+    }
 
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private State state = State.CLOSED;
-    private int refused;
-    private double toldAt = Double.NEGATIVE_INFINITY;
-    private double backAt;
-    private double lastAlone = Double.NEGATIVE_INFINITY;
-    private long token;
+    private int consecutiveRefusals;
+    private double lastReportAt = Double.NEGATIVE_INFINITY;
+    private double recoversAt;
+    private double lastOwnAttemptAt = Double.NEGATIVE_INFINITY;
+    private long highestFencingToken;
 
-    public DependencyCircuitBreaker(RandomGenerator chance) {
-        this.chance = chance;
+    /** A closed breaker that draws its recovery delays from this generator. */
+    public DependencyCircuitBreaker(RandomGenerator random) {
+        this.random = random;
     }
 
     public State state() {
         return state;
     }
 
-    /** Whether to try now; where not, the call ends as one that could not be made. */
+    /** Whether to make a call now; where not, the call ends as one that could not be made. */
     public boolean isCallPermitted(double now) {
-        if (state == State.RECOVERING && now >= backAt) {
+        if (state == State.RECOVERING && now >= recoversAt) {
             state = State.CLOSED;
-            refused = 0;
+            consecutiveRefusals = 0;
         }
-        if (state == State.OPEN && now - toldAt > ALONE_AFTER && now - lastAlone >= ALONE_EVERY) {
-            lastAlone = now;
+        if (state == State.OPEN && now - lastReportAt > REPORT_TIMEOUT_SECONDS
+                && now - lastOwnAttemptAt >= OWN_ATTEMPT_INTERVAL_SECONDS) {
+            lastOwnAttemptAt = now;
             return true;
         }
         return state == State.CLOSED;
     }
 
+    /** A connection of this instance succeeded. */
     public void onSuccess() {
-        refused = 0;
+        consecutiveRefusals = 0;
         state = State.CLOSED;
     }
 
+    /** A connection of this instance was refused. */
     public void onConnectionRefused(double now) {
-        if (++refused >= REFUSALS && state == State.CLOSED) {
+        consecutiveRefusals++;
+        if (consecutiveRefusals >= REFUSALS_UNTIL_OPEN && state == State.CLOSED) {
             state = State.OPEN;
-            lastAlone = now;
-            // From here on the prober's word is waited for, for a while.
-            toldAt = Math.max(toldAt, now);
+            lastOwnAttemptAt = now;
+            // From here on the prober's report is waited for, for a while.
+            lastReportAt = Math.max(lastReportAt, now);
         }
     }
 
     /**
      * What the prober found.
      *
-     * @param age seconds since it looked
-     * @param under the prober's token: one of an earlier prober says nothing against a later one's
+     * @param reachable whether the dependency accepted its connection
+     * @param ageSeconds since it looked
+     * @param fencingToken of the prober's lease: a report of an earlier holder says nothing against a later one's
      */
-    public void onProbeResult(double now, boolean well, double age, long under) {
-        if (age > STALE || under < token) {
+    public void onProbeResult(double now, boolean reachable, double ageSeconds, long fencingToken) {
+        if (ageSeconds > MAX_REPORT_AGE_SECONDS || fencingToken < highestFencingToken) {
             return;
         }
-        token = under;
-        toldAt = Math.max(toldAt, now - age);
-        if (well && state == State.OPEN) {
+        highestFencingToken = fencingToken;
+        lastReportAt = Math.max(lastReportAt, now - ageSeconds);
+        if (reachable && state == State.OPEN) {
             state = State.RECOVERING;
-            backAt = now + chance.nextDouble(SPREAD);
-        } else if (!well && state == State.RECOVERING) {
+            recoversAt = now + random.nextDouble(RECOVERY_SPREAD_SECONDS);
+        } else if (!reachable && state == State.RECOVERING) {
             state = State.OPEN;
         }
     }
--- a/src/main/java/topazladder/service/DependencyPort.java
+++ b/src/main/java/topazladder/service/DependencyPort.java
@@ -1,14 +1,17 @@
 package topazladder.service;
 
-/** Makes the calls of runs to what lies below. */
+/** Makes the calls of runs to the service below, the dependency. */
 public interface DependencyPort {
 
     /**
-     * The end is told to the exchange, by the end of the patience.
+     * Starts the call of a run. Its end is reported to {@link RequestDispatcher#dependencyCallEnded}, within the
+     * remaining time.
      *
-     * @param repeatable whether it may be made again although it may have had its effect
+     * @param remainingSeconds seconds after which the call is abandoned
+     * @param retrySafe whether it may be made again although it may have had its effect
      */
-    void call(String ref, double patience, boolean repeatable, byte[] body);
+    void call(String requestId, double remainingSeconds, boolean retrySafe, byte[] body);
 
-    void giveUp(String ref);
+    /** Abandons the call of a run, whose end is not reported. */
+    void cancel(String requestId);
 }
--- a/src/main/java/topazladder/service/IdempotencyStore.java
+++ b/src/main/java/topazladder/service/IdempotencyStore.java
@@ -64,7 +64,7 @@
     }
 
     void remember(InFlightRequest holder, double until) {
-        String fingerprint = holder.arrival.fingerprint();
+        String fingerprint = holder.arrival.idempotencyKey();
         if (fingerprint == null) {
             return;
         }
--- a/src/main/java/topazladder/service/InFlightRequest.java
+++ b/src/main/java/topazladder/service/InFlightRequest.java
@@ -6,7 +6,7 @@
 /** One request between its arrival and the end of all that is done for it. */
 public final class InFlightRequest {
     final IncomingRequest arrival;
-    final Caller caller;
+    final ResponseListener caller;
     final Request request;
     final byte[] digest; // of what all tries of it carry, or null where it has no fingerprint
     Kept kept; // its fingerprint, while that is remembered
@@ -17,7 +17,7 @@
     boolean calling;
     double calledAt;
 
-    InFlightRequest(IncomingRequest arrival, Caller caller, Request request, Kept kept, byte[] digest) {
+    InFlightRequest(IncomingRequest arrival, ResponseListener caller, Request request, Kept kept, byte[] digest) {
         this.arrival = arrival;
         this.caller = caller;
         this.request = request;
--- a/src/main/java/topazladder/service/IncomingRequest.java
+++ b/src/main/java/topazladder/service/IncomingRequest.java
@@ -1,21 +1,27 @@
 package topazladder.service;
 
 /**
- * A request as a caller sent it, its names not yet looked up in the terms.
+ * A request as a caller sent it, its names not yet looked up in the settings.
  *
- * @param ref names this try, at the door only
- * @param since when it came to the machine, in Unix seconds
- * @param tenant who sent it, or null where none is named
- * @param footprint kilobytes it takes while held
- * @param fingerprint the same for all tries of one request, or null where the request class has none
- * @param patience seconds that its caller still waits, or 0 where nobody told
+ * @param requestId names this attempt, within this instance
+ * @param requestClass name of the request class
+ * @param tenant name of the tenant that sent it, or null where none is named
+ * @param arrivedAtUnixSeconds when it came to the machine, in Unix seconds
+ * @param retry whether the caller says that it sent the request before
+ * @param memoryKilobytes memory it takes while in flight
+ * @param rank importance within its class, from 0 to 1
+ * @param idempotencyKey the same for all attempts of one request, or null where the request class has none
+ * @param body handed to the runtime as it is
+ * @param remainingSeconds seconds that its caller still waits, or 0 where the caller does not say
  */
-public record IncomingRequest(String ref, String requestClass, String tenant, double since, boolean retry,
-        double footprint, double rank, String fingerprint, byte[] body, double patience) {
+public record IncomingRequest(String requestId, String requestClass, String tenant, double arrivedAtUnixSeconds,
+        boolean retry, double memoryKilobytes, double rank, String idempotencyKey, byte[] body,
+        double remainingSeconds) {
 
-    public IncomingRequest(String ref, String requestClass, String tenant, double since, boolean retry,
-            double footprint,
-            double rank, String fingerprint, byte[] body) {
-        this(ref, requestClass, tenant, since, retry, footprint, rank, fingerprint, body, 0);
+    /** A request whose caller does not say how long it waits. */
+    public IncomingRequest(String requestId, String requestClass, String tenant, double arrivedAtUnixSeconds,
+            boolean retry, double memoryKilobytes, double rank, String idempotencyKey, byte[] body) {
+        this(requestId, requestClass, tenant, arrivedAtUnixSeconds, retry, memoryKilobytes, rank, idempotencyKey, body,
+                0);
     }
 }
--- a/src/main/java/topazladder/service/InstanceExtension.java
+++ b/src/main/java/topazladder/service/InstanceExtension.java
@@ -2,23 +2,23 @@
 
 import topazladder.config.ExtensionSettings;
 
-/** A part of a service instance that its own settings switch on; all calls come on the one event loop. */
+/** A part of a service instance that its own settings switch on. All calls come on the one event loop. */
 public interface InstanceExtension {
 
-    /** The callers' side listens, and the runtime is not asked for yet. */
+    /** Starts the part: the callers' side listens, and the runtime is not connected yet. */
     void open();
 
-    /** Settings that were read anew. */
+    /** Applies settings that were read anew. */
     void reload(ExtensionSettings settings);
 
-    /** The notice to leave: nothing new is begun. */
-    default void leave() {}
+    /** The instance shuts down: the part begins nothing new. */
+    default void startShutdown() {}
 
-    /** What it still has to settle; the instance does not stop for nothing before that is none, or the kill is near. */
-    default int busy() {
+    /** Pieces of work still to settle; the instance does not stop before there are none or its kill is near. */
+    default int pendingWork() {
         return 0;
     }
 
-    /** The process ends; told back when it may. */
-    void close(Runnable done);
+    /** Closes the part as the process ends; calls back when it may. */
+    void close(Runnable onClosed);
 }
--- a/src/main/java/topazladder/service/InstanceLifecycle.java
+++ b/src/main/java/topazladder/service/InstanceLifecycle.java
@@ -5,72 +5,103 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One real service instance from its start to its exit. */
+/**
+ * The states of one service instance from its start to its exit.
+ *
+ * <pre>
+ * STARTING --listeners opened--> AWAITING_RUNTIME --runtime connected--> SERVING --shutdown--> DRAINING --> STOPPED
+ * </pre>
+ *
+ * <p>A shutdown leads from AWAITING_RUNTIME to DRAINING as well, and from STARTING straight to STOPPED.
+ */
 public final class InstanceLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceLifecycle.class);
-    /** Kept of the time before the kill, so that the last answers are out and the process is over by then. */
-    private static final double CLEARING = 0.2;
 
-    public enum Phase { STARTING, AWAITING_RUNTIME, SERVING, DRAINING, STOPPED }
+    /** The states, in their order. */
+    public enum Phase {
+        /** Nobody can connect. */
+        STARTING,
+        /** Callers can connect, and are rejected. */
+        AWAITING_RUNTIME,
+        SERVING,
+        /** Received requests are answered; new ones are received for as long as there is time for them. */
+        DRAINING,
+        /** The process ends. */
+        STOPPED
+    }
 
     private final String name;
     private final long seed;
-    private final double stopAfter;
+    private final double stopAfterSeconds;
     private final DoubleSupplier clock;
     private final RequestDispatcher dispatcher;
-    private final Callers callers;
-    private final Timers timers;
-    private final Runnable exit;
+    private final Scheduler scheduler;
+    private final Runnable onStopped;
+    private final GracefulShutdown shutdown;
     private Phase phase = Phase.STARTING;
-    private double killAt;
-    private boolean lastCall;
-    private boolean leaves;
-    private double held;
-    private double heldUntil;
-    private Runnable waiting = () -> {};
-
-    public InstanceLifecycle(String name, long seed, double stopAfter, DoubleSupplier clock,
-            RequestDispatcher dispatcher, Callers callers, Timers timers, Runnable exit) {
+    private boolean shutdownAnnounced;
+    private double servingDelaySeconds;
+    private double servingDelayedUntil;
+    /** What {@link #resumeServing} starts, once the runtime is connected. */
+    private Runnable delayedServing = () -> {};
+
+    /**
+     * An instance that is starting.
+     *
+     * @param name what the log calls it
+     * @param seed of the admission controller's random numbers
+     * @param stopAfterSeconds from the notice to shut down to the kill
+     * @param clock Unix seconds
+     * @param onStopped ends the process
+     */
+    public InstanceLifecycle(String name, long seed, double stopAfterSeconds, DoubleSupplier clock,
+            RequestDispatcher dispatcher, ClientConnections connections, Scheduler scheduler, Runnable onStopped) {
         this.name = name;
         this.seed = seed;
-        this.stopAfter = stopAfter;
+        this.stopAfterSeconds = stopAfterSeconds;
         this.clock = clock;
         this.dispatcher = dispatcher;
-        this.callers = callers;
-        this.timers = timers;
-        this.exit = exit;
+        this.scheduler = scheduler;
+        this.onStopped = onStopped;
+        shutdown = new GracefulShutdown(clock, dispatcher, connections, scheduler, this::stop);
     }
 
     public Phase phase() {
         return phase;
     }
 
-    /** Whether it is to be reported as ready. */
-    public boolean ready() {
-        return phase == Phase.SERVING && !leaves && dispatcher.isHealthy();
+    /** Whether the instance is to be reported as ready to serve. */
+    public boolean isReady() {
+        return phase == Phase.SERVING && !shutdownAnnounced && dispatcher.isHealthy();
     }
 
+    /** Callers can connect. */
     public void listenersOpened() {
         if (phase == Phase.STARTING) {
             enter(Phase.AWAITING_RUNTIME);
         }
     }
 
-    /** Told again whenever the link is taken anew, which changes nothing. */
+    /**
+     * The runtime is connected and up. Called again whenever the link is re-established, which changes nothing.
+     *
+     * @param cold whether the runtime has not served yet, and warms up
+     */
     public void runtimeConnected(boolean cold) {
-        if (phase == Phase.AWAITING_RUNTIME) {
-            double left = heldUntil - clock.getAsDouble();
-            if (left > 0) {
-                // At most so long: a clock that is set back meanwhile must not keep all callers out.
-                timers.in(Math.min(left, held), () -> {
-                    held = 0;
-                    resumeServing();
-                });
-                waiting = () -> serve(cold);
-            } else {
-                serve(cold);
-            }
+        if (phase != Phase.AWAITING_RUNTIME) {
+            return;
         }
+        double remainingSeconds = servingDelayedUntil - clock.getAsDouble();
+        if (remainingSeconds <= 0) {
+            serve(cold);
+            return;
+        }
+        // No longer than the whole delay: a clock that is set back meanwhile must not keep all callers out.
+        scheduler.schedule(Math.min(remainingSeconds, servingDelaySeconds), () -> {
+            servingDelaySeconds = 0;
+            resumeServing();
+        });
+        delayedServing = () -> serve(cold);
     }
 
     private void serve(boolean cold) {
@@ -80,68 +111,55 @@
         }
     }
 
-    /** Serving does not begin for so many seconds from now, unless it is released before. */
+    /** Serving does not begin for so many seconds from now, unless {@link #resumeServing} comes before. */
     public void delayServing(double seconds) {
-        held = seconds;
-        heldUntil = clock.getAsDouble() + seconds;
+        servingDelaySeconds = seconds;
+        servingDelayedUntil = clock.getAsDouble() + seconds;
     }
 
+    /** Ends the delay: serving begins now or as soon as the runtime is connected. */
     public void resumeServing() {
-        heldUntil = 0;
-        Runnable next = waiting;
-        waiting = () -> {};
+        servingDelayedUntil = 0;
+        Runnable next = delayedServing;
+        delayedServing = () -> {};
         next.run();
     }
 
-    /** It will leave soon: reported as not ready, so that callers go elsewhere before they have to. */
+    /**
+     * A shutdown comes soon: the instance is reported as not ready, so that callers go elsewhere before they have to.
+     */
     public void announceShutdown() {
-        leaves = true;
+        shutdownAnnounced = true;
     }
 
-    /** A second notice changes nothing: the kill follows the first. */
+    /** Shuts down gracefully. A second notice changes nothing: the kill follows the first. */
     public void shutdown() {
-        if (phase == Phase.SERVING) {
-            enter(Phase.DRAINING);
-            killAt = clock.getAsDouble() + stopAfter;
-            dispatcher.drain(Math.max(0, stopAfter - 2 * CLEARING));
-            clear();
-        } else if (phase == Phase.AWAITING_RUNTIME) {
-            // Nothing ran and nothing is owed, but whoever is connected may be writing: told before it is closed.
-            enter(Phase.DRAINING);
-            killAt = clock.getAsDouble() + Math.min(stopAfter, 3 * CLEARING);
-            clear();
-        } else if (phase != Phase.DRAINING) {
-            stop();
-        }
-    }
-
-    /** New requests are taken as long as the module has time for them; then all that was read is answered. */
-    private void clear() {
-        double left = killAt - clock.getAsDouble();
-        if (!lastCall && left <= 3 * CLEARING) {
-            lastCall = true;
-            callers.lastCall();
-        }
-        if (lastCall && dispatcher.unansweredRequests() == 0 && callers.connections() == 0 || left <= CLEARING / 2) {
-            stop();
-        } else if (phase == Phase.DRAINING) {
-            timers.in(CLEARING / 10, this::clear);
+        switch (phase) {
+            case SERVING -> {
+                enter(Phase.DRAINING);
+                shutdown.drain(stopAfterSeconds);
+            }
+            case AWAITING_RUNTIME -> {
+                enter(Phase.DRAINING);
+                shutdown.closeConnections(stopAfterSeconds);
+            }
+            case STARTING -> stop();
+            case DRAINING, STOPPED -> {
+            }
         }
     }
 
     private void stop() {
-        if (phase != Phase.STOPPED) {
-            enter(Phase.STOPPED);
-            exit.run();
-        }
+        enter(Phase.STOPPED);
+        onStopped.run();
     }
 
     private void enter(Phase next) {
-        LOG.info("{} is {} after {}", name, words(next), words(phase));
+        LOG.info("instance state changed name={} from={} to={}", name, logged(phase), logged(next));
         phase = next;
     }
 
-    private static String words(Phase phase) {
-        return phase.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+    private static String logged(Phase phase) {
+        return phase.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 }
--- a/src/main/java/topazladder/service/RequestDispatcher.java
+++ b/src/main/java/topazladder/service/RequestDispatcher.java
@@ -25,7 +25,7 @@
 import topazladder.request.Tenant;
 import topazladder.service.Counters.Count;
 import topazladder.service.IdempotencyStore.Kept;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
 
 /**
  * Where the callers' side and the side of runtime and index meet, and nowhere else: it holds the requests in
@@ -41,8 +41,8 @@
     private final SettingsReader terms;
     private final RuntimePort runtime;
     private final DependencyPort index;
-    private final Callers callers;
-    private final Timers timers;
+    private final ClientConnections callers;
+    private final Scheduler timers;
     private final Counters counters;
     private final Map<String, RequestClass> requestClasses = new HashMap<>();
     private final Map<String, Tenant> tenants = new HashMap<>();
@@ -56,12 +56,12 @@
     private final Deque<Function<AdmissionController, List<Decision>>> happenings = new ArrayDeque<>();
     private boolean telling;
     /** Checks that wait for the runtime's word; emptied by it, or as their callers' connections close. */
-    private final Map<Long, Caller> checks = new LinkedHashMap<>();
+    private final Map<Long, ResponseListener> checks = new LinkedHashMap<>();
     private long lastCheck;
     private AdmissionController admissionController;
     private double zero;
     private double latest;
-    private Double level;
+    private AdmissionLevel level = AdmissionLevel.NONE;
     private Boolean health; // null until the module rules on it
     private Map<String, Double> gauges = Map.of();
     private boolean gaugesAwaited;
@@ -73,8 +73,8 @@
     private double payoffServed;
 
     public RequestDispatcher(DoubleSupplier clock, SettingsReader terms, RuntimePort runtime, DependencyPort index,
-            Callers callers,
-            Timers timers, Counters counters) {
+            ClientConnections callers,
+            Scheduler timers, Counters counters) {
         this.clock = clock;
         this.terms = terms;
         this.runtime = runtime;
@@ -107,7 +107,7 @@
         if (admissionController == null) {
             early = Stream.concat(early.stream(), facts.stream()).toList();
         } else if (!facts.isEmpty()) {
-            counters.add(Count.FACTS_LEARNED, facts.size());
+            counters.add(Count.ESTIMATES_LEARNED, facts.size());
             tell(b -> b.learn(now(), facts));
         }
     }
@@ -118,8 +118,8 @@
     }
 
     /** Payoff of all requests that were read, and of those that were served, since the start. */
-    public double[] payoff() {
-        return new double[] {payoffAsked, payoffServed};
+    public ServedValue servedValue() {
+        return new ServedValue(payoffAsked, payoffServed);
     }
 
     /** Requests that were read and are not answered yet. */
@@ -135,43 +135,44 @@
     @Override
     public String toString() {
         return "in-hand=" + byRef.size() + " owed=" + owed + " fingerprints=" + fingerprints.size() + " level="
-                + (level == null ? "none" : level) + " gauges=" + gauges;
+                + (level.isPosted() ? level.value() : "none") + " gauges=" + gauges;
     }
 
     // ---- The callers' side
 
     /** Returns null if the request was answered at once because it can't be decided on. */
-    public InFlightRequest dispatch(IncomingRequest a, Caller caller) {
+    public InFlightRequest dispatch(IncomingRequest a, ResponseListener caller) {
         if (admissionController == null) {
             // Before the runtime is up nothing can have run, so that the caller may go elsewhere.
-            counters.add(Count.REQUESTS_TAKEN_IN);
+            counters.add(Count.REQUESTS_RECEIVED);
             counters.add(Count.REJECTED);
-            caller.answer(new Response(How.REJECTED, level, 0, false, NOTHING));
+            caller.onResponse(new Response(Status.REJECTED, level, 0, false, NOTHING));
             return null;
         }
         RequestClass requestClass = requestClasses.get(a.requestClass());
         Tenant tenant = a.tenant() == null ? null : tenants.get(a.tenant());
         boolean fingerprinted = requestClass != null && requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
-        double waited = clock.getAsDouble() - a.since();
-        if (requestClass == null || tenant == null && !tenants.isEmpty() || byRef.containsKey(a.ref())
-                || fingerprinted != (a.fingerprint() != null) || !possible(waited)) {
-            answerUnusable(caller);
+        double waited = clock.getAsDouble() - a.arrivedAtUnixSeconds();
+        if (requestClass == null || tenant == null && !tenants.isEmpty() || byRef.containsKey(a.requestId())
+                || fingerprinted != (a.idempotencyKey() != null) || !possible(waited)) {
+            respondInvalid(caller);
             return null;
         }
         byte[] digest = fingerprinted ? fingerprints.digest(a) : null;
-        Kept kept = fingerprinted ? fingerprints.find(a.fingerprint(), a.since()) : null;
+        Kept kept = fingerprinted ? fingerprints.find(a.idempotencyKey(), a.arrivedAtUnixSeconds()) : null;
         if (kept != null && !Arrays.equals(kept.digest, digest)) {
             // No try of that request: its result belongs to another body, and run, the request would run twice.
-            answerUnusable(caller);
+            respondInvalid(caller);
             return null;
         }
         boolean inFlight = kept != null && kept.holder != null && byRequest.containsKey(kept.holder.request);
-        Request request = new Request(requestClass, tenant, a.rank(), a.footprint(),
-                Math.max(0, waited), Math.min(a.patience(), requestClass.deadlineSeconds()), a.retry(), kept != null,
+        Request request = new Request(requestClass, tenant, a.rank(), a.memoryKilobytes(),
+                Math.max(0, waited), Math.min(a.remainingSeconds(), requestClass.deadlineSeconds()), a.retry(),
+                kept != null,
                 inFlight ? kept.holder.request : null);
-        counters.add(Count.REQUESTS_TAKEN_IN);
+        counters.add(Count.REQUESTS_RECEIVED);
         InFlightRequest h = new InFlightRequest(a, caller, request, kept, digest);
-        byRef.put(a.ref(), h);
+        byRef.put(a.requestId(), h);
         byRequest.put(request, h);
         touched.add(h);
         owed++;
@@ -180,16 +181,16 @@
             counters.add(Count.REQUESTS_RETRIES);
         }
         if (kept != null) {
-            counters.add(Count.REQUESTS_REPEATED);
+            counters.add(Count.REQUESTS_DUPLICATED);
         }
         tell(b -> b.requestArrived(now(), request));
         return h;
     }
 
     /** A request in a sound frame that no decision can be made on: one answer, and it never reaches the module. */
-    public void answerUnusable(Caller caller) {
-        counters.add(Count.REQUESTS_UNUSABLE);
-        caller.unusable(Response.UNUSABLE);
+    public void respondInvalid(ResponseListener caller) {
+        counters.add(Count.REQUESTS_INVALID);
+        caller.onInvalidRequest(Response.INVALID_REQUEST);
     }
 
     /**
@@ -201,10 +202,10 @@
     }
 
     public void callerDisconnected(InFlightRequest h) {
-        if (byRef.get(h.arrival.ref()) != h || h.answered) {
+        if (byRef.get(h.arrival.requestId()) != h || h.answered) {
             return;
         }
-        counters.add(Count.CALLERS_GONE);
+        counters.add(Count.CALLERS_DISCONNECTED);
         h.answered = true;
         owed--;
         touched.add(h);
@@ -216,7 +217,7 @@
      * another try here comes to: elsewhere it could be a second run.
      */
     public boolean cancelIfNotStarted(InFlightRequest h) {
-        if (byRef.get(h.arrival.ref()) != h || h.answered || h.started || h.kept != null && h.kept.holder != h) {
+        if (byRef.get(h.arrival.requestId()) != h || h.answered || h.started || h.kept != null && h.kept.holder != h) {
             return false;
         }
         callerDisconnected(h);
@@ -230,21 +231,21 @@
 
     /** The posted level, or 0 while none is. */
     public double admissionLevel() {
-        return level == null ? 0 : level;
+        return level.value();
     }
 
     /** Answered from store once the module has ruled so; before, a deep check goes to the runtime. */
-    public void healthCheck(Caller caller, boolean deep) {
-        counters.add(Count.CHECKS_TAKEN_IN);
+    public void healthCheck(ResponseListener caller, boolean deep) {
+        counters.add(Count.HEALTH_CHECKS_RECEIVED);
         if (health == null && deep) {
             checks.put(++lastCheck, caller);
-            runtime.askWhetherWorkGetsDone(lastCheck);
+            runtime.requestHealthCheck(lastCheck);
         } else {
-            caller.health(isHealthy(), level);
+            caller.onHealth(isHealthy(), level);
         }
     }
 
-    public void healthCheckAbandoned(Caller caller) {
+    public void healthCheckAbandoned(ResponseListener caller) {
         checks.values().remove(caller);
     }
 
@@ -263,35 +264,35 @@
     }
 
     /** What the gauges said last is of a moment that passes; without any the module goes by its own counts. */
-    public void runtimeLost() {
+    public void runtimeDisconnected() {
         gauges = Map.of();
         // What was asked on the link that is lost is not asked again: those who check would wait for ever.
-        List<Caller> asked = List.copyOf(checks.values());
+        List<ResponseListener> asked = List.copyOf(checks.values());
         checks.clear();
-        asked.forEach(c -> c.health(false, level));
+        asked.forEach(c -> c.onHealth(false, level));
     }
 
     /** After a lost link nothing shows whether the runtime read the start of this request. */
     public void startUncertain(String ref) {
         InFlightRequest h = byRef.get(ref);
         if (h != null) {
-            counters.add(Count.STARTS_IN_DOUBT);
+            counters.add(Count.STARTS_UNCERTAIN);
             touched.add(h);
             tell(b -> b.startUncertain(now(), h.request));
         }
     }
 
     public void healthCheckCompleted(long tag, boolean passed) {
-        Caller caller = checks.remove(tag);
+        ResponseListener caller = checks.remove(tag);
         if (caller != null) {
-            caller.health(passed, level);
+            caller.onHealth(passed, level);
         }
     }
 
     public void dependencyCallRequested(String ref, long notice, byte[] body) {
         InFlightRequest h = byRef.get(ref);
         if (h != null) {
-            counters.add(Count.CALLS_WANTED);
+            counters.add(Count.CALLS_REQUESTED);
             h.wantedBy = notice;
             h.wanted = body;
             touched.add(h);
@@ -306,14 +307,14 @@
             return;
         }
         counters.add(switch (ending) {
-            case SUCCEEDED -> Count.RUNS_PASSED;
+            case SUCCEEDED -> Count.RUNS_SUCCEEDED;
             case FAILED -> Count.RUNS_FAILED;
             case NOT_STARTED -> Count.RUNS_NOT_STARTED;
             default -> Count.RUNS_KILLED;
         });
         if (h.calling) {
             h.calling = false;
-            index.giveUp(ref);
+            index.cancel(ref);
         }
         byte[] passed = ending == Outcome.SUCCEEDED ? result : null;
         end(h, passed);
@@ -331,14 +332,14 @@
     }
 
     /** The runtime knows no such request: it never ran, and a caller that keeps to the protocol did not send it. */
-    public void notStarted(String ref) {
-        counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
+    public void commandRefused(String ref) {
+        counters.add(Count.COMMANDS_REFUSED);
         InFlightRequest h = byRef.get(ref);
         if (h != null && !h.answered) {
             h.answered = true;
             owed--;
             counters.add(Count.FAILED);
-            h.caller.unusable(new Response(How.FAILED, level, 0, false, NOTHING));
+            h.caller.onInvalidRequest(new Response(Status.FAILED, level, 0, false, NOTHING));
         }
         runEnded(ref, Outcome.NOT_STARTED, 0, null);
     }
@@ -351,10 +352,10 @@
             return;
         }
         h.calling = false;
-        counters.add(ending == Outcome.SUCCEEDED ? Count.CALLS_WELL
-                : ending.provesNoEffect() ? Count.CALLS_TURNED_AWAY : Count.CALLS_FAILED);
+        counters.add(ending == Outcome.SUCCEEDED ? Count.CALLS_SUCCEEDED
+                : ending.provesNoEffect() ? Count.CALLS_REJECTED : Count.CALLS_FAILED);
         if (ending == Outcome.SUCCEEDED) {
-            runtime.give(ref, reply);
+            runtime.resumeWithReply(ref, reply);
         }
         double elapsed = clock.getAsDouble() - h.calledAt;
         touched.add(h);
@@ -396,9 +397,9 @@
             telling = false;
         }
         for (InFlightRequest h : List.copyOf(touched)) {
-            if (!admissionController.isInFlight(h.request) && byRef.remove(h.arrival.ref(), h)) {
+            if (!admissionController.isInFlight(h.request) && byRef.remove(h.arrival.requestId(), h)) {
                 // All are answered by now, but for one that a fault took out of the module's hands.
-                answer(h, How.FAILED, 0, false, NOTHING);
+                answer(h, Status.FAILED, 0, false, NOTHING);
                 byRequest.remove(h.request);
             }
         }
@@ -407,7 +408,7 @@
 
     /** One request's fault must not end the process that all others are in, nor cost them what was ruled on them. */
     private void fault(RuntimeException e) {
-        counters.add(Count.FAULTS);
+        counters.add(Count.INTERNAL_ERRORS);
         LOG.error("a fault of the program", e);
     }
 
@@ -418,32 +419,33 @@
         }
         switch (r.what()) {
             case START -> {
-                counters.add(h.started ? Count.RUNS_STARTED_AGAIN : Count.RUNS_STARTED);
+                counters.add(h.started ? Count.RUNS_RESTARTED : Count.RUNS_STARTED);
                 h.started = true;
-                runtime.start(h.arrival.ref(), h.arrival.requestClass(), h.arrival.body());
+                runtime.start(h.arrival.requestId(), h.arrival.requestClass(), h.arrival.body());
             }
-            case DEFER -> answer(h, How.REJECTED, r.number(), r.yes(), NOTHING);
-            case BREAK_OFF -> answer(h, How.FAILED, 0, false, NOTHING);
+            case DEFER -> answer(h, Status.REJECTED, r.number(), r.yes(), NOTHING);
+            case BREAK_OFF -> answer(h, Status.FAILED, 0, false, NOTHING);
             case JOIN -> join(h);
             // Counted from its arrival where that is later: the caller's clock may be ahead of this one.
             case REMEMBER -> fingerprints.remember(h,
-                    Math.max(clock.getAsDouble(), h.arrival.since()) + r.number());
+                    Math.max(clock.getAsDouble(), h.arrival.arrivedAtUnixSeconds()) + r.number());
             case FORGET -> fingerprints.forget(h);
             case CALL -> {
                 counters.add(Count.CALLS_MADE);
                 h.calling = true;
                 h.calledAt = clock.getAsDouble();
-                index.call(h.arrival.ref(), r.number(), h.request.requestClass().idempotency() == Repeats.RETRY_SAFE,
+                index.call(h.arrival.requestId(), r.number(),
+                        h.request.requestClass().idempotency() == Repeats.RETRY_SAFE,
                         h.wanted);
             }
             case DO_WITHOUT -> {
-                counters.add(Count.CALLS_LEFT_OUT);
-                runtime.omit(h.arrival.ref(), h.wantedBy);
+                counters.add(Count.CALLS_SKIPPED);
+                runtime.resumeWithoutReply(h.arrival.requestId(), h.wantedBy);
             }
             case POST -> {
                 // Under load it moves every second, which would fill a log.
                 counters.add(Count.LEVELS_POSTED);
-                level = r.number();
+                level = AdmissionLevel.of(r.number());
             }
             case HEALTH -> {
                 if (!Boolean.valueOf(r.yes()).equals(health)) {
@@ -458,37 +460,37 @@
         }
     }
 
-    private void answer(InFlightRequest h, How how, double stayAway, boolean notElsewhere, byte[] body) {
+    private void answer(InFlightRequest h, Status status, double stayAway, boolean notElsewhere, byte[] body) {
         if (h.calling) {
             // Nobody waits any more, so that what lies below need not work on.
             h.calling = false;
-            index.giveUp(h.arrival.ref());
+            index.cancel(h.arrival.requestId());
         }
         if (h.answered) {
             return;
         }
         h.answered = true;
         owed--;
-        if (how == How.SERVED) {
+        if (status == Status.SERVED) {
             payoffServed += h.request.requestClass().priorityWeight();
         }
-        counters.add(switch (how) {
+        counters.add(switch (status) {
             case SERVED -> Count.SERVED;
             case REJECTED -> Count.REJECTED;
             case FAILED -> Count.FAILED;
         });
-        h.caller.answer(new Response(how, level, stayAway, notElsewhere, body));
+        h.caller.onResponse(new Response(status, level, stayAway, notElsewhere, body));
     }
 
     private void end(InFlightRequest h, byte[] result) {
         if (h.answered && result != null) {
-            counters.add(Count.ANSWERS_NOBODY_WAITED_FOR);
+            counters.add(Count.RESULTS_UNCLAIMED);
         }
-        answer(h, result != null ? How.SERVED : How.FAILED, 0, false, result != null ? result : NOTHING);
+        answer(h, result != null ? Status.SERVED : Status.FAILED, 0, false, result != null ? result : NOTHING);
     }
 
     private void join(InFlightRequest h) {
-        counters.add(Count.JOINED);
+        counters.add(Count.REQUESTS_JOINED);
         if (h.kept == null) {
             endJoined(h, null);
         } else if (h.kept.over || !byRequest.containsKey(h.kept.holder.request)) {
@@ -499,7 +501,7 @@
     }
 
     private void endJoined(InFlightRequest h, byte[] result) {
-        double since = h.arrival.since();
+        double since = h.arrival.arrivedAtUnixSeconds();
         if (!h.answered) {
             end(h, result);
         }
@@ -516,8 +518,8 @@
             fingerprints.sweep(clock.getAsDouble(), longestLimit);
         }
         gaugesAwaited = true;
-        runtime.askGauges();
-        timers.in(wakePeriod / 2, () -> {
+        runtime.requestGauges();
+        timers.schedule(wakePeriod / 2, () -> {
             if (gaugesAwaited) {
                 counters.add(Count.GAUGES_MISSED);
                 timer();
@@ -537,7 +539,7 @@
     private void wakeIn(double seconds) {
         awake = false;
         wakePeriod = seconds;
-        timers.in(seconds, this::wake);
+        timers.schedule(seconds, this::wake);
     }
 
     /** Seconds of the module's time, which never runs backwards though the clock may be set. */
--- a/src/main/java/topazladder/service/RuntimePort.java
+++ b/src/main/java/topazladder/service/RuntimePort.java
@@ -1,19 +1,24 @@
 package topazladder.service;
 
-/** Does the work, on the cores. Commands given while it can't be reached are kept for it. */
+/** The runtime, which runs requests on the cores. Commands sent while it can't be reached are kept for it. */
 public interface RuntimePort {
 
-    void start(String ref, String requestClass, byte[] body);
+    /** Starts the run of a request. */
+    void start(String requestId, String requestClass, byte[] body);
 
-    /** The reply to the call that a run waits for. */
-    void give(String ref, byte[] reply);
+    /** Resumes a run that waits for a dependency call, with the reply. */
+    void resumeWithReply(String requestId, byte[] reply);
 
-    /** Goes on without the call that a notice asked for. */
-    void omit(String ref, long notice);
+    /**
+     * Resumes a run without the dependency call that it asked for.
+     *
+     * @param notificationNumber the runtime's notification that asked for the call
+     */
+    void resumeWithoutReply(String requestId, long notificationNumber);
 
-    /** Asks for the gauges; nothing comes while it can't be reached. */
-    void askGauges();
+    /** Requests the gauges; none come while the runtime can't be reached. */
+    void requestGauges();
 
-    /** Asks whether work gets done. */
-    void askWhetherWorkGetsDone(long tag);
+    /** Requests a health check, whose result is reported to {@link RequestDispatcher#healthCheckCompleted}. */
+    void requestHealthCheck(long checkId);
 }
--- a/src/test/java/topazladder/CodecTest.java
+++ b/src/test/java/topazladder/CodecTest.java
@@ -17,9 +17,10 @@
 import topazladder.net.codec.LineReader;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.RuntimeLines;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.IncomingRequest;
 import topazladder.service.Response;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
 
 class CodecTest {
     private static final byte[] REQUEST = Frames.frame(16, 7, Frames.fields("service", "place", "ref",
@@ -92,14 +93,17 @@
 
     @Test
     void answersCarryWhatWasRuled() {
-        assertThat(Frames.text(cut(CallerFrames.answer(3, new Response(How.SERVED, 0.25, 0, false,
+        assertThat(Frames.text(cut(CallerFrames.answer(3, new Response(Status.SERVED, AdmissionLevel.of(0.25), 0, false,
                 "result".getBytes(StandardCharsets.UTF_8)))))).isEqualTo("17 on 3 code 0 pressure=0.25 result");
         assertThat(
-                Frames.text(cut(CallerFrames.answer(4, new Response(How.REJECTED, null, 0.2501, true, new byte[0])))))
-                        .isEqualTo("17 on 4 code 1 cooldown=251 nowhere=1");
-        assertThat(Frames.text(cut(CallerFrames.answer(5, new Response(How.FAILED, null, 0, false, new byte[0])))))
-                .isEqualTo("17 on 5 code 2");
-        assertThat(Frames.text(cut(CallerFrames.health(1, false, 0.5)))).isEqualTo("33 on 1 code 1 pressure=0.5");
+                Frames.text(cut(CallerFrames.answer(4,
+                        new Response(Status.REJECTED, AdmissionLevel.NONE, 0.2501, true, new byte[0])))))
+                                .isEqualTo("17 on 4 code 1 cooldown=251 nowhere=1");
+        assertThat(Frames.text(
+                cut(CallerFrames.answer(5, new Response(Status.FAILED, AdmissionLevel.NONE, 0, false, new byte[0])))))
+                        .isEqualTo("17 on 5 code 2");
+        assertThat(Frames.text(cut(CallerFrames.health(1, false, AdmissionLevel.of(0.5)))))
+                .isEqualTo("33 on 1 code 1 pressure=0.5");
         assertThat(Frames.text(cut(CallerFrames.noNewRequest()))).isEqualTo("48 on 0");
         assertThat(Frames.text(cut(CallerFrames.error("why")))).isEqualTo("17 on 0 code 2 why");
     }
