--- a/src/test/java/topazladder/Desk.java
+++ b/src/test/java/topazladder/Desk.java
@@ -29,8 +29,8 @@
 import topazladder.request.Request;
 import topazladder.request.RequestClass;
 import topazladder.request.RequestClass.Repeats;
-import topazladder.service.Caller;
-import topazladder.service.Callers;
+import topazladder.service.AdmissionLevel;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.DependencyPort;
 import topazladder.service.InFlightRequest;
@@ -38,8 +38,9 @@
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Response;
+import topazladder.service.ResponseListener;
 import topazladder.service.RuntimePort;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
 
 /** One Admission controller behind a desk that writes down each happening and what was ruled on it. */
 final class Desk {
@@ -263,7 +264,7 @@
 }
 
 /** One dispatcher with stand-ins for all round it and a clock of its own, which writes down what passes through. */
-final class Floor implements RuntimePort, DependencyPort, Callers, Timers {
+final class Floor implements RuntimePort, DependencyPort, ClientConnections, Scheduler {
     static final String SETTINGS = """
         Classes.count=3
         Classes.0.Name=read
@@ -371,7 +372,7 @@
     }
 
     Floor nacked(String name) {
-        return does("start of " + name + " is not carried out", () -> dispatcher.notStarted(name));
+        return does("start of " + name + " is not carried out", () -> dispatcher.commandRefused(name));
     }
 
     Floor check(String name, boolean deep) {
@@ -384,7 +385,7 @@
 
     Floor linkLost() {
         deaf = true;
-        return does("the link to the runtime is lost", dispatcher::runtimeLost);
+        return does("the link to the runtime is lost", dispatcher::runtimeDisconnected);
     }
 
     /** After a new link, that the runtime read the start is not known. */
@@ -450,26 +451,27 @@
         }
     }
 
-    private Caller caller(String name) {
-        return new Caller() {
+    private ResponseListener caller(String name) {
+        return new ResponseListener() {
             @Override
-            public void answer(Response a) {
+            public void onResponse(Response a) {
                 if (name.equals(broken)) {
                     throw new IllegalStateException("a fault, as the test wants it");
                 }
-                write("  " + name + " " + a.how().name().toLowerCase(Locale.ROOT).replace('_', ' ')
+                write("  " + name + " " + a.status().name().toLowerCase(Locale.ROOT).replace('_', ' ')
                         + (a.body().length > 0 && a.body().length < 99 ? " " + new String(a.body()) : "")
                         + (a.body().length >= 99 ? " " + a.body().length + " bytes" : "")
-                        + (a.stayAway() > 0 ? ", stay away" : "") + (a.notElsewhere() ? ", not elsewhere" : ""));
+                        + (a.retryAfterSeconds() > 0 ? ", stay away" : "")
+                        + (a.doNotRetryElsewhere() ? ", not elsewhere" : ""));
             }
 
             @Override
-            public void unusable(Response a) {
+            public void onInvalidRequest(Response a) {
                 write("  " + name + " is unusable");
             }
 
             @Override
-            public void health(boolean good, Double level) {
+            public void onHealth(boolean good, AdmissionLevel level) {
                 write("  " + name + " is " + (good ? "good" : "bad"));
             }
         };
@@ -481,24 +483,24 @@
     }
 
     @Override
-    public void give(String ref, byte[] reply) {
+    public void resumeWithReply(String ref, byte[] reply) {
         write("  give " + ref + " " + reply.length + " bytes");
     }
 
     @Override
-    public void omit(String ref, long notice) {
+    public void resumeWithoutReply(String ref, long notice) {
         write("  omit the call of notice " + notice + " for " + ref);
     }
 
     @Override
-    public void askGauges() {
+    public void requestGauges() {
         if (!deaf) {
             dispatcher.gaugesReceived(new double[] {1, 2});
         }
     }
 
     @Override
-    public void askWhetherWorkGetsDone(long tag) {
+    public void requestHealthCheck(long tag) {
         write("  does work get done? " + tag);
     }
 
@@ -508,7 +510,7 @@
     }
 
     @Override
-    public void giveUp(String ref) {
+    public void cancel(String ref) {
         write("  give up the call of " + ref);
     }
 
@@ -518,17 +520,17 @@
     }
 
     @Override
-    public void lastCall() {
+    public void stopAccepting() {
         write("  last call");
     }
 
     @Override
-    public int connections() {
+    public int openConnections() {
         return 1;
     }
 
     @Override
-    public void in(double seconds, Runnable what) {
+    public void schedule(double seconds, Runnable what) {
         timers.add(new Due(now + seconds, order++, what));
     }
 }
--- a/src/test/java/topazladder/HallServiceTest.java
+++ b/src/test/java/topazladder/HallServiceTest.java
@@ -80,7 +80,7 @@
         ExtensionSettings own = settings("voters: \"n1\" folder: \"voter\" heartbeat: 0.1"
                 + " duties { name: \"price-clock\" lease: 1"
                 + " touch { address: \"127.0.0.1:" + touched.getLocalPort() + "\" every: 0.02 } }");
-        Founding.found("n1", own.members(), 0);
+        Founding.found("n1", own.cluster(), 0);
         runtime = new Peer();
         service = new ServiceInstance(ServiceSettings.of("""
             {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":2000,
@@ -252,10 +252,10 @@
     @Test
     void aFolderThatIsFoundedIsNotFoundedAgainButFormedAnew() throws Exception {
         ExtensionSettings own = settings("voters: \"n1\" folder: \"other\"");
-        Founding.found("n1", own.members(), 0);
-        assertThatThrownBy(() -> Founding.found("n1", own.members(), 0)).isInstanceOf(InvalidSettingsException.class)
+        Founding.found("n1", own.cluster(), 0);
+        assertThatThrownBy(() -> Founding.found("n1", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("--formed 1");
-        assertThat(Founding.found("n1", own.members(), 1)).contains("formed 1");
-        assertThatThrownBy(() -> Founding.found("n9", own.members(), 0)).isInstanceOf(InvalidSettingsException.class);
+        assertThat(Founding.found("n1", own.cluster(), 1)).contains("formed 1");
+        assertThatThrownBy(() -> Founding.found("n9", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class);
     }
 }
--- a/src/test/java/topazladder/PackedProgramIT.java
+++ b/src/test/java/topazladder/PackedProgramIT.java
@@ -32,7 +32,7 @@
         Path log = folder.resolve("log");
         Process plain = start(log, List.of("-Xlog:class+load:file=" + folder.resolve("classes")), "serve");
         try {
-            awaitLine(log, "is awaiting runtime after starting", 2);
+            awaitLine(log, "from=starting to=awaiting-runtime", 2);
             String open;
             try (Stream<Path> all = Files.list(Path.of("/proc", String.valueOf(plain.pid()), "fd"))) {
                 open = all.map(PackedProgramIT::target).collect(Collectors.joining("\n"));
@@ -67,7 +67,7 @@
         Process deaf = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
             awaitLine(log, "SIGHUP is ignored, as by nohup", 1);
-            awaitLine(log, "is awaiting runtime after starting", 2);
+            awaitLine(log, "from=starting to=awaiting-runtime", 2);
         } finally {
             deaf.destroy();
             deaf.waitFor(20, TimeUnit.SECONDS);
@@ -130,7 +130,7 @@
         }
         Process traced = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
-            awaitLine(log, "is awaiting runtime after starting", 2);
+            awaitLine(log, "from=starting to=awaiting-runtime", 2);
         } finally {
             long instance = Long.parseLong(Files.readAllLines(trace).get(0).split(" ", 2)[0]);
             ProcessHandle.of(instance).ifPresent(ProcessHandle::destroy);
--- a/src/test/java/topazladder/PeeringServiceTest.java
+++ b/src/test/java/topazladder/PeeringServiceTest.java
@@ -132,8 +132,8 @@
     @Test
     void defaultsAreThoseOfThePages() throws IOException {
         ExtensionSettings.Peering p = settings("").peering();
-        assertThat(p.waitAtMost()).isEqualTo(0.5);
-        assertThat(p.tries()).isEqualTo(6);
+        assertThat(p.maxWaitSeconds()).isEqualTo(0.5);
+        assertThat(p.maxAttempts()).isEqualTo(6);
         assertThat(p.listen()).isNull();
         assertThat(p.toString()).doesNotContain("sixteen").contains("(secret)");
         assertThat(ExtensionSettingsFile.of("", folder)).isEqualTo(ExtensionSettings.NONE);
--- a/src/test/java/topazladder/ServiceSettingsTest.java
+++ b/src/test/java/topazladder/ServiceSettingsTest.java
@@ -31,7 +31,7 @@
         assertThat(read.listen()).isEqualTo(new ServiceSettings.Address("127.0.0.1", 4100));
         assertThat(read.index().port()).isEqualTo(9042);
         assertThat(read.seed()).isEqualTo(0x8c1f30d27a5be964L);
-        assertThat(read.stopAfter()).isEqualTo(3.2);
+        assertThat(read.stopAfterSeconds()).isEqualTo(3.2);
         assertThat(read.terms().gauges()).containsExactly("core-use", "on-cores");
         assertThat(read.terms().map()).isEqualTo(SettingsReader.ofLines("""
             Classes.count=1
@@ -111,13 +111,15 @@
                 "DeadlineNs":4600000000 | "DeadlineNs":0 | settings.Classes.0.DeadlineNs should be above 0
                 "TickNs":2000000 | "TickNs":1e30 | settings.TickNs should be from 0 to 30 days: 1.0E30
                 "TickNs":2000000 | "TickNs":true | settings.TickNs should be a number: true
-                "Say":"min_rank" | "Say":"min-rank" | settings.Extra.Say should be one of bias, min_rank, none, tokens: min-rank
+                "Say":"min_rank" | "Say":"min-rank" | settings.Extra.Say should be one of bias, min_rank, none, \
+                tokens: min-rank
                 "Cold":false | "Below":"next" | settings.Extra.Below should be one of common, next_hop, none: next
                 "Cold":false | "Cold":3 | settings.Extra.Cold should be true or false: 3
                 "WindowNs":13671000000, | `` | settings.Classes.0.WindowNs is missing
                 "WindowNs":13671000000 | "WindowNs":0 | settings.Classes.0.WindowNs should be above 0
                 "QuotaPerS":79.0} | "QuotaPerS":79.0},{"Name":"acme"} | settings.Orgs.1.Name is given twice: acme
-                "Classes":[{ | "Classes":[{"Name":"order place","Idempotency":"safe","DeadlineNs":1},{ | settings.Classes.1.Name is given twice: order place
+                "Classes":[{ | "Classes":[{"Name":"order place","Idempotency":"safe","DeadlineNs":1},{ | \
+                settings.Classes.1.Name is given twice: order place
                 "stop_ms":3200 | "stop_ms":1e300 | stop_ms should be a number of at most 86400000: 1.0E300
                 {"name" | ["name" | GW_CONFIG: the file should hold one JSON object
                 """)
--- a/src/test/java/topazladder/delivery/DeliveryTest.java
+++ b/src/test/java/topazladder/delivery/DeliveryTest.java
@@ -23,7 +23,7 @@
 import topazladder.delivery.Delivery.Properties;
 import topazladder.delivery.Mapping.Mapped;
 import topazladder.request.RequestClass.Repeats;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
 
 /** What a message comes to as a request, and what its request comes to as an outcome. */
 class DeliveryTest {
@@ -72,11 +72,11 @@
         Mapped m = map(delivery("place", "new.acme", id("F"), new byte[50], Mapping.TRIES, "2"), terms(null, null,
                 false));
         assertThat(m.arrival().tenant()).isEqualTo("acme");
-        assertThat(m.arrival().fingerprint()).isEqualTo("F");
+        assertThat(m.arrival().idempotencyKey()).isEqualTo("F");
         assertThat(m.arrival().rank()).isEqualTo(0.999);
         assertThat(m.arrival().retry()).isTrue();
         assertThat(m.tries()).isEqualTo(2);
-        assertThat(m.arrival().footprint()).isBetween(2.0, 2.1);
+        assertThat(m.arrival().memoryKilobytes()).isBetween(2.0, 2.1);
     }
 
     @ParameterizedTest
@@ -96,10 +96,12 @@
     @CsvSource({"998, 998", "1001, 1000", "87400, 1000", "900, 1000", "0, 1000"})
     void aPublishersClockIsBelievedOnlyWhereItCanBeRight(double timestamp, double since) {
         Properties p = new Properties("F", null, null, null, 0, timestamp, -1);
-        assertThat(map(delivery("place", "new.acme", p, new byte[1]), terms(null, null, true)).arrival().since())
-                .isEqualTo(since);
-        assertThat(map(delivery("place", "new.acme", p, new byte[1]), terms(null, null, false)).arrival().since())
-                .isEqualTo(1000);
+        assertThat(map(delivery("place", "new.acme", p, new byte[1]), terms(null, null, true)).arrival()
+                .arrivedAtUnixSeconds())
+                        .isEqualTo(since);
+        assertThat(map(delivery("place", "new.acme", p, new byte[1]), terms(null, null, false)).arrival()
+                .arrivedAtUnixSeconds())
+                        .isEqualTo(1000);
     }
 
     @ParameterizedTest
@@ -133,7 +135,7 @@
     void eachAnswerHasOneOutcome(String how, Repeats repeats, int tries, boolean delay, boolean leaving,
             String what,
             String why) {
-        Outcomes.Outcome o = Outcomes.of(how.equals("-") ? null : How.valueOf(how), repeats, tries,
+        Outcomes.Outcome o = Outcomes.of(how.equals("-") ? null : Status.valueOf(how), repeats, tries,
                 terms(delay ? new Route("later", "") : null, null, false), leaving);
         assertThat(o.what() + " " + o.why()).isEqualTo(what + " " + why);
     }
--- a/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
@@ -28,7 +28,7 @@
         for (int round = 0; round < 8; round++) {
             for (int i = 0; i < MEMBERS; i++) {
                 int who = i;
-                world.time().in(7 + 3 * round + 0.5 * i, () -> world.askOut(who));
+                world.time().schedule(7 + 3 * round + 0.5 * i, () -> world.askOut(who));
             }
         }
         world.time().runUntil(s.length());
--- a/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
@@ -39,7 +39,7 @@
     }
 
     private static Release released(HallWorld world, double until) {
-        world.time().in(8, () -> world.release(plan()));
+        world.time().schedule(8, () -> world.release(plan()));
         world.time().runUntil(until);
         assertThat(world.outcome().breaks()).isEmpty();
         return world.release();
@@ -127,7 +127,7 @@
     @Test
     void aHaltAndAWayBackAtTheSameMomentEndOnA() {
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of());
-        world.time().in(20, () -> {
+        world.time().schedule(20, () -> {
             world.order(
                     replica -> new ReleaseOp.Halt(ReleaseOp.By.operator(0), replica.releases().release().id(), "me"));
             world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0), replica.releases().release().id()));
@@ -141,7 +141,7 @@
         // Both spoil a tenth: nothing is judged on the way back, as there is nowhere else to go.
         HallWorld world = world(List.of(), Map.of("A", new Quality(0, 0.1, 0, ""), "B", new Quality(0, 0.1, 0, "")),
                 Supervisor.GOOD, Set.of());
-        world.time().in(30, () -> world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0),
+        world.time().schedule(30, () -> world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0),
                 replica.releases().release().id())));
         assertThat(released(world, 250).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("A");
--- a/src/test/java/topazladder/membership/MembershipTest.java
+++ b/src/test/java/topazladder/membership/MembershipTest.java
@@ -54,7 +54,7 @@
         }
 
         private void tick(String name, Membership m) {
-            time.in(m.next(time.getAsDouble()), () -> run(name, m, () -> {
+            time.schedule(m.next(time.getAsDouble()), () -> run(name, m, () -> {
                 carryOut(name, m, m.tick(time.getAsDouble()));
                 tick(name, m);
             }));
@@ -89,7 +89,7 @@
                             || !sides.getOrDefault(from, 0).equals(sides.getOrDefault(to, 0))) {
                         continue;
                     }
-                    time.in(DELAY * chance.nextDouble(), () -> {
+                    time.schedule(DELAY * chance.nextDouble(), () -> {
                         Membership other = members.get(to);
                         if (other != null) {
                             run(to, other, () -> carryOut(to, other,
--- a/src/test/java/topazladder/net/CallerServerTest.java
+++ b/src/test/java/topazladder/net/CallerServerTest.java
@@ -81,7 +81,7 @@
             awaitConnections(0);
             awaitConnections(0); // a turn of the event loop later the socket is given back
             assertThat(stub.wasResetAfterItsEnd()).isFalse();
-            assertThat(counters.of(Count.REQUESTS_TAKEN_IN)).isEqualTo(1);
+            assertThat(counters.get(Count.REQUESTS_RECEIVED)).isEqualTo(1);
         }
     }
 
@@ -101,7 +101,7 @@
     @Test
     void requestThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
         try (Stub stub = answeredOnce()) {
-            unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::lastCall);
+            unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::stopAccepting);
             assertThat(stub.hear()).isEqualTo("48 on 0");
             assertThat(stub.hear()).isEqualTo("17 on 2 code 1");
             assertThat(stub.hear()).isEqualTo("closed");
@@ -163,7 +163,7 @@
             outside.send(Frames.request(1, "00000000000000aa", "read"));
             CountDownLatch told = new CountDownLatch(1);
             vertx.runOnContext(v -> {
-                server.lastCall();
+                server.stopAccepting();
                 told.countDown();
             });
             told.await();
@@ -178,7 +178,7 @@
     private void awaitConnections(int count) throws Exception {
         for (int is = -1; is != count;) {
             CompletableFuture<Integer> now = new CompletableFuture<>();
-            vertx.runOnContext(v -> now.complete(server.connections()));
+            vertx.runOnContext(v -> now.complete(server.openConnections()));
             is = now.get();
         }
     }
@@ -192,16 +192,16 @@
             }
 
             @Override
-            public void give(String ref, byte[] reply) {}
+            public void resumeWithReply(String ref, byte[] reply) {}
 
             @Override
-            public void omit(String ref, long notice) {}
+            public void resumeWithoutReply(String ref, long notice) {}
 
             @Override
-            public void askGauges() {}
+            public void requestGauges() {}
 
             @Override
-            public void askWhetherWorkGetsDone(long tag) {
+            public void requestHealthCheck(long tag) {
                 asked.countDown();
             }
         };
--- a/src/test/java/topazladder/net/peer/PeerTest.java
+++ b/src/test/java/topazladder/net/peer/PeerTest.java
@@ -203,7 +203,7 @@
         assertThat(heard.ends).containsExactly("whole");
         assertThat(heard.known()).isEqualTo(truth);
         assertThat(heard.facts).allSatisfy(f -> assertThat(f.seenAt()).isLessThanOrEqualTo(PeerNode.seconds()));
-        assertThat(counters.of(Count.SHARES_GIVEN)).isEqualTo(1);
+        assertThat(counters.get(Count.SHARES_SENT)).isEqualTo(1);
     }
 
     @Test
@@ -274,8 +274,8 @@
                 assertThat(again.getInputStream().readAllBytes()).isEmpty();
             }
         }
-        assertThat(counters.of(Count.ASKERS_REFUSED)).isEqualTo(1);
-        assertThat(counters.of(Count.SHARES_GIVEN)).isEqualTo(1);
+        assertThat(counters.get(Count.PEERS_REJECTED)).isEqualTo(1);
+        assertThat(counters.get(Count.SHARES_SENT)).isEqualTo(1);
     }
 
     @Test
@@ -295,7 +295,7 @@
         phase = Phase.SERVING;
         own = List.of();
         assertThat(ask(at, KEY).ends).containsExactly("later 0.0");
-        assertThat(counters.of(Count.ASKERS_PUT_OFF)).isEqualTo(2);
+        assertThat(counters.get(Count.PEERS_POSTPONED)).isEqualTo(2);
     }
 
     @Test
@@ -328,7 +328,7 @@
             s.close();
         }
         assertThat(ask(at, KEY).ends).containsExactly("whole");
-        assertThat(counters.of(Count.ASKERS_REFUSED)).isEqualTo(PeerServer.MOST);
+        assertThat(counters.get(Count.PEERS_REJECTED)).isEqualTo(PeerServer.MOST);
     }
 
     @Test
--- a/src/test/java/topazladder/service/DependencyCircuitBreakerTest.java
+++ b/src/test/java/topazladder/service/DependencyCircuitBreakerTest.java
@@ -8,72 +8,72 @@
 import org.junit.jupiter.api.Test;
 import topazladder.service.DependencyCircuitBreaker.State;
 
-/** Whether a service below that all hold for dead is worth a try. */
+/** Whether calls are made to a dependency that can't be reached. */
 class DependencyCircuitBreakerTest {
 
-    private static DependencyCircuitBreaker dead(long seed, double now) {
-        DependencyCircuitBreaker r = new DependencyCircuitBreaker(new SplittableRandom(seed));
+    private static DependencyCircuitBreaker open(long seed, double now) {
+        DependencyCircuitBreaker breaker = new DependencyCircuitBreaker(new SplittableRandom(seed));
         for (int i = 0; i < 5; i++) {
-            assertThat(r.isCallPermitted(now)).isTrue();
-            r.onConnectionRefused(now);
+            assertThat(breaker.isCallPermitted(now)).isTrue();
+            breaker.onConnectionRefused(now);
         }
-        assertThat(r.state()).isEqualTo(State.OPEN);
-        return r;
+        assertThat(breaker.state()).isEqualTo(State.OPEN);
+        return breaker;
     }
 
     @Test
-    void aFewRefusalsAreNotDeath() {
-        DependencyCircuitBreaker r = new DependencyCircuitBreaker(new SplittableRandom(1));
+    void aFewRefusalsDoNotOpenIt() {
+        DependencyCircuitBreaker breaker = new DependencyCircuitBreaker(new SplittableRandom(1));
         for (int i = 0; i < 40; i++) {
-            r.onConnectionRefused(i);
+            breaker.onConnectionRefused(i);
             if (i % 4 == 3) {
-                r.onSuccess();
+                breaker.onSuccess();
             }
         }
-        assertThat(r.state()).isEqualTo(State.CLOSED);
+        assertThat(breaker.state()).isEqualTo(State.CLOSED);
     }
 
     @Test
-    void heldForDeadOnlyTheProberTriesAndTheOthersComeBackSpread() {
-        List<Double> back = new ArrayList<>();
+    void whileOpenOnlyTheProberTriesAndTheInstancesRecoverSpread() {
+        List<Double> recoveredAfter = new ArrayList<>();
         for (int i = 0; i < 50; i++) {
-            DependencyCircuitBreaker r = dead(i, 0);
-            for (double t = 0; t < 20; t += 0.5) {
-                r.onProbeResult(t, false, 0.1, 3);
-                assertThat(r.isCallPermitted(t)).isFalse();
+            DependencyCircuitBreaker breaker = open(i, 0);
+            for (double now = 0; now < 20; now += 0.5) {
+                breaker.onProbeResult(now, false, 0.1, 3);
+                assertThat(breaker.isCallPermitted(now)).isFalse();
             }
-            r.onProbeResult(20, true, 0.1, 3);
-            double t = 20;
-            while (!r.isCallPermitted(t)) {
-                t += 0.01;
+            breaker.onProbeResult(20, true, 0.1, 3);
+            double now = 20;
+            while (!breaker.isCallPermitted(now)) {
+                now += 0.01;
             }
-            back.add(t - 20);
+            recoveredAfter.add(now - 20);
         }
-        assertThat(back).allMatch(t -> t <= 1.02).anyMatch(t -> t < 0.2).anyMatch(t -> t > 0.8);
+        assertThat(recoveredAfter).allMatch(t -> t <= 1.02).anyMatch(t -> t < 0.2).anyMatch(t -> t > 0.8);
     }
 
     @Test
-    void withoutAWordOfTheProberItTriesByItselfNowAndThen() {
-        DependencyCircuitBreaker r = dead(1, 0);
-        int tries = 0;
-        for (double t = 0.1; t < 15; t += 0.1) {
-            tries += r.isCallPermitted(t) ? 1 : 0;
+    void withoutAReportOfTheProberItTriesByItselfNowAndThen() {
+        DependencyCircuitBreaker breaker = open(1, 0);
+        int attempts = 0;
+        for (double now = 0.1; now < 15; now += 0.1) {
+            attempts += breaker.isCallPermitted(now) ? 1 : 0;
         }
-        assertThat(tries).isBetween(8, 11);
-        r.onSuccess();
-        assertThat(r.isCallPermitted(15)).isTrue();
+        assertThat(attempts).isBetween(8, 11);
+        breaker.onSuccess();
+        assertThat(breaker.isCallPermitted(15)).isTrue();
     }
 
     @Test
-    void anOldWordAndOneOfAnEarlierProberSayNothing() {
-        DependencyCircuitBreaker r = dead(1, 0);
-        r.onProbeResult(1, false, 0, 5);
-        r.onProbeResult(1.1, true, 60, 5);
-        r.onProbeResult(1.2, true, 0, 4);
-        assertThat(r.state()).isEqualTo(State.OPEN);
-        r.onProbeResult(1.3, true, 0, 6);
-        assertThat(r.state()).isEqualTo(State.RECOVERING);
-        r.onProbeResult(1.31, false, 0, 6);
-        assertThat(r.state()).isEqualTo(State.OPEN);
+    void anOldReportAndOneOfAnEarlierProberSayNothing() {
+        DependencyCircuitBreaker breaker = open(1, 0);
+        breaker.onProbeResult(1, false, 0, 5);
+        breaker.onProbeResult(1.1, true, 60, 5);
+        breaker.onProbeResult(1.2, true, 0, 4);
+        assertThat(breaker.state()).isEqualTo(State.OPEN);
+        breaker.onProbeResult(1.3, true, 0, 6);
+        assertThat(breaker.state()).isEqualTo(State.RECOVERING);
+        breaker.onProbeResult(1.31, false, 0, 6);
+        assertThat(breaker.state()).isEqualTo(State.OPEN);
     }
 }
