--- a/src/bench/java/topazladder/AdmissionControllerBenchmark.java
+++ b/src/bench/java/topazladder/AdmissionControllerBenchmark.java
@@ -1,7 +1,6 @@
 package topazladder;
 
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -18,6 +17,8 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import topazladder.admission.AdmissionController;
+import topazladder.admission.AdmissionSettings;
+import topazladder.admission.RuntimeGauges;
 import topazladder.request.Decision;
 import topazladder.request.Outcome;
 import topazladder.request.Request;
@@ -39,7 +40,8 @@
     private static final double GAP = 1.0 / 93;
     private static final int IN_FLIGHT = 28;
     private static final double RUN = 0.3;
-    private static final Map<String, Double> GAUGES = Map.of("core-use", 0.8, "on-cores", 28.0);
+    private static final RuntimeGauges GAUGES =
+            new RuntimeGauges(Map.of(RuntimeGauges.CORE_USE, 0.8, RuntimeGauges.ON_CORES, 28.0));
 
     @Param({"1", "100", "1000", "5200"})
     private int classes;
@@ -48,7 +50,7 @@
 
     private AdmissionController admissionController;
     private final List<RequestClass> requestClasses = new ArrayList<>();
-    private final List<Tenant> tenants = new ArrayList<>();
+    private final List<Tenant> allTenants = new ArrayList<>();
     private final SplittableRandom chance = new SplittableRandom(1);
     private final Request[] inFlight = new Request[IN_FLIGHT];
     private int next;
@@ -58,15 +60,13 @@
     public void open() {
         for (int i = 0; i < classes; i++) {
             requestClasses
-                    .add(new RequestClass("route-" + i, RequestClass.Repeats.RETRIABLE, 1.8, 4.6, 1, 0, 0, false, 0));
+                    .add(new RequestClass("route-" + i, RequestClass.Repeats.RETRY_SAFE, 1.8, 4.6, 1, 0, 0, false, 0));
         }
         for (int i = 0; i < tenants; i++) {
-            tenants.add(new Tenant("tenant-" + i, 1.0 / tenants, 93));
+            allTenants.add(new Tenant("tenant-" + i, 1.0 / tenants, 93));
         }
-        Map<String, Object> terms =
-                new HashMap<>(Map.of("offerings", requestClasses, "customers", tenants, "cores", 40.0,
-                        "memory", 1e9));
-        admissionController = new AdmissionController(new SplittableRandom(1), terms);
+        admissionController = new AdmissionController(new SplittableRandom(1),
+                AdmissionSettings.builder().requestClasses(requestClasses).cores(40).memoryKilobytes(1e9).build());
         admissionController.start(0);
         for (int i = 0; i < IN_FLIGHT * 100; i++) {
             request();
@@ -79,19 +79,20 @@
         now += GAP;
         Request oldest = inFlight[next];
         if (oldest != null) {
-            admissionController.runEnded(now, oldest, Outcome.OK, RUN);
+            admissionController.runEnded(now, oldest, Outcome.SUCCEEDED, RUN);
         }
-        Request arrives = new Request(requestClasses.get(chance.nextInt(classes)), tenants.get(chance.nextInt(tenants)),
-                chance.nextDouble(), 10, 0, 0, false, false, null);
+        Request arrives =
+                new Request(requestClasses.get(chance.nextInt(classes)), allTenants.get(chance.nextInt(tenants)),
+                        chance.nextDouble(), 10, 0, 0, false, false, null);
         inFlight[next] = arrives;
         next = (next + 1) % IN_FLIGHT;
-        return admissionController.arrive(now, arrives);
+        return admissionController.requestArrived(now, arrives);
     }
 
     /** A look at all that is in hand. */
     @Benchmark
     public List<Decision> tick() {
         now += 1e-9;
-        return admissionController.timer(now, GAUGES);
+        return admissionController.tick(now, GAUGES);
     }
 }
--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -13,8 +13,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import topazladder.admission.AdmissionSettings.AdmissionLevelUnit;
+import topazladder.admission.AdmissionSettings.DependencyTopology;
+import topazladder.admission.AdmissionSettings.RunCancellation;
 import topazladder.request.Decision;
-import topazladder.request.Decision.What;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.LearnedEstimate.Kind;
 import topazladder.request.Outcome;
@@ -38,7 +40,7 @@
     private static final double CALLS_USED = 0.6;
 
     private final RandomGenerator chance;
-    private final Map<String, Object> terms;
+    private final AdmissionSettings settings;
     private final List<Decision> decisions = new ArrayList<>();
     private final Map<Request, Case> open = new LinkedHashMap<>(); // all in hand; emptied by their endings
     private final Set<Request> unrunNow = new HashSet<>(); // ended unrun just now; emptied as time goes on
@@ -56,16 +58,16 @@
     private double now;
     private final Flow finished;
     private final Mean retries = new Mean(40);
-    private Map<String, Double> gauges = Map.of();
+    private RuntimeGauges gauges = RuntimeGauges.NONE;
 
-    public AdmissionController(RandomGenerator chance, Map<String, Object> terms) {
+    public AdmissionController(RandomGenerator chance, AdmissionSettings settings) {
         this.chance = chance;
-        this.terms = terms;
-        List<RequestClass> requestClasses = term("offerings", List.of());
+        this.settings = settings;
+        List<RequestClass> requestClasses = settings.requestClasses();
         requestClasses.forEach(o -> runTimes.put(o, new Mean(10)));
         shortestLimit = requestClasses.stream().mapToDouble(RequestClass::latencyObjectiveSeconds).min().orElse(1);
         // A quarter of the slack leaves room for a late batch and costs few timers.
-        period = Math.max(term("tick", 0.001), Math.max(0.01, term("answer-slack", 0.0) / 4));
+        period = Math.max(settings.tickSeconds(), Math.max(0.01, settings.answerSlackSeconds() / 4));
         finished = new Flow(shortestLimit);
         repeats = new Repeating();
         drain = new Draining();
@@ -80,9 +82,9 @@
     public List<Decision> start(double time) {
         return at(time, () -> {
             // A check answered from store costs next to nothing; a real one loads cores and what lies below.
-            decisions.add(Decision.health(true));
+            decisions.add(new Decision.SetHealth(true));
 
-            decisions.add(Decision.of(What.WAKE, period));
+            decisions.add(new Decision.ScheduleTick(period));
         });
     }
 
@@ -101,7 +103,7 @@
             c.doubtedUntil = c.startAgainAt = Double.POSITIVE_INFINITY;
             cores.leave(c);
             if (c.answered) {
-                decisions.add(Decision.of(What.BREAK_OFF, request));
+                decisions.add(new Decision.Fail(request));
             } else {
                 calls.take(c);
             }
@@ -116,7 +118,7 @@
     public List<Decision> startUncertain(double time, Request request) {
         return at(time, request, Place.RUNNING, c -> {
             if (c.requestClass.idempotency() == Repeats.RETRY_SAFE) {
-                decisions.add(Decision.of(What.START, request));
+                decisions.add(new Decision.Start(request));
             } else {
                 double usual = runTimes.get(c.requestClass).value;
                 c.doubtedUntil = usual > 0 ? Math.min(c.useful, now + 3 * usual) : c.useful;
@@ -150,7 +152,7 @@
         });
     }
 
-    public List<Decision> tick(double time, Map<String, Double> readings) {
+    public List<Decision> tick(double time, RuntimeGauges readings) {
         return at(time, () -> {
             gauges = readings;
             for (Case c : List.copyOf(open.values())) {
@@ -159,7 +161,7 @@
                 }
             }
             stages.forEach(Stage::tend);
-            decisions.add(Decision.of(What.WAKE, period));
+            decisions.add(new Decision.ScheduleTick(period));
         });
     }
 
@@ -240,7 +242,7 @@
 
         double footprint() {
             boolean small = place == Place.HELD || place == Place.FOLLOWING;
-            return place == Place.OVER ? 0 : request.memoryKilobytes() * (small ? 1 : term("run-factor", 1.0));
+            return place == Place.OVER ? 0 : request.memoryKilobytes() * (small ? 1 : settings.runMemoryFactor());
         }
 
         /** Whether nothing more can be earned with it if it starts in so many seconds. */
@@ -295,8 +297,8 @@
     }
 
     private void defer(Case c, double stayAway, boolean notElsewhere) {
-        double most = term("stay-away", false) ? term("stay-away-most", 0.0) : 0;
-        decisions.add(Decision.defer(c.request, Math.min(stayAway, most), notElsewhere));
+        double most = settings.retryAfterAllowed() ? settings.maxRetryAfterSeconds() : 0;
+        decisions.add(new Decision.Reject(c.request, Math.min(stayAway, most), notElsewhere));
         c.answered = true;
     }
 
@@ -305,7 +307,7 @@
         if (!c.ran || c.requestClass.idempotency() == Repeats.RETRY_SAFE) {
             defer(c, hold.drainTime(), fullElsewhere(c));
         } else {
-            decisions.add(Decision.of(What.BREAK_OFF, c.request));
+            decisions.add(new Decision.Fail(c.request));
             c.answered = true;
         }
         switch (c.place) {
@@ -320,8 +322,8 @@
     }
 
     private void stop(Case c) {
-        if (!term("halt", "none").equals("none")) {
-            decisions.add(Decision.of(What.STOP, c.request));
+        if (settings.runCancellation() != RunCancellation.UNSUPPORTED) {
+            decisions.add(new Decision.CancelRun(c.request));
         }
     }
 
@@ -367,9 +369,9 @@
         private void takeNew(Case c) {
             // Run unremembered it could run twice; a window too long for the memory costs requests instead.
             // But fingerprints may not starve what else is to run: what fills the cores is kept free.
-            double fill = term("cores", 1.0) * memory.footprints.value * term("run-factor", 1.0);
-            double all = footprint() + term("fingerprint-footprint", 0.0) + Math.max(memory.taken, fill);
-            if (all > term("memory", Double.MAX_VALUE) * MEMORY_USED) {
+            double fill = settings.cores() * memory.footprints.value * settings.runMemoryFactor();
+            double all = footprint() + settings.idempotencyKeyKilobytes() + Math.max(memory.taken, fill);
+            if (all > settings.memoryKilobytes() * MEMORY_USED) {
                 // Entries go with their window, not with the load: a tenth of it frees room for some.
                 defer(c, c.requestClass.idempotencyWindowSeconds() / 10, false);
                 close(c);
@@ -379,7 +381,8 @@
             if (c.place != Place.OVER && c.requestClass.idempotencyWindowSeconds() > 0) {
                 // From its reading on, not from its arrival: a try that came within a short window may lie
                 // unread as long as this one did, and would run as well if the window had ended meanwhile.
-                decisions.add(Decision.of(What.REMEMBER, c.request, c.requestClass.idempotencyWindowSeconds()));
+                decisions
+                        .add(new Decision.RememberIdempotencyKey(c.request, c.requestClass.idempotencyWindowSeconds()));
                 c.rememberedUntil = now + c.requestClass.idempotencyWindowSeconds();
                 entries.add(c);
             }
@@ -387,7 +390,7 @@
 
         private void join(Case c) {
             move(c, Place.JOINED);
-            decisions.add(Decision.of(What.JOIN, c.request));
+            decisions.add(new Decision.AnswerFromOriginal(c.request));
         }
 
         @Override
@@ -395,7 +398,7 @@
             // Also past its window: a try of then that is read now would wait for a run that never was.
             if (!c.ran && c.rememberedUntil > 0) {
                 entries.remove(c);
-                decisions.add(Decision.of(What.FORGET, c.request));
+                decisions.add(new Decision.ForgetIdempotencyKey(c.request));
             }
         }
 
@@ -417,7 +420,7 @@
         }
 
         double footprint() {
-            return entries.size() * term("fingerprint-footprint", 0.0);
+            return entries.size() * settings.idempotencyKeyKilobytes();
         }
     }
 
@@ -431,10 +434,10 @@
         private final Mean waits = new Mean(10);
 
         void begin(double left) {
-            graceEnds = now + term("drain-grace", 0.0);
+            graceEnds = now + settings.drainGraceSeconds();
             stop = now + left;
             leaving = true;
-            decisions.add(Decision.health(false));
+            decisions.add(new Decision.SetHealth(false));
         }
 
         double lastAnswer() {
@@ -466,7 +469,7 @@
         private double taken;
 
         boolean room(double more) {
-            return taken + repeats.footprint() + more <= term("memory", Double.MAX_VALUE) * MEMORY_USED;
+            return taken + repeats.footprint() + more <= settings.memoryKilobytes() * MEMORY_USED;
         }
 
         @Override
@@ -508,7 +511,7 @@
                 return;
             }
             // A level is heard for a limited time: with four steps within it one out of date is rare.
-            double every = term("heeded", 1.0) / 4;
+            double every = settings.admissionLevelValiditySeconds() / 4;
             nextUpdate = now + every;
             double before = cut;
             int factor = factor();
@@ -525,8 +528,8 @@
                 cut = below.pop();
             }
             Arrays.setAll(tally, i -> tally[i] * Math.exp(-every / shortestLimit));
-            if (cut != before && term("level-unit", "none").equals("min_rank")) {
-                decisions.add(Decision.of(What.POST, cut));
+            if (cut != before && settings.admissionLevelUnit() == AdmissionLevelUnit.MIN_RANK) {
+                decisions.add(new Decision.PostAdmissionLevel(cut));
             }
         }
 
@@ -545,7 +548,7 @@
 
         /** K: what is finished in half the shortest soft limit, so that waiting leaves time to run. */
         double target() {
-            return Math.max(term("cores", 1.0), finished.rate() * shortestLimit / 2);
+            return Math.max(settings.cores(), finished.rate() * shortestLimit / 2);
         }
 
         private double median() {
@@ -634,7 +637,7 @@
 
     private final class Cores extends Stage {
         private int on;
-        private double bound = term("cores", 1.0);
+        private double bound = settings.cores();
         /** What else wants a core: readings, checks, new connections. Crowded out they leave it blind. */
         private final Mean others = new Mean(4);
         private boolean pressed; // at every look since the last step, against a lagging gauge
@@ -645,22 +648,22 @@
 
         /** Cores that read are not idle, though runs gave way to the readings. */
         boolean idle() {
-            return on + others.value < term("cores", 1.0);
+            return on + others.value < settings.cores();
         }
 
         /** Its part of a warm server's, by the slowest warm-up the terms allow. */
         private double speed() {
-            double from = term("cold", false) ? term("cold-from", 0.0) : 1;
-            return Math.min(1, from + (1 - from) * now / term("warm-after", 1.0));
+            double from = settings.coldStart() ? settings.coldSpeed() : 1;
+            return Math.min(1, from + (1 - from) * now / settings.warmUpSeconds());
         }
 
         /** The crowd that kills. */
         private double ceiling() {
-            return term("cores", 1.0) * (1 + (term("fall-multiple", 2.0) - 1) * speed()) * CROWD_USED;
+            return settings.cores() * (1 + (settings.collapseFactor() - 1) * speed()) * CROWD_USED;
         }
 
         boolean room(Case c) {
-            double more = c.request.memoryKilobytes() * (term("run-factor", 1.0) - 1);
+            double more = c.request.memoryKilobytes() * (settings.runMemoryFactor() - 1);
             // Readings count for half the bound at most, or a flood of them would leave nothing running.
             // Requests at a call, or left without one, may all come back to the cores at once.
             return on < bound && on + Math.min(others.value - 1, bound / 2) < bound
@@ -674,14 +677,14 @@
          * more than a lull, and two newcomers a core more than a reading and a handshake on each.
          */
         private void connections() {
-            double longest = term("idle-most", Double.POSITIVE_INFINITY);
-            used.add(gauges.getOrDefault("core-use", 1.0));
+            double longest = settings.maxConnectionIdleSeconds();
+            used.add(gauges.coreUse());
             newcomers.add(others.value);
-            boolean close = term("callers", 0.0) > drain.read.rate() * longest
-                    && newcomers.value <= 2 * term("cores", 1.0) && (closing || used.value < 0.6);
+            boolean close = settings.callers() > drain.read.rate() * longest
+                    && newcomers.value <= 2 * settings.cores() && (closing || used.value < 0.6);
             if (close != closing) {
                 closing = close;
-                decisions.add(Decision.of(What.CLOSE_IDLE, closing ? period : longest));
+                decisions.add(new Decision.CloseIdleConnections(closing ? period : longest));
             }
         }
 
@@ -691,7 +694,7 @@
             c.started = now;
             move(c, Place.RUNNING);
             on++;
-            decisions.add(Decision.of(What.START, c.request));
+            decisions.add(new Decision.Start(c.request));
         }
 
         void leave(Case c) {
@@ -716,14 +719,14 @@
         private void settle(Case c) {
             if (now >= c.startAgainAt) {
                 c.startAgainAt = Double.POSITIVE_INFINITY;
-                decisions.add(Decision.of(What.START, c.request));
+                decisions.add(new Decision.Start(c.request));
             } else if (now >= c.doubtedUntil) {
                 c.doubtedUntil = Double.POSITIVE_INFINITY;
                 // The answer takes another way than the start, which must not come before it.
-                c.startAgainAt = now + Math.max(shortestLimit / 4, term("answer-slack", 0.0));
+                c.startAgainAt = now + Math.max(shortestLimit / 4, settings.answerSlackSeconds());
                 if (!c.answered) {
                     c.answered = true;
-                    decisions.add(Decision.of(What.BREAK_OFF, c.request));
+                    decisions.add(new Decision.Fail(c.request));
                 }
             }
         }
@@ -731,16 +734,16 @@
         @Override
         void tend() {
             open.values().forEach(this::settle);
-            others.add(Math.max(0, gauges.getOrDefault("on-cores", (double) on) - on));
+            others.add(Math.max(0, gauges.onCores(on) - on));
             pressed &= on >= bound && !hold.held.isEmpty();
             if (now < nextLook) {
                 return;
             }
             // The gauge averages over half a second: only what waited all that time tells that the bound left
             // cores idle, as where runs wait for a disk. A queue of a moment would let the bound creep up.
-            if (pressed && gauges.getOrDefault("core-use", 1.0) < 0.9) {
+            if (pressed && gauges.coreUse() < 0.9) {
                 bound++;
-            } else if (bound > term("cores", 1.0)) {
+            } else if (bound > settings.cores()) {
                 bound--;
             }
             pressed = true;
@@ -777,8 +780,8 @@
         }
 
         private double most() {
-            double share = term("calls-share", 0.0);
-            boolean shared = share > 0 && term("below", "none").equals("common");
+            double share = settings.dependencyCallQuota();
+            boolean shared = share > 0 && settings.dependencyTopology() == DependencyTopology.SHARED;
             return shared ? share * CALLS_USED : Double.POSITIVE_INFINITY;
         }
 
@@ -807,7 +810,8 @@
             }
             spent = Math.max(0, spent + (inFlight + lingering.size() - pace) * (now - spentAt));
             spentAt = now;
-            double burst = pace * term("calls-span", 5.0) / (c.requestClass.degradedValueShare() > 0 ? 8 : 4);
+            double burst =
+                    pace * settings.dependencyQuotaSpanSeconds() / (c.requestClass.degradedValueShare() > 0 ? 8 : 4);
             // With nothing spent one call is made, or what was slow would never be known to have recovered.
             // The second bound acts in a burst, before call-seconds have added up: both are needed.
             return spent + Math.min(callTime.value, burst) <= burst
@@ -827,7 +831,7 @@
                         // What never comes back must leave time to ask again, where that may be done.
                         boolean once = c.requestClass.idempotency() != Repeats.RETRY_SAFE
                                 || longTime.seen < longTime.most;
-                        decisions.add(Decision.of(What.CALL, c.request,
+                        decisions.add(new Decision.CallDependency(c.request,
                                 Math.min(c.useful - now, once ? c.useful : 4 * longTime.value)));
                     } else if (now - c.waitingSince > callTime.value && c.requestClass.degradedValueShare() > 0) {
                         without(c);
@@ -840,7 +844,7 @@
         private void without(Case c) {
             parked.remove(c);
             if (c.requestClass.degradedValueShare() > 0 && now < c.useful) {
-                decisions.add(Decision.of(What.DO_WITHOUT, c.request));
+                decisions.add(new Decision.SkipDependencyCall(c.request));
                 cores.resume(c);
             } else {
                 giveUp(c);
@@ -862,7 +866,7 @@
                 boolean spoilt = ending == Outcome.CONNECTION_LOST;
                 follow(spoilt ? strain.value : 4);
                 if (ending == Outcome.TIMED_OUT) {
-                    lingering.add(now + term("call-lingers", 0.0));
+                    lingering.add(now + settings.abandonedCallLingerSeconds());
                     callTime.add(elapsed);
                 }
                 move(c, Place.PARKED);
@@ -886,7 +890,7 @@
         void abandon(Case c) {
             if (c.place == Place.CALLING) {
                 inFlight--;
-                lingering.add(now + term("call-lingers", 0.0));
+                lingering.add(now + settings.abandonedCallLingerSeconds());
             }
             parked.remove(c);
             move(c, Place.PARKED);
@@ -970,9 +974,4 @@
             asOf = now;
         }
     }
-
-    @SuppressWarnings("unchecked")
-    private <T> T term(String name, T other) {
-        return (T) terms.getOrDefault(name, other);
-    }
 }
--- a/src/main/java/topazladder/config/ServiceSettings.java
+++ b/src/main/java/topazladder/config/ServiceSettings.java
@@ -90,7 +90,7 @@
     /** Whether nothing but addresses differs, which is all that a running instance can take from a new file. */
     public boolean alikeButForAddresses(ServiceSettings other) {
         return name.equals(other.name) && listen.equals(other.listen) && stopAfter == other.stopAfter
-                && sockets == other.sockets && terms.map().equals(other.terms.map());
+                && sockets == other.sockets && terms.hasSameValues(other.terms);
     }
 
     private static SettingsReader settings(Map<String, String> settings) {
--- a/src/main/java/topazladder/config/SettingsReader.java
+++ b/src/main/java/topazladder/config/SettingsReader.java
@@ -2,73 +2,55 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Consumer;
+import java.util.function.DoubleConsumer;
+import topazladder.admission.AdmissionSettings;
+import topazladder.admission.AdmissionSettings.AdmissionLevelUnit;
+import topazladder.admission.AdmissionSettings.DependencyTopology;
+import topazladder.admission.AdmissionSettings.RunCancellation;
+import topazladder.admission.RuntimeGauges;
 import topazladder.request.RequestClass;
 import topazladder.request.Tenant;
 
 /**
- * Turns the settings that an instance is handed, on the simulator's wire or in its configuration, into the
- * module's map of terms: its names, in seconds. The one place that knows both.
+ * Reads the settings that an instance is handed, on the simulator's wire or in its configuration, into typed settings.
+ * The one place that knows both the names in the settings and ours. Names that are unknown here are ignored. Times are
+ * given in nanoseconds, under names that end in {@code Ns}.
  */
 public final class SettingsReader {
-    /** Path in the settings to the module's name; what the module has no name for is ignored. */
-    private static final Map<String, String> NAMES = names(
-            "Extra.Cores", "cores",
-            "Extra.MemoryKb", "memory",
-            "Extra.RunFactor", "run-factor",
-            "Extra.KeyKb", "fingerprint-footprint",
-            "Extra.Below", "below",
-            "Extra.CallsOut", "calls-share",
-            "Extra.CallsOverNs", "calls-span",
-            "Extra.LingersNs", "call-lingers",
-            "Extra.Cold", "cold",
-            "Extra.Halt", "halt",
-            "Extra.HeededNs", "heeded",
-            "Extra.Say", "level-unit",
-            "Extra.FreshNs", "fresh",
-            "Extra.KeepaliveMaxNs", "idle-most",
-            "Extra.FullChecks", "full-checks",
-            "Extra.Readiness", "listed-by-health",
-            "Extra.Upstreams", "callers",
-            "PeersTotal", "peers",
-            "PolicyLimits.RetryAfter", "stay-away",
-            "PolicyLimits.MaxRetryAfterNs", "stay-away-most",
-            "OverShareWorth", "over-share-payoff",
-            "Safety.AnswerSlackNs", "answer-slack",
-            "Safety.ColdFrom", "cold-from",
-            "Safety.WarmAfterNs", "warm-after",
-            "Safety.DrainGraceNs", "drain-grace",
-            "Safety.FallMultiple", "fall-multiple",
-            "Safety.OverloadForNs", "crowd-span",
-            "TickNs", "tick");
-
-    /** Where a number stands in place of one of these, or one of these in place of a number, the module would fail. */
-    private static final Map<String, Set<String>> WORDS = Map.of("Extra.Below", Set.of("common", "next_hop", "none"),
-            "Extra.Halt", Set.of("none", "drop", "pause"), "Extra.Say", Set.of("min_rank", "tokens", "bias", "none"));
-    private static final Set<String> YES_OR_NO = Set.of("Extra.Cold", "Extra.FullChecks", "Extra.Readiness",
-            "PolicyLimits.RetryAfter");
-    /** Seconds, thirty days: past all that a server is told of; a timer set for longer would never come. */
-    private static final double LONGEST = 30 * 86_400;
-    /** Past any machine, and any list of classes or tenants. */
-    private static final double MOST = 1e12;
-    private static final int MOST_ITEMS = 100_000;
-
-    private static final Map<String, String> GAUGES = names(
-            "core_use", "core-use",
-            "on_cores", "on-cores",
-            "heap_share", "memory-share",
-            "links", "connections");
+    private static final Map<String, RunCancellation> RUN_CANCELLATIONS = Map.of("none", RunCancellation.UNSUPPORTED,
+            "drop", RunCancellation.DROP, "pause", RunCancellation.PAUSE);
+    private static final Map<String, AdmissionLevelUnit> LEVEL_UNITS = Map.of("min_rank", AdmissionLevelUnit.MIN_RANK,
+            "tokens", AdmissionLevelUnit.TOKENS, "bias", AdmissionLevelUnit.BIAS, "none", AdmissionLevelUnit.NONE);
+    private static final Map<String, DependencyTopology> DEPENDENCY_TOPOLOGIES = Map.of(
+            "common", DependencyTopology.SHARED, "next_hop", DependencyTopology.NEXT_HOP,
+            "none", DependencyTopology.NONE);
+    private static final String DEPENDENCY_TOPOLOGY = "Extra.Below";
+    /** Thirty days. A timer set for longer would never come. */
+    private static final double MAX_TIME_SECONDS = 30 * 86_400;
+    private static final double MAX_NUMBER = 1e12;
+    private static final int MAX_ITEMS = 100_000;
+    private static final double NANOSECONDS_PER_SECOND = 1e9;
+
+    /** Names of gauges in the settings, and the names under which the admission controller knows them. */
+    private static final Map<String, String> GAUGE_NAMES = Map.of("core_use", RuntimeGauges.CORE_USE,
+            "on_cores", RuntimeGauges.ON_CORES, "heap_share", "memory-share", "links", "connections");
 
     private final Map<String, String> lines;
     private final List<RequestClass> requestClasses = new ArrayList<>();
     private final List<Tenant> tenants = new ArrayList<>();
-    private final List<String> gauges;
-    private final Map<String, Object> map = new LinkedHashMap<>();
+    private final List<String> gaugeNames;
+    private final AdmissionSettings admissionSettings;
+    /** The values of {@link #admissionSettings} that were given, by path, and those that are only checked. */
+    private final Map<String, Object> given = new HashMap<>();
 
     /** From lines of path=value, as the simulator sends them. */
     public static SettingsReader ofLines(String text) {
@@ -88,24 +70,28 @@
     public SettingsReader(Map<String, String> settings) {
         lines = settings;
         String names = lines.getOrDefault("Extra.OwnStats", "");
-        gauges = Arrays.stream(names.split(",")).map(g -> GAUGES.getOrDefault(g, g)).toList();
+        gaugeNames = Arrays.stream(names.split(",")).map(g -> GAUGE_NAMES.getOrDefault(g, g)).toList();
         above0("Extra.Cores", required("Extra.Cores"));
         above0("Extra.MemoryKb", required("Extra.MemoryKb"));
         readRequestClasses();
         readTenants();
-        NAMES.forEach((path, name) -> {
-            String value = lines.get(path);
-            if (value != null && !value.isEmpty()) {
-                map.put(name, plain(path, value));
-            }
-        });
-        map.put("offerings", List.copyOf(requestClasses));
-        map.put("customers", List.copyOf(tenants));
+        admissionSettings = readAdmissionSettings();
+    }
+
+    /** What the admission controller is handed. */
+    public AdmissionSettings admissionSettings() {
+        return admissionSettings;
+    }
+
+    /** Whether the other was given the same values for the same names; a default that is spelled out differs. */
+    public boolean hasSameValues(SettingsReader other) {
+        return given.equals(other.given) && requestClasses.equals(other.requestClasses)
+                && tenants.equals(other.tenants);
     }
 
-    /** What the module is handed. */
-    public Map<String, Object> map() {
-        return map;
+    /** The word that the settings give for the topology of the dependency, if any. */
+    public Optional<String> dependencyTopologyWord() {
+        return Optional.ofNullable(lines.get(DEPENDENCY_TOPOLOGY)).filter(word -> !word.isEmpty());
     }
 
     public List<RequestClass> requestClasses() {
@@ -117,8 +103,95 @@
     }
 
     /** The names of a server's gauges, in the order in which their values come. */
-    public List<String> gauges() {
-        return gauges;
+    public List<String> gaugeNames() {
+        return gaugeNames;
+    }
+
+    private AdmissionSettings readAdmissionSettings() {
+        AdmissionSettings.Builder settings = AdmissionSettings.builder().requestClasses(requestClasses);
+        readMachine(settings);
+        readCallers(settings);
+        readSafety(settings);
+        number("TickNs", settings::tickSeconds);
+        return settings.build();
+    }
+
+    private void readMachine(AdmissionSettings.Builder settings) {
+        number("Extra.Cores", settings::cores);
+        number("Extra.MemoryKb", settings::memoryKilobytes);
+        number("Extra.RunFactor", settings::runMemoryFactor);
+        number("Extra.KeyKb", settings::idempotencyKeyKilobytes);
+        word(DEPENDENCY_TOPOLOGY, DEPENDENCY_TOPOLOGIES, settings::dependencyTopology);
+        number("Extra.CallsOut", settings::dependencyCallQuota);
+        number("Extra.CallsOverNs", settings::dependencyQuotaSpanSeconds);
+        number("Extra.LingersNs", settings::abandonedCallLingerSeconds);
+        yesOrNo("Extra.Cold", settings::coldStart);
+        word("Extra.Halt", RUN_CANCELLATIONS, settings::runCancellation);
+    }
+
+    private void readCallers(AdmissionSettings.Builder settings) {
+        number("Extra.HeededNs", settings::admissionLevelValiditySeconds);
+        word("Extra.Say", LEVEL_UNITS, settings::admissionLevelUnit);
+        checkNumber("Extra.FreshNs");
+        number("Extra.KeepaliveMaxNs", settings::maxConnectionIdleSeconds);
+        checkYesOrNo("Extra.FullChecks");
+        checkYesOrNo("Extra.Readiness");
+        number("Extra.Upstreams", settings::callers);
+        checkNumber("PeersTotal");
+        yesOrNo("PolicyLimits.RetryAfter", settings::retryAfterAllowed);
+        number("PolicyLimits.MaxRetryAfterNs", settings::maxRetryAfterSeconds);
+        checkNumber("OverShareWorth");
+    }
+
+    private void readSafety(AdmissionSettings.Builder settings) {
+        number("Safety.AnswerSlackNs", settings::answerSlackSeconds);
+        number("Safety.ColdFrom", settings::coldSpeed);
+        number("Safety.WarmAfterNs", settings::warmUpSeconds);
+        number("Safety.DrainGraceNs", settings::drainGraceSeconds);
+        number("Safety.FallMultiple", settings::collapseFactor);
+        checkNumber("Safety.OverloadForNs");
+    }
+
+    /** A number that the controller makes no use of, and that must be sound all the same. */
+    private void checkNumber(String path) {
+        number(path, unused -> {});
+    }
+
+    private void checkYesOrNo(String path) {
+        yesOrNo(path, unused -> {});
+    }
+
+    private void number(String path, DoubleConsumer setting) {
+        String value = lines.get(path);
+        if (value != null && !value.isEmpty()) {
+            double number = number(path, value);
+            given.put(path, number);
+            setting.accept(number);
+        }
+    }
+
+    private void yesOrNo(String path, Consumer<Boolean> setting) {
+        String value = lines.get(path);
+        if (value != null && !value.isEmpty()) {
+            if (!value.equals("true") && !value.equals("false")) {
+                throw new InvalidSettingsException(path + " should be true or false: " + value);
+            }
+            given.put(path, value);
+            setting.accept(Boolean.valueOf(value));
+        }
+    }
+
+    private <T> void word(String path, Map<String, T> words, Consumer<T> setting) {
+        String value = lines.get(path);
+        if (value != null && !value.isEmpty()) {
+            T meaning = words.get(value);
+            if (meaning == null) {
+                throw new InvalidSettingsException(
+                        path + " should be one of " + String.join(", ", new TreeSet<>(words.keySet())) + ": " + value);
+            }
+            given.put(path, value);
+            setting.accept(meaning);
+        }
     }
 
     private void readRequestClasses() {
@@ -196,11 +269,11 @@
             throw new InvalidSettingsException(path + " should be a number: " + value);
         }
         boolean time = path.endsWith("Ns");
-        if (!(n >= 0 && n <= (time ? LONGEST * 1e9 : MOST))) {
+        if (!(n >= 0 && n <= (time ? MAX_TIME_SECONDS * NANOSECONDS_PER_SECOND : MAX_NUMBER))) {
             throw new InvalidSettingsException(
                     path + " should be from 0 to " + (time ? "30 days" : "10^12") + ": " + value);
         }
-        return time ? n / 1e9 : n;
+        return time ? n / NANOSECONDS_PER_SECOND : n;
     }
 
     private static double above0(String path, double n) {
@@ -211,35 +284,9 @@
     }
 
     private static int items(String path, int count) {
-        if (count > MOST_ITEMS) {
-            throw new InvalidSettingsException(path + " should be at most " + MOST_ITEMS + ": " + count);
+        if (count > MAX_ITEMS) {
+            throw new InvalidSettingsException(path + " should be at most " + MAX_ITEMS + ": " + count);
         }
         return count;
     }
-
-    private static Object plain(String path, String value) {
-        if (YES_OR_NO.contains(path)) {
-            if (!value.equals("true") && !value.equals("false")) {
-                throw new InvalidSettingsException(path + " should be true or false: " + value);
-            }
-            return Boolean.valueOf(value);
-        }
-        if (!WORDS.containsKey(path)) {
-            return number(path, value);
-        }
-        if (!WORDS.get(path).contains(value)) {
-            throw new InvalidSettingsException(
-                    path + " should be one of " + String.join(", ", new TreeSet<>(WORDS.get(path)))
-                            + ": " + value);
-        }
-        return value;
-    }
-
-    private static Map<String, String> names(String... pairs) {
-        Map<String, String> names = new LinkedHashMap<>();
-        for (int i = 0; i < pairs.length; i += 2) {
-            names.put(pairs[i], pairs[i + 1]);
-        }
-        return names;
-    }
 }
--- a/src/main/java/topazladder/net/peer/PeerNode.java
+++ b/src/main/java/topazladder/net/peer/PeerNode.java
@@ -67,7 +67,7 @@
         take(settings);
         // Only to differ from any process before: a clock that is wrong does no harm.
         long incarnation = System.currentTimeMillis() << 16 ^ ProcessHandle.current().pid();
-        Origin here = new Origin(terms.name(), incarnation, ((Number) terms.terms().map().get("cores")).doubleValue(),
+        Origin here = new Origin(terms.name(), incarnation, terms.terms().admissionSettings().cores(),
                 own.coreSpeed(), digest(terms.terms()));
         learning = new Learning(here, PeerNode::seconds, settings.leaveOut());
         asking = new Asking(terms.name(), incarnation, own.hall(),
@@ -89,7 +89,8 @@
     /** The same wherever the same work is done with the same limits. */
     static long digest(SettingsReader terms) {
         HashStream64 hash = Hashing.komihash5_0().hashStream();
-        hash.putString(String.valueOf(terms.map().get("below")));
+        // Older versions hash the word "null" where the settings give none.
+        hash.putString(terms.dependencyTopologyWord().orElse("null"));
         for (RequestClass o : terms.requestClasses()) {
             hash.putString(o.name()).putInt(o.idempotency().ordinal()).putDouble(o.latencyObjectiveSeconds())
                     .putDouble(o.deadlineSeconds())
--- a/src/main/java/topazladder/request/Decision.java
+++ b/src/main/java/topazladder/request/Decision.java
@@ -1,63 +1,147 @@
 package topazladder.request;
 
 /**
- * One decision. What a field means depends on {@link What}; the others are empty.
- *
- * @param request the request ruled on, or null
- * @param number seconds, or the level
- * @param yes for DEFER: not to be tried elsewhere; for HEALTH: good
- * @param text for NOTE
+ * What the admission controller has decided. The decisions that one event leads to are carried out in the order in
+ * which they were made, each by the method of {@link DecisionHandler} that has its name.
  */
-public record Decision(What what, Request request, double number, boolean yes, String text) {
+public sealed interface Decision {
 
-    public enum What {
-        START,
-        /** Turn away; number = seconds to stay away. */
-        DEFER,
-        BREAK_OFF,
-        /** Take off the cores, its work lost. */
-        STOP,
-        /** Answer a repeat from its forerunner's result. */
-        JOIN,
-        /** Keep the fingerprint; number = seconds. */
-        REMEMBER,
-        FORGET,
-        /** Make the call it waits for; number = seconds until the call is given up. */
-        CALL,
-        /** Leave the call out and answer poorer. */
-        DO_WITHOUT,
-        /** Post the level; number = the level in the callers' unit. */
-        POST,
-        /** Answer checks with this from store. */
-        HEALTH,
-        /** Close connections idle for this many seconds. */
-        CLOSE_IDLE,
-        /** Ask for a timer; number = seconds. */
-        WAKE,
-        NOTE
+    /** Calls the one method of the handler that carries out this decision. */
+    void applyTo(DecisionHandler handler);
+
+    /** A decision about one request. */
+    sealed interface OnRequest extends Decision {
+
+        /** The request decided on, which was in flight when the decision was made. */
+        Request request();
+    }
+
+    /** Start the run of the request, or start it again after a lost link. */
+    record Start(Request request) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.start(request);
+        }
+    }
+
+    /**
+     * Answer that the request was rejected: it had no effect, and may be tried again.
+     *
+     * @param retryAfterSeconds seconds that its caller should wait before it tries this server again; 0 for no advice
+     * @param doNotRetryElsewhere whether the caller is advised not to try another server either
+     */
+    record Reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.reject(request, retryAfterSeconds, doNotRetryElsewhere);
+        }
+    }
+
+    /** Answer that the request failed: it may have had its effect. */
+    record Fail(Request request) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.fail(request);
+        }
+    }
+
+    /** Take the run off the cores; its work is lost. */
+    record CancelRun(Request request) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.cancelRun(request);
+        }
+    }
+
+    /** Answer a duplicate with the result of the request that it repeats, once that is known. */
+    record AnswerFromOriginal(Request request) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.answerFromOriginal(request);
+        }
+    }
+
+    /**
+     * Keep the idempotency key of the request and, later, its result.
+     *
+     * @param windowSeconds seconds from now for which they are kept
+     */
+    record RememberIdempotencyKey(Request request, double windowSeconds) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.rememberIdempotencyKey(request, windowSeconds);
+        }
+    }
+
+    /** Forget the idempotency key of a request that has ended without having run, so that a retry may run. */
+    record ForgetIdempotencyKey(Request request) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.forgetIdempotencyKey(request);
+        }
     }
 
-    public static Decision of(What what, Request request) {
-        return new Decision(what, request, 0, false, "");
+    /**
+     * Make the dependency call that the run of the request waits for.
+     *
+     * @param timeoutSeconds seconds until the call is given up
+     */
+    record CallDependency(Request request, double timeoutSeconds) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.callDependency(request, timeoutSeconds);
+        }
     }
 
-    public static Decision of(What what, Request request, double number) {
-        return new Decision(what, request, number, false, "");
+    /** Go on with the run without the dependency call that it waits for; its answer is a degraded one. */
+    record SkipDependencyCall(Request request) implements OnRequest {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.skipDependencyCall(request);
+        }
     }
 
-    public static Decision of(What what, double number) {
-        return new Decision(what, null, number, false, "");
+    /**
+     * Post the admission level with every answer from now on.
+     *
+     * @param level the rank from 0 to 1 under which requests are rejected
+     */
+    record PostAdmissionLevel(double level) implements Decision {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.postAdmissionLevel(level);
+        }
     }
 
-    public static Decision defer(Request request, double stayAway, boolean notElsewhere) {
-        return new Decision(What.DEFER, request, stayAway, notElsewhere, "");
+    /** Answer health checks with this from now on. */
+    record SetHealth(boolean healthy) implements Decision {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.setHealth(healthy);
+        }
     }
 
-    public static Decision health(boolean good) {
-        return new Decision(What.HEALTH, null, 0, good, "");
+    /**
+     * Close callers' connections that idle for long, from now on.
+     *
+     * @param idleSeconds seconds without a request after which a connection is closed
+     */
+    record CloseIdleConnections(double idleSeconds) implements Decision {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.closeIdleConnections(idleSeconds);
+        }
     }
 
-    public static Decision note(String text) {
-        return new Decision(What.NOTE, null, 0, false, text);
+    /**
+     * Call the controller's tick once.
+     *
+     * @param delaySeconds seconds from now
+     */
+    record ScheduleTick(double delaySeconds) implements Decision {
+        @Override
+        public void applyTo(DecisionHandler handler) {
+            handler.scheduleTick(delaySeconds);
+        }
     }
 }
--- a/src/main/java/topazladder/request/Outcome.java
+++ b/src/main/java/topazladder/request/Outcome.java
@@ -1,21 +1,22 @@
 package topazladder.request;
 
-/** How a run or a call ended. */
+/** How a run or a dependency call ended. */
 public enum Outcome {
+    /** It has a result. */
     SUCCEEDED(false),
     /** It failed, and may have had its effect. */
     FAILED(false),
-    /** The call was turned away unseen. */
+    /** The dependency rejected the call unread. */
     REJECTED(true),
-    /** The call was given up on; it may have had its effect. */
+    /** The call was given up after its timeout; it may have had its effect. */
     TIMED_OUT(false),
-    /** What lies below could not be reached. */
+    /** The dependency could not be reached. */
     UNREACHABLE(true),
-    /** The call broke off; it may have had its effect. */
+    /** The connection of the call broke; it may have had its effect. */
     CONNECTION_LOST(false),
     /** The run was stopped, or ended because nobody waits for it any more. */
     CANCELLED(false),
-    /** Nothing was started: the request was over. */
+    /** Nothing was started, as the request was over. */
     NOT_STARTED(true);
 
     private final boolean provesNoEffect;
@@ -24,7 +25,7 @@
         this.provesNoEffect = provesNoEffect;
     }
 
-    /** Whether this proves that nothing was done, so that a call with an effect may be made again. */
+    /** Whether this proves that nothing was done, so that a run or call with an effect may be retried. */
     public boolean provesNoEffect() {
         return provesNoEffect;
     }
--- a/src/main/java/topazladder/request/RequestClass.java
+++ b/src/main/java/topazladder/request/RequestClass.java
@@ -1,21 +1,30 @@
 package topazladder.request;
 
 /**
- * A kind of request, with its terms.
+ * A kind of request, with what it is worth and when.
  *
- * @param name what notes call it
+ * @param name its name in the settings and in messages
  * @param idempotency whether and how it may run again
- * @param latencyObjectiveSeconds an answer within this many seconds of the first try earns the full payoff
- * @param deadlineSeconds seconds the client waits in all
+ * @param latencyObjectiveSeconds an answer within this many seconds of its first arrival earns its full weight
+ * @param deadlineSeconds seconds for which the client waits in all
  * @param priorityWeight what one request earns
- * @param lateValueShare share of the payoff earned between the soft and the outer limit
- * @param idempotencyWindowSeconds seconds from its arrival in which a fingerprinted request may come again
- * @param callsDependency whether its requests may call what lies below
- * @param degradedValueShare share of the payoff earned when a call is left out; 0 where it can't be
+ * @param lateValueShare share of the weight that is earned between the latency objective and the deadline
+ * @param idempotencyWindowSeconds seconds from its arrival in which a request with the same idempotency key is a
+ *     duplicate; 0 for requests without one
+ * @param callsDependency whether its runs may call the dependency
+ * @param degradedValueShare share of the weight that is earned without the dependency call; 0 where it can't be skipped
  */
 public record RequestClass(String name, Repeats idempotency, double latencyObjectiveSeconds, double deadlineSeconds,
-        double priorityWeight,
-        double lateValueShare, double idempotencyWindowSeconds, boolean callsDependency, double degradedValueShare) {
+        double priorityWeight, double lateValueShare, double idempotencyWindowSeconds, boolean callsDependency,
+        double degradedValueShare) {
 
-    public enum Repeats { RETRY_SAFE, IDEMPOTENT_BY_KEY, AT_MOST_ONCE }
+    /** Whether and how a request may run again. */
+    public enum Repeats {
+        /** It has no effect, or the same effect however often it runs. */
+        RETRY_SAFE,
+        /** It must run once, and its idempotency key tells duplicates. */
+        IDEMPOTENT_BY_KEY,
+        /** It must run once, and nothing tells duplicates. */
+        AT_MOST_ONCE
+    }
 }
--- a/src/main/java/topazladder/request/Tenant.java
+++ b/src/main/java/topazladder/request/Tenant.java
@@ -1,10 +1,10 @@
 package topazladder.request;
 
 /**
- * One who shares the fleet.
+ * One who shares the fleet with others.
  *
- * @param name what notes call it
- * @param share its fraction of the service
+ * @param name its name in the settings and in messages
+ * @param share its fraction of the service, from 0 to 1
  * @param quota requests a second over the whole fleet that are within its share
  */
 public record Tenant(String name, double share, double quota) {
--- a/src/main/java/topazladder/service/RequestDispatcher.java
+++ b/src/main/java/topazladder/service/RequestDispatcher.java
@@ -15,8 +15,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.admission.AdmissionController;
+import topazladder.admission.RuntimeGauges;
 import topazladder.config.SettingsReader;
 import topazladder.request.Decision;
+import topazladder.request.DecisionHandler;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.Outcome;
 import topazladder.request.Request;
@@ -58,12 +60,13 @@
     /** Checks that wait for the runtime's word; emptied by it, or as their callers' connections close. */
     private final Map<Long, Caller> checks = new LinkedHashMap<>();
     private long lastCheck;
+    private final DecisionHandler decisionHandler = new DispatchingHandler();
     private AdmissionController admissionController;
     private double zero;
     private double latest;
     private Double level;
     private Boolean health; // null until the module rules on it
-    private Map<String, Double> gauges = Map.of();
+    private RuntimeGauges gauges = RuntimeGauges.NONE;
     private boolean gaugesAwaited;
     private List<LearnedEstimate> early = List.of(); // learned before the module started; emptied as it does
     private double wakePeriod;
@@ -93,9 +96,8 @@
      * over an hour in which it saw nothing.
      */
     void open(long seed, boolean cold) {
-        Map<String, Object> handed = new LinkedHashMap<>(terms.map());
-        handed.put("cold", cold);
-        admissionController = new AdmissionController(new SplittableRandom(seed), handed);
+        admissionController = new AdmissionController(new SplittableRandom(seed),
+                terms.admissionSettings().withColdStart(cold));
         zero = clock.getAsDouble();
         tell(b -> b.start(now()));
         applyEstimates(early);
@@ -252,11 +254,7 @@
 
     public void gaugesReceived(double[] values) {
         counters.add(Count.GAUGES_READ);
-        Map<String, Double> read = new LinkedHashMap<>();
-        for (int i = 0; i < values.length && i < terms.gauges().size(); i++) {
-            read.put(terms.gauges().get(i), values[i]);
-        }
-        gauges = read;
+        gauges = RuntimeGauges.of(terms.gaugeNames(), values);
         if (gaugesAwaited) {
             timer();
         }
@@ -264,7 +262,7 @@
 
     /** What the gauges said last is of a moment that passes; without any the module goes by its own counts. */
     public void runtimeLost() {
-        gauges = Map.of();
+        gauges = RuntimeGauges.NONE;
         // What was asked on the link that is lost is not asked again: those who check would wait for ever.
         List<Caller> asked = List.copyOf(checks.values());
         checks.clear();
@@ -386,7 +384,7 @@
                 }
                 for (Decision r : decisions) {
                     try {
-                        carryOut(r);
+                        r.applyTo(decisionHandler);
                     } catch (RuntimeException e) {
                         fault(e);
                     }
@@ -411,50 +409,99 @@
         LOG.error("a fault of the program", e);
     }
 
-    private void carryOut(Decision r) {
-        InFlightRequest h = r.request() == null ? null : byRequest.get(r.request());
-        if (h != null) {
-            touched.add(h);
-        }
-        switch (r.what()) {
-            case START -> {
-                counters.add(h.started ? Count.RUNS_STARTED_AGAIN : Count.RUNS_STARTED);
-                h.started = true;
-                runtime.start(h.arrival.ref(), h.arrival.requestClass(), h.arrival.body());
+    /** Carries out one decision after the other, on behalf of the dispatcher. */
+    private final class DispatchingHandler implements DecisionHandler {
+
+        /** The request that a decision names; it may be over once that is carried out. */
+        private InFlightRequest inFlight(Request request) {
+            InFlightRequest inFlight = byRequest.get(request);
+            if (inFlight != null) {
+                touched.add(inFlight);
             }
-            case DEFER -> answer(h, How.REJECTED, r.number(), r.yes(), NOTHING);
-            case BREAK_OFF -> answer(h, How.FAILED, 0, false, NOTHING);
-            case JOIN -> join(h);
+            return inFlight;
+        }
+
+        @Override
+        public void start(Request request) {
+            InFlightRequest inFlight = inFlight(request);
+            counters.add(inFlight.started ? Count.RUNS_STARTED_AGAIN : Count.RUNS_STARTED);
+            inFlight.started = true;
+            runtime.start(inFlight.arrival.ref(), inFlight.arrival.requestClass(), inFlight.arrival.body());
+        }
+
+        @Override
+        public void reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere) {
+            answer(inFlight(request), How.REJECTED, retryAfterSeconds, doNotRetryElsewhere, NOTHING);
+        }
+
+        @Override
+        public void fail(Request request) {
+            answer(inFlight(request), How.FAILED, 0, false, NOTHING);
+        }
+
+        @Override
+        public void cancelRun(Request request) {
+            inFlight(request);
+            LOG.warn("this runtime knows no command that stops a run");
+        }
+
+        @Override
+        public void answerFromOriginal(Request request) {
+            join(inFlight(request));
+        }
+
+        @Override
+        public void rememberIdempotencyKey(Request request, double windowSeconds) {
+            InFlightRequest inFlight = inFlight(request);
             // Counted from its arrival where that is later: the caller's clock may be ahead of this one.
-            case REMEMBER -> fingerprints.remember(h,
-                    Math.max(clock.getAsDouble(), h.arrival.since()) + r.number());
-            case FORGET -> fingerprints.forget(h);
-            case CALL -> {
-                counters.add(Count.CALLS_MADE);
-                h.calling = true;
-                h.calledAt = clock.getAsDouble();
-                index.call(h.arrival.ref(), r.number(), h.request.requestClass().idempotency() == Repeats.RETRY_SAFE,
-                        h.wanted);
-            }
-            case DO_WITHOUT -> {
-                counters.add(Count.CALLS_LEFT_OUT);
-                runtime.omit(h.arrival.ref(), h.wantedBy);
-            }
-            case POST -> {
-                // Under load it moves every second, which would fill a log.
-                counters.add(Count.LEVELS_POSTED);
-                level = r.number();
-            }
-            case HEALTH -> {
-                if (!Boolean.valueOf(r.yes()).equals(health)) {
-                    LOG.info("health is {}", r.yes() ? "good" : "bad");
-                }
-                health = r.yes();
+            fingerprints.remember(inFlight, Math.max(clock.getAsDouble(), inFlight.arrival.since()) + windowSeconds);
+        }
+
+        @Override
+        public void forgetIdempotencyKey(Request request) {
+            fingerprints.forget(inFlight(request));
+        }
+
+        @Override
+        public void callDependency(Request request, double timeoutSeconds) {
+            InFlightRequest inFlight = inFlight(request);
+            counters.add(Count.CALLS_MADE);
+            inFlight.calling = true;
+            inFlight.calledAt = clock.getAsDouble();
+            index.call(inFlight.arrival.ref(), timeoutSeconds,
+                    request.requestClass().idempotency() == Repeats.RETRY_SAFE, inFlight.wanted);
+        }
+
+        @Override
+        public void skipDependencyCall(Request request) {
+            InFlightRequest inFlight = inFlight(request);
+            counters.add(Count.CALLS_LEFT_OUT);
+            runtime.omit(inFlight.arrival.ref(), inFlight.wantedBy);
+        }
+
+        @Override
+        public void postAdmissionLevel(double posted) {
+            // Under load it moves every second, which would fill a log.
+            counters.add(Count.LEVELS_POSTED);
+            level = posted;
+        }
+
+        @Override
+        public void setHealth(boolean healthy) {
+            if (!Boolean.valueOf(healthy).equals(health)) {
+                LOG.info("health is {}", healthy ? "good" : "bad");
             }
-            case CLOSE_IDLE -> callers.closeIdle(r.number());
-            case WAKE -> wakeIn(r.number());
-            case NOTE -> LOG.info("{}", r.text());
-            case STOP -> LOG.warn("this runtime knows no command that stops a run");
+            health = healthy;
+        }
+
+        @Override
+        public void closeIdleConnections(double idleSeconds) {
+            callers.closeIdle(idleSeconds);
+        }
+
+        @Override
+        public void scheduleTick(double delaySeconds) {
+            wakeIn(delaySeconds);
         }
     }
 
--- a/src/main/java/topazladder/wire/Door.java
+++ b/src/main/java/topazladder/wire/Door.java
@@ -2,11 +2,11 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import topazladder.admission.AdmissionController;
+import topazladder.admission.RuntimeGauges;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.SettingsReader;
 import topazladder.request.Decision;
@@ -51,7 +51,7 @@
 
     void start(long seed, String text) {
         terms = SettingsReader.ofLines(text);
-        admissionController = new AdmissionController(new SplittableRandom(seed), terms.map());
+        admissionController = new AdmissionController(new SplittableRandom(seed), terms.admissionSettings());
         rule(admissionController.start(0));
     }
 
@@ -106,11 +106,11 @@
     }
 
     void timer(long clock, float[] readings) {
-        Map<String, Double> gauges = new LinkedHashMap<>();
-        for (int i = 0; i < readings.length && i < terms.gauges().size(); i++) {
-            gauges.put(terms.gauges().get(i), (double) readings[i]);
+        double[] values = new double[readings.length];
+        for (int i = 0; i < readings.length; i++) {
+            values[i] = readings[i];
         }
-        rule(admissionController.tick(seconds(clock), gauges));
+        rule(admissionController.tick(seconds(clock), RuntimeGauges.of(terms.gaugeNames(), values)));
     }
 
     void leave(long clock, long left) {
@@ -127,13 +127,13 @@
     }
 
     private void rule(List<Decision> decisions) {
-        for (Decision r : decisions) {
+        for (Decision decision : decisions) {
             long id = 0;
-            if (r.request() != null) {
-                id = ids.get(r.request());
-                touched.add(r.request());
+            if (decision instanceof Decision.OnRequest onRequest) {
+                id = ids.get(onRequest.request());
+                touched.add(onRequest.request());
             }
-            reply.add(instance, r, id);
+            reply.add(instance, decision, id);
         }
     }
 
--- a/src/main/java/topazladder/wire/Reply.java
+++ b/src/main/java/topazladder/wire/Reply.java
@@ -7,13 +7,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import topazladder.request.Decision;
+import topazladder.request.DecisionHandler;
+import topazladder.request.Request;
 
 /** One reply under construction. */
-final class Reply {
+final class Reply implements DecisionHandler {
     private static final int HEAD = 8;
 
     private ByteBuffer buffer = ByteBuffer.allocate(1 << 14).order(ByteOrder.LITTLE_ENDIAN);
     private int records;
+    private int instance;
+    private long ticket;
 
     void clear() {
         buffer.clear().position(HEAD);
@@ -26,24 +30,75 @@
         out.write(buffer.array(), 0, buffer.position());
     }
 
-    void add(int instance, Decision r, long id) {
-        switch (r.what()) {
-            case START -> record(328, instance).putLong(id);
-            case DEFER -> record(322, instance).putLong(id).putLong(ns(r.number())).put(bit(r.yes()));
-            case BREAK_OFF -> record(324, instance).putLong(id);
-            case STOP -> record(332, instance).putLong(id);
-            case JOIN -> record(333, instance).putLong(id);
-            case REMEMBER -> record(334, instance).putLong(id).putLong(ns(r.number()));
-            case FORGET -> record(331, instance).putLong(id);
-            case CALL -> record(325, instance).putLong(id).putLong(ns(r.number()));
-            case DO_WITHOUT -> record(327, instance).putLong(id);
-            case POST -> record(329, instance).putFloat((float) r.number());
-            case HEALTH -> record(320, instance).put(bit(r.yes())).put(bit(true));
-            case CLOSE_IDLE -> record(326, instance).putLong(ns(r.number()));
-            case WAKE -> record(323, instance).putLong(ns(r.number())).putLong(0);
-            case NOTE -> text(330, instance, r.text());
-            default -> throw new IllegalStateException("no record for " + r.what());
-        }
+    void add(int server, Decision decision, long id) {
+        instance = server;
+        ticket = id;
+        decision.applyTo(this);
+    }
+
+    @Override
+    public void start(Request request) {
+        record(328, instance).putLong(ticket);
+    }
+
+    @Override
+    public void reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere) {
+        record(322, instance).putLong(ticket).putLong(ns(retryAfterSeconds)).put(bit(doNotRetryElsewhere));
+    }
+
+    @Override
+    public void fail(Request request) {
+        record(324, instance).putLong(ticket);
+    }
+
+    @Override
+    public void cancelRun(Request request) {
+        record(332, instance).putLong(ticket);
+    }
+
+    @Override
+    public void answerFromOriginal(Request request) {
+        record(333, instance).putLong(ticket);
+    }
+
+    @Override
+    public void rememberIdempotencyKey(Request request, double windowSeconds) {
+        record(334, instance).putLong(ticket).putLong(ns(windowSeconds));
+    }
+
+    @Override
+    public void forgetIdempotencyKey(Request request) {
+        record(331, instance).putLong(ticket);
+    }
+
+    @Override
+    public void callDependency(Request request, double timeoutSeconds) {
+        record(325, instance).putLong(ticket).putLong(ns(timeoutSeconds));
+    }
+
+    @Override
+    public void skipDependencyCall(Request request) {
+        record(327, instance).putLong(ticket);
+    }
+
+    @Override
+    public void postAdmissionLevel(double level) {
+        record(329, instance).putFloat((float) level);
+    }
+
+    @Override
+    public void setHealth(boolean healthy) {
+        record(320, instance).put(bit(healthy)).put(bit(true));
+    }
+
+    @Override
+    public void closeIdleConnections(double idleSeconds) {
+        record(326, instance).putLong(ns(idleSeconds));
+    }
+
+    @Override
+    public void scheduleTick(double delaySeconds) {
+        record(323, instance).putLong(ns(delaySeconds)).putLong(0);
     }
 
     void fatal(int instance, String message) {
--- a/src/test/java/topazladder/AdmissionControllerTest.java
+++ b/src/test/java/topazladder/AdmissionControllerTest.java
@@ -6,6 +6,8 @@
 import static topazladder.Desk.READ;
 
 import org.junit.jupiter.api.Test;
+import topazladder.admission.AdmissionSettings.DependencyTopology;
+import topazladder.admission.RuntimeGauges;
 import topazladder.request.LearnedEstimate.Kind;
 import topazladder.request.Outcome;
 
@@ -53,7 +55,7 @@
 
     @Test
     void memoryHoldsHeldRunningAndRemembered() {
-        Desk desk = new Desk().with("memory", 400.0).open();
+        Desk desk = new Desk().with(s -> s.memoryKilobytes(400)).open();
         for (int i = 0; i < 8; i++) {
             desk.arrive("p" + i, PLACE);
         }
@@ -81,8 +83,8 @@
 
     @Test
     void coldServerKeepsItsCrowdBelowWhatItSurvives() {
-        Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
-                .with("warm-after", 16.0).open();
+        Desk desk =
+                new Desk().with(s -> s.memoryKilobytes(10000).coldStart(true).coldSpeed(0.2).warmUpSeconds(16)).open();
         for (int i = 0; i < 4; i++) {
             desk.arrive("r" + i, READ).wantsCall("r" + i);
         }
@@ -91,7 +93,7 @@
 
     @Test
     void levelRisesInStepsUnderOverloadIsEnforcedAndFallsWhenTheHoldIsShort() {
-        Desk desk = new Desk().with("memory", 100000.0).open();
+        Desk desk = new Desk().with(s -> s.memoryKilobytes(100000)).open();
         desk.flood(3, 0.1).until(4.5).matches("level");
     }
 
@@ -103,7 +105,7 @@
 
     @Test
     void spoiltCallIsMadeAgainOnceWhereThatMayBeDoneAndWaitedForNoLongerThanFourTimesTheUsual() {
-        Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
+        Desk desk = new Desk().with(s -> s.cores(4).memoryKilobytes(10000)).open();
         for (int i = 0; i < 40; i++) {
             desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 0.1)
                     .runEnds("w", Outcome.SUCCEEDED));
@@ -115,7 +117,7 @@
 
     @Test
     void callThatCanNotBeLeftOutIsMadeHoweverSlowTheLastWere() {
-        Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
+        Desk desk = new Desk().with(s -> s.cores(4).memoryKilobytes(10000)).open();
         for (int i = 0; i < 4; i++) {
             desk.quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 3).runEnds("w",
                     Outcome.SUCCEEDED));
@@ -125,8 +127,8 @@
 
     @Test
     void callsArePacedWhileTheyTakeLongAndThoseThatCanBeLeftOutGiveWay() {
-        Desk desk = new Desk().with("below", "common").with("calls-share", 1.0).with("calls-span", 5.0)
-                .with("cores", 4.0).with("memory", 10000.0).open();
+        Desk desk = new Desk().with(s -> s.dependencyTopology(DependencyTopology.SHARED).dependencyCallQuota(1)
+                .dependencyQuotaSpanSeconds(5).cores(4).memoryKilobytes(10000)).open();
         for (int i = 0; i < 45; i++) {
             desk.at(i * 0.2).quietly(d -> d.arrive("w", READ).wantsCall("w").callEnds("w", Outcome.SUCCEEDED, 0.05)
                     .runEnds("w", Outcome.SUCCEEDED));
@@ -141,8 +143,8 @@
 
     @Test
     void requestsParkedForACallCountInTheCrowdThatMayComeBack() {
-        Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
-                .with("warm-after", 16.0).with("below", "common").with("calls-share", 0.1).open();
+        Desk desk = new Desk().with(s -> s.memoryKilobytes(10000).coldStart(true).coldSpeed(0.2).warmUpSeconds(16)
+                .dependencyTopology(DependencyTopology.SHARED).dependencyCallQuota(0.1)).open();
         for (int i = 0; i < 3; i++) {
             desk.arrive("r" + i, READ).wantsCall("r" + i);
         }
@@ -151,24 +153,26 @@
 
     @Test
     void connectionsOfSeldomCallersAreClosedWhileCoresIdleAndKeptWhileNewcomersCrowd() {
-        Desk desk = new Desk().with("callers", 100.0).with("idle-most", 30.0).open();
+        Desk desk = new Desk().with(s -> s.callers(100).maxConnectionIdleSeconds(30)).open();
         for (int i = 0; i < 16; i++) {
             desk.until(i * 0.5).quietly(d -> d.arrive("a", READ).runEnds("a", Outcome.SUCCEEDED));
         }
-        desk.gauge("core-use", 0.3).until(13);
-        desk.gauge("on-cores", 9).until(16);
-        desk.gauge("on-cores", 0).until(24).matches("connections");
+        desk.gauge(RuntimeGauges.CORE_USE, 0.3).until(13);
+        desk.gauge(RuntimeGauges.ON_CORES, 9).until(16);
+        desk.gauge(RuntimeGauges.ON_CORES, 0).until(24).matches("connections");
     }
 
     @Test
     void withNothingLearnedFromOthersAllIsRuledAsItWasBeforeThatCouldBe() {
-        new Desk().with("cores", 2.0).with("memory", 2000.0).with("below", "common").with("calls-share", 2.0)
+        new Desk()
+                .with(s -> s.cores(2).memoryKilobytes(2000).dependencyTopology(DependencyTopology.SHARED)
+                        .dependencyCallQuota(2))
                 .open().play(20261201, 160).matches("unlearned");
     }
 
     @Test
     void whatOthersFinishTurnsAwayAtOnceWhatCanNotCome() {
-        Desk desk = new Desk().with("memory", 10000.0).open();
+        Desk desk = new Desk().with(s -> s.memoryKilobytes(10000)).open();
         desk.learn(Kind.COMPLETION_RATE, "", 1, 30).learn(Kind.RUN_TIME, "read", 0.4, 3);
         for (int i = 0; i < 5; i++) {
             desk.arrive("a" + i, READ);
@@ -178,8 +182,8 @@
 
     @Test
     void learnedRunTimesGrowWithTheColdOnesSlownessAndNeverMakeHopelessWhatCouldStart() {
-        Desk desk = new Desk().with("memory", 10000.0).with("cold", true).with("cold-from", 0.2)
-                .with("warm-after", 16.0).open();
+        Desk desk =
+                new Desk().with(s -> s.memoryKilobytes(10000).coldStart(true).coldSpeed(0.2).warmUpSeconds(16)).open();
         desk.learn(Kind.RUN_TIME, "read", 0.3, 3).learn(Kind.RUN_TIME, "place", 99, 3)
                 .learn(Kind.RUN_TIME, "unheard-of", 1, 3);
         desk.arrive("p", PLACE).at(0.6).arrive("late", READ, 0.3, 0.9, null).arrive("new", READ)
@@ -189,8 +193,8 @@
 
     @Test
     void learnedCallsLiftNoBoundOnWhatLiesBelowAndOwnOnesOverruleThem() {
-        Desk desk = new Desk().with("below", "common").with("calls-share", 2.0).with("calls-span", 5.0)
-                .with("cores", 4.0).with("memory", 10000.0).open();
+        Desk desk = new Desk().with(s -> s.dependencyTopology(DependencyTopology.SHARED).dependencyCallQuota(2)
+                .dependencyQuotaSpanSeconds(5).cores(4).memoryKilobytes(10000)).open();
         desk.learn(Kind.CALLS_IN_FLIGHT, "", 1e9, 1000).quietly(d -> d.arrive("f", READ).wantsCall("f")
                 .callEnds("f", Outcome.FAILED).runEnds("f", Outcome.SUCCEEDED));
         for (int i = 0; i < 6; i++) {
@@ -201,13 +205,13 @@
 
     @Test
     void onlyWhatIsAllOwnAndOfAWarmServerIsToldToOthers() {
-        Desk desk = new Desk().with("cores", 4.0).with("memory", 10000.0).open();
+        Desk desk = new Desk().with(s -> s.cores(4).memoryKilobytes(10000)).open();
         desk.learn(Kind.RUN_TIME, "read", 0.9, 3).tells();
         for (int i = 0; i < 10; i++) {
             desk.at(i).quietly(d -> d.arrive("r", READ).runEnds("r", Outcome.SUCCEEDED));
         }
         desk.tells();
-        Desk cold = new Desk().with("cold", true).with("cold-from", 0.2).with("warm-after", 16.0).open();
+        Desk cold = new Desk().with(s -> s.coldStart(true).coldSpeed(0.2).warmUpSeconds(16)).open();
         for (int i = 0; i < 10; i++) {
             cold.at(i).quietly(d -> d.arrive("r", READ).runEnds("r", Outcome.SUCCEEDED));
         }
--- a/src/test/java/topazladder/ServiceSettingsTest.java
+++ b/src/test/java/topazladder/ServiceSettingsTest.java
@@ -32,8 +32,8 @@
         assertThat(read.index().port()).isEqualTo(9042);
         assertThat(read.seed()).isEqualTo(0x8c1f30d27a5be964L);
         assertThat(read.stopAfter()).isEqualTo(3.2);
-        assertThat(read.terms().gauges()).containsExactly("core-use", "on-cores");
-        assertThat(read.terms().map()).isEqualTo(SettingsReader.ofLines("""
+        assertThat(read.terms().gaugeNames()).containsExactly("core-use", "on-cores");
+        SettingsReader fromWire = SettingsReader.ofLines("""
             Classes.count=1
             Classes.0.Name=order place
             Classes.0.Idempotency=keyed
@@ -53,7 +53,10 @@
             Orgs.0.Share=0.4
             Orgs.0.QuotaPerS=79.0
             TickNs=2000000
-            """).map());
+            """);
+        assertThat(read.terms().admissionSettings()).isEqualTo(fromWire.admissionSettings());
+        assertThat(read.terms().tenants()).isEqualTo(fromWire.tenants());
+        assertThat(read.terms().hasSameValues(fromWire)).isTrue();
     }
 
     /** Each name was compared with all before it; and more than 10,000 were refused. */
