--- a/src/main/java/topazladder/config/ServiceSettings.java
+++ b/src/main/java/topazladder/config/ServiceSettings.java
@@ -108,7 +108,7 @@
     /** Whether nothing but addresses and the seed differs, which is all that a running instance can take over. */
     public boolean alikeButForAddresses(ServiceSettings other) {
         return name.equals(other.name) && listen.equals(other.listen) && stopAfterSeconds == other.stopAfterSeconds
-                && maxSockets == other.maxSockets && terms.map().equals(other.terms.map());
+                && maxSockets == other.maxSockets && terms.hasSameValues(other.terms);
     }
 
     private static SettingsReader settings(Map<String, String> settings) {
