--- a/src/main/java/topazladder/net/peer/PeerNode.java
+++ b/src/main/java/topazladder/net/peer/PeerNode.java
@@ -67,17 +67,17 @@
         take(settings);
         // Only to differ from any process before: a clock that is wrong does no harm.
         long incarnation = System.currentTimeMillis() << 16 ^ ProcessHandle.current().pid();
-        Origin here = new Origin(terms.name(), incarnation, ((Number) terms.terms().map().get("cores")).doubleValue(),
+        Origin here = new Origin(terms.name(), incarnation, terms.terms().admissionSettings().cores(),
                 own.coreSpeed(), digest(terms.terms()));
-        learning = new Learning(here, PeerNode::seconds, settings.leaveOut());
-        asking = new Asking(terms.name(), incarnation, own.hall(),
-                new Bounds(settings.hedgeAfter(), settings.tryFor(), settings.tries()),
+        learning = new Learning(here, PeerNode::seconds, settings.excludedKinds());
+        asking = new Asking(terms.name(), incarnation, own.zone(),
+                new Bounds(settings.hedgeAfterSeconds(), settings.attemptTimeoutSeconds(), settings.maxAttempts()),
                 new SplittableRandom(terms.seed() ^ incarnation));
-        asker = new PeerAsker(vertx, here, settings.tryFor(), () -> keys, this);
+        asker = new PeerAsker(vertx, here, settings.attemptTimeoutSeconds(), () -> keys, this);
         server = settings.listen() == null ? null : new PeerServer(vertx, learning, dispatcher::learnedEstimates,
                 instance::phase, counters,
-                new Giving(settings.sharesPerSecond(), settings.loopShare()), () -> keys,
-                own.members() == null ? null
+                new Giving(settings.sharesPerSecond(), settings.maxEventLoopShare()), () -> keys,
+                own.cluster() == null ? null
                         : (socket, seal, greeting, reader) -> hall.get().take(socket, seal, greeting, reader));
     }
 
@@ -89,7 +89,8 @@
     /** The same wherever the same work is done with the same limits. */
     static long digest(SettingsReader terms) {
         HashStream64 hash = Hashing.komihash5_0().hashStream();
-        hash.putString(String.valueOf(terms.map().get("below")));
+        // Older versions hash the word "null" where the settings give none.
+        hash.putString(terms.dependencyTopologyWord().orElse("null"));
         for (RequestClass o : terms.requestClasses()) {
             hash.putString(o.name()).putInt(o.idempotency().ordinal()).putDouble(o.latencyObjectiveSeconds())
                     .putDouble(o.deadlineSeconds())
@@ -105,12 +106,12 @@
 
     private void take(Peering p) {
         List<byte[]> valid = new ArrayList<>(List.of(p.key().bytes()));
-        if (p.otherKey() != null) {
-            valid.add(p.otherKey().bytes());
+        if (p.secondaryKey() != null) {
+            valid.add(p.secondaryKey().bytes());
         }
         keys = valid;
         peers = p.peers().stream().map(peer -> new Candidate(peer.name(),
-                peer.address().host() + ":" + peer.address().port(), peer.hall())).toList();
+                peer.address().host() + ":" + peer.address().port(), peer.zone())).toList();
     }
 
     @Override
@@ -122,7 +123,7 @@
         began = seconds();
         List<Step> steps = asking.start(began, peers);
         if (asking.phase() == Phase.ASKING) {
-            instance.delayServing(settings.waitAtMost());
+            instance.delayServing(settings.maxWaitSeconds());
         }
         carryOut(steps);
     }
@@ -193,13 +194,13 @@
 
     @Override
     public void whole(int number) {
-        counters.add(Count.SHARES_TAKEN);
+        counters.add(Count.SHARES_RECEIVED);
         carryOut(asking.learned(seconds(), number));
     }
 
     @Override
     public void later(int number, double comeBackIn) {
-        counters.add(Count.SHARES_PUT_OFF);
+        counters.add(Count.SHARES_POSTPONED);
         carryOut(asking.later(seconds(), number, comeBackIn));
     }
 
--- a/src/main/java/topazladder/service/IdempotencyStore.java
+++ b/src/main/java/topazladder/service/IdempotencyStore.java
@@ -3,113 +3,106 @@
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.List;
 import java.util.Map;
 
-/** The fingerprints that the module ruled to remember, with what became of the run. */
+/**
+ * The idempotency keys that the admission controller decided to remember, with what became of their runs. Keys are
+ * never dropped for want of memory, as their requests would run again; results are.
+ */
 final class IdempotencyStore {
-    /** Of the heap, which is small on a day of 32 MB: the rest is for the requests in hand and their connections. */
-    private static final double SHARE = 0.2;
-    private static final long ENOUGH_BYTES = 8 << 20;
+    /** Of a small heap; the rest is for the requests in flight and their connections. */
+    private static final double MAX_HEAP_SHARE = 0.2;
+    private static final long MAX_RESULT_BYTES = 8 << 20;
 
-    /** One remembered request: whichever try has the entry, and the result of the run once that is over. */
-    static final class Kept {
-        final String fingerprint;
-        final byte[] digest;
-        InFlightRequest holder; // null once the run is over: its body and its caller's connection are not kept
-        double until;
-        boolean over;
-        byte[] result; // null if the run came to nothing, or was let go
-        final List<InFlightRequest> joined = new ArrayList<>(0); // wait for the end of the run; emptied by it
-
-        Kept(String fingerprint, byte[] digest) {
-            this.fingerprint = fingerprint;
-            this.digest = digest;
-        }
-    }
-
-    /** Emptied by FORGET, and by the sweep once no try of the window can still be unread. */
-    private final Map<String, Kept> entries = new HashMap<>();
-    private final MessageDigest hash;
-    private final long most;
-    private long bytes;
+    /** By key; emptied as keys are forgotten, and by {@link #sweep}. */
+    private final Map<String, IdempotencyRecord> records = new HashMap<>();
+    private final MessageDigest sha256;
+    private final long maxResultBytes;
+    private long resultBytes;
 
     IdempotencyStore() {
         this(Runtime.getRuntime().maxMemory());
     }
 
-    /** @param heap bytes; results past a share of it are not kept, and their repeats are broken off */
-    IdempotencyStore(long heap) {
-        most = Math.min(ENOUGH_BYTES, (long) (SHARE * heap));
+    /** A store for a heap of so many bytes. Results past its share are not kept, and their duplicates fail. */
+    IdempotencyStore(long heapBytes) {
+        maxResultBytes = Math.min(MAX_RESULT_BYTES, (long) (MAX_HEAP_SHARE * heapBytes));
         try {
-            hash = MessageDigest.getInstance("SHA-256");
+            sha256 = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform has SHA-256", e);
         }
     }
 
-    /** The same for all tries of one request, and no other: kept in place of the body. */
-    byte[] digest(IncomingRequest a) {
-        hash.update(a.requestClass().getBytes(StandardCharsets.UTF_8));
-        hash.update((byte) 0);
-        return hash.digest(a.body());
+    /**
+     * A digest of request class and body, which all attempts of one request have in common; kept in place of the body.
+     */
+    byte[] digest(IncomingRequest request) {
+        sha256.update(request.requestClass().getBytes(StandardCharsets.UTF_8));
+        sha256.update((byte) 0);
+        return sha256.digest(request.body());
     }
 
-    /** A try counts by when it came, not by when it is read: a pause may lie between. */
-    Kept find(String fingerprint, double since) {
-        Kept kept = entries.get(fingerprint);
-        return kept == null || since > kept.until ? null : kept;
+    /**
+     * The record of a key, or null where none is remembered. An attempt counts by when it arrived, not by when it is
+     * read: a pause may lie between.
+     */
+    IdempotencyRecord find(String key, double arrivedAtUnixSeconds) {
+        IdempotencyRecord record = records.get(key);
+        return record == null || arrivedAtUnixSeconds > record.expiresAt() ? null : record;
     }
 
-    void remember(InFlightRequest holder, double until) {
-        String fingerprint = holder.arrival.fingerprint();
-        if (fingerprint == null) {
+    /** Remembers the key of an attempt that is about to run; does nothing for one without a key. */
+    void remember(InFlightRequest attempt, double untilUnixSeconds) {
+        String key = attempt.incoming().idempotencyKey();
+        if (key == null) {
             return;
         }
-        Kept old = entries.get(fingerprint);
-        if (old != null && old != holder.kept) {
-            bytes -= size(old);
+        IdempotencyRecord previous = records.get(key);
+        if (previous != null && previous != attempt.idempotencyRecord()) {
+            resultBytes -= previous.resultBytes();
         }
-        if (holder.kept == null) {
-            holder.kept = new Kept(fingerprint, holder.digest);
+        IdempotencyRecord record = attempt.idempotencyRecord();
+        if (record == null) {
+            record = new IdempotencyRecord(key, attempt.digest());
+            attempt.setIdempotencyRecord(record);
         }
-        holder.kept.holder = holder;
-        holder.kept.until = until;
-        entries.put(fingerprint, holder.kept);
+        record.assign(attempt, untilUnixSeconds);
+        records.put(key, record);
     }
 
-    void forget(InFlightRequest holder) {
-        Kept kept = holder.kept;
-        if (kept != null && kept.holder == holder && entries.remove(kept.fingerprint, kept)) {
-            bytes -= size(kept);
+    /** Forgets the key of an attempt that never ran, so that a retry may run. */
+    void forget(InFlightRequest attempt) {
+        IdempotencyRecord record = attempt.idempotencyRecord();
+        if (record != null && record.isOwnedBy(attempt) && records.remove(record.key(), record)) {
+            resultBytes -= record.resultBytes();
         }
     }
 
-    void runOver(Kept kept, byte[] result) {
-        kept.over = true;
-        kept.holder = null;
-        if (entries.get(kept.fingerprint) == kept && result != null && bytes + result.length <= most) {
-            kept.result = result;
-            bytes += result.length;
+    /** The run of a key is over; the result is null where there is none. */
+    void endRun(IdempotencyRecord record, byte[] result) {
+        record.endRun();
+        boolean remembered = records.get(record.key()) == record;
+        if (remembered && result != null && resultBytes + result.length <= maxResultBytes) {
+            record.keepResult(result);
+            resultBytes += result.length;
         }
     }
 
-    /** What came within the window and lay unread through the longest outer limit is past answering. */
-    void sweep(double now, double longestLimit) {
-        entries.values().removeIf(kept -> {
-            boolean past = now > kept.until + longestLimit && kept.joined.isEmpty();
-            bytes -= past ? size(kept) : 0;
+    /**
+     * Drops the records of which no attempt can come any more: what arrived within the window and lay unread through
+     * the longest deadline is past answering.
+     */
+    void sweep(double nowUnixSeconds, double longestDeadlineSeconds) {
+        records.values().removeIf(record -> {
+            boolean past = nowUnixSeconds > record.expiresAt() + longestDeadlineSeconds && !record.hasWaiting();
+            resultBytes -= past ? record.resultBytes() : 0;
             return past;
         });
     }
 
     int size() {
-        return entries.size();
-    }
-
-    private static int size(Kept kept) {
-        return kept.result == null ? 0 : kept.result.length;
+        return records.size();
     }
 }
--- a/src/test/java/topazladder/service/IdempotencyStoreTest.java
+++ b/src/test/java/topazladder/service/IdempotencyStoreTest.java
@@ -7,42 +7,41 @@
 import topazladder.request.RequestClass;
 import topazladder.request.RequestClass.Repeats;
 
-/** What is remembered of runs, beside the decisions of the module. */
+/** What is remembered of runs, apart from the admission controller's decisions. */
 class IdempotencyStoreTest {
     private static final RequestClass PLACE =
             new RequestClass("place", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
 
+    private final IdempotencyStore store = new IdempotencyStore(10 << 20);
+
     @Test
     void resultsTakeTheirShareOfASmallHeapAndNoMore() {
-        IdempotencyStore kept = new IdempotencyStore(10 << 20);
         int results = 0;
         for (int i = 0; i < 1000; i++) {
-            InFlightRequest h = run(kept, "F" + i, new byte[4096]);
-            results += h.kept.result != null ? 1 : 0;
+            results += run("F" + i, new byte[4096]).result() != null ? 1 : 0;
         }
-        assertThat(kept.size()).as("all are remembered, or they would run again").isEqualTo(1000);
+        assertThat(store.size()).as("all are remembered, or they would run again").isEqualTo(1000);
         assertThat(results).isEqualTo(512);
     }
 
     @Test
-    void whatIsSweptGivesItsBytesBack() {
-        IdempotencyStore kept = new IdempotencyStore(10 << 20);
+    void sweptRecordsGiveTheirBytesBack() {
         for (int i = 0; i < 600; i++) {
-            run(kept, "F" + i, new byte[4096]);
+            run("F" + i, new byte[4096]);
         }
-        kept.sweep(1012 + 5.1, 5);
-        assertThat(kept.size()).isZero();
-        assertThat(run(kept, "G", new byte[2 << 20]).kept.result).isNotNull();
+        store.sweep(1012 + 5.1, 5);
+        assertThat(store.size()).isZero();
+        assertThat(run("G", new byte[2 << 20]).result()).isNotNull();
     }
 
-    private static InFlightRequest run(IdempotencyStore kept, String fingerprint, byte[] result) {
-        IncomingRequest a =
-                new IncomingRequest(fingerprint, "place", "acme", 1000, false, 10, 0.5, fingerprint, new byte[4]);
-        InFlightRequest h =
-                new InFlightRequest(a, null, new Request(PLACE, null, 0.5, 10, 0, 0, false, false, null), null,
-                        kept.digest(a));
-        kept.remember(h, 1012);
-        kept.runOver(h.kept, result);
-        return h;
+    private IdempotencyRecord run(String key, byte[] result) {
+        IncomingRequest incoming =
+                new IncomingRequest(key, "place", "acme", 1000, false, 10, 0.5, key, new byte[4]);
+        InFlightRequest attempt =
+                new InFlightRequest(incoming, null, new Request(PLACE, null, 0.5, 10, 0, 0, false, false, null), null,
+                        store.digest(incoming));
+        store.remember(attempt, 1012);
+        store.endRun(attempt.idempotencyRecord(), result);
+        return attempt.idempotencyRecord();
     }
 }
