--- /dev/null
+++ b/src/main/java/topazladder/admission/RememberedKeys.java
@@ -0,0 +1,36 @@
+package topazladder.admission;
+
+import java.util.Comparator;
+import java.util.PriorityQueue;
+
+/** Owns the list of remembered idempotency keys; emptied as windows end, and by requests that end without a run. */
+final class RememberedKeys {
+    private final PriorityQueue<TrackedRequest> requests =
+            new PriorityQueue<>(Comparator.comparingDouble((TrackedRequest request) -> request.keyRememberedUntil));
+    private final double kilobytesPerKey;
+
+    RememberedKeys(AdmissionSettings settings) {
+        kilobytesPerKey = settings.idempotencyKeyKilobytes();
+    }
+
+    void remember(TrackedRequest request, double until) {
+        request.keyRememberedUntil = until;
+        requests.add(request);
+    }
+
+    void forget(TrackedRequest request) {
+        requests.remove(request);
+    }
+
+    void forgetExpired(double now) {
+        requests.removeIf(request -> request.keyRememberedUntil <= now);
+    }
+
+    double kilobytes() {
+        return requests.size() * kilobytesPerKey;
+    }
+
+    double kilobytesPerKey() {
+        return kilobytesPerKey;
+    }
+}
--- a/src/test/java/topazladder/admission/AdmissionControllerTraceTest.java
+++ b/src/test/java/topazladder/admission/AdmissionControllerTraceTest.java
@@ -41,6 +41,7 @@
 
     @Test
     void serverWithDefaultsDecidesAsRecorded() {
-        assertThat(new RandomTraffic(AdmissionSettings.builder(), 11).play(20_000)).isEqualTo("050bf0bcac8e6049591f1ddc590c5d6a122361d737b691620a40b94986cb5819");
+        assertThat(new RandomTraffic(AdmissionSettings.builder(), 11).play(20_000))
+                .isEqualTo("050bf0bcac8e6049591f1ddc590c5d6a122361d737b691620a40b94986cb5819");
     }
 }
