--- a/src/main/java/topazladder/net/AcceptGate.java
+++ b/src/main/java/topazladder/net/AcceptGate.java
@@ -12,38 +12,48 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Holds back the thread that accepts connections while so many are open. It goes on though the event loop that owns
- * them stands still, and would take the descriptors that links and calls need; held back, the newcomers wait where
- * the system keeps them until the event loop has made room.
+ * Stops the acceptor thread while the bound of open connections is reached. The acceptor goes on though the event loop
+ * that owns the connections stands still, and would take the descriptors that links and calls need. Connections that
+ * are held back wait in the system's backlog until the event loop has closed others.
+ *
+ * <p>Invariant: at most {@code maxConnections} accepted connections hold a descriptor.
  */
 @Sharable
 final class AcceptGate extends ChannelInboundHandlerAdapter implements Transport {
-    private final int most;
-    private final AtomicInteger open = new AtomicInteger();
+    /**
+     * The next turn of the selector gives back a closed descriptor; no delayed task runs before that, though an
+     * immediate one may.
+     */
+    private static final long DESCRIPTOR_RELEASE_MILLIS = 1;
 
-    AcceptGate(int most) {
-        this.most = most;
+    private final int maxConnections;
+    private final AtomicInteger openConnections = new AtomicInteger();
+
+    AcceptGate(int maxConnections) {
+        this.maxConnections = maxConnections;
     }
 
-    /** Whether newcomers are held back, asked from any thread. */
-    boolean shut() {
-        return open.get() >= most;
+    /** Whether new connections are held back; may be called from any thread. */
+    boolean isShut() {
+        return openConnections.get() >= maxConnections;
     }
 
     @Override
-    public void channelRead(ChannelHandlerContext listening, Object accepted) {
-        Channel parent = listening.channel();
-        if (open.incrementAndGet() >= most) {
-            parent.config().setAutoRead(false);
+    public void channelRead(ChannelHandlerContext acceptor, Object accepted) {
+        Channel listener = acceptor.channel();
+        if (openConnections.incrementAndGet() >= maxConnections) {
+            listener.config().setAutoRead(false);
+        }
+        Channel connection = (Channel) accepted;
+        connection.closeFuture().addListener(closed -> connection.eventLoop().schedule(() -> release(listener),
+                DESCRIPTOR_RELEASE_MILLIS, TimeUnit.MILLISECONDS));
+        acceptor.fireChannelRead(accepted);
+    }
+
+    private void release(Channel listener) {
+        if (openConnections.decrementAndGet() < maxConnections) {
+            listener.config().setAutoRead(true);
         }
-        Channel child = (Channel) accepted;
-        // A closed one is given back by the next turn of its selector, and no task that is put off comes before that.
-        child.closeFuture().addListener(closed -> child.eventLoop().schedule(() -> {
-            if (open.decrementAndGet() < most) {
-                parent.config().setAutoRead(true);
-            }
-        }, 1, TimeUnit.MILLISECONDS));
-        listening.fireChannelRead(accepted);
     }
 
     @Override
--- a/src/main/java/topazladder/net/Backoff.java
+++ b/src/main/java/topazladder/net/Backoff.java
@@ -1,19 +1,20 @@
 package topazladder.net;
 
-/** Waits between tries to reach what can't be reached, each twice the one before. */
+/** Exponential backoff without jitter: each delay is twice the one before, up to a bound. */
 final class Backoff {
-    private static final long FIRST_MS = 20;
-    private static final long LONGEST_MS = 1000;
+    private static final long INITIAL_DELAY_MILLIS = 20;
+    private static final long MAX_DELAY_MILLIS = 1000;
 
-    private long next = FIRST_MS;
+    private long nextMillis = INITIAL_DELAY_MILLIS;
 
-    long next() {
-        long wait = next;
-        next = Math.min(LONGEST_MS, 2 * next);
-        return wait;
+    /** Returns the delay before the next attempt, and doubles the one after it. */
+    long nextDelayMillis() {
+        long delayMillis = nextMillis;
+        nextMillis = Math.min(MAX_DELAY_MILLIS, 2 * nextMillis);
+        return delayMillis;
     }
 
     void reset() {
-        next = FIRST_MS;
+        nextMillis = INITIAL_DELAY_MILLIS;
     }
 }
--- a/src/main/java/topazladder/net/CallerConnection.java
+++ b/src/main/java/topazladder/net/CallerConnection.java
@@ -3,315 +3,234 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetSocket;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
 import java.util.function.Consumer;
-import topazladder.net.codec.CallerFrames;
+import topazladder.net.codec.CallerFrameEncoder;
+import topazladder.net.codec.CallerFrameReader;
 import topazladder.net.codec.CallerMessage;
-import topazladder.net.codec.FrameReader;
 import topazladder.net.codec.MalformedMessageException;
-import topazladder.service.Caller;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
-import topazladder.service.InFlightRequest;
 import topazladder.service.RequestDispatcher;
-import topazladder.service.Response;
 
 /**
- * One caller's connection, and the requests that are open on it. Whoever breaks the protocol on it is told so, and
- * loses the connection with all that is open on it: what such a caller asked for earns nothing.
+ * One caller's connection: reads its messages, writes its responses and closes it in order. A caller that breaks the
+ * protocol is sent the error, and loses the connection with all that is open on it.
+ *
+ * <p>Invariants: the connection is never closed over a response that is owed, unless its caller broke the protocol or
+ * the instance ends; and its own side is shut down first, with what still comes read away or left unread for a while,
+ * because a close over unread bytes would reset the connection before the caller has read the last response.
  */
 final class CallerConnection {
-    /** A caller that does not read gets nothing more read from it past this. */
-    private static final int MOST_UNSENT = 64 << 10;
-    /** The protocol's bound on what is open on one connection. */
-    private static final int MOST_OPEN = 32;
-    /** One that can't be decided on may be a mistake; a caller that goes on so is told and left. */
-    private static final int MOST_UNUSABLE = 3;
-    /** Of requests taken back since the last answer: twice what can be open at once is no loss of patience. */
-    private static final int MOST_TAKEN_BACK = 2 * MOST_OPEN;
-    /**
-     * What says nothing for so many looks, two seconds, or stops within a message, is closed: others wait for its
-     * place. Counted in looks: in a pause of the machine nobody could say anything, and none is taken.
-     */
-    private static final int DUMB_LOOKS = (int) (2000 / CallerServer.LEAST_SWEEP_MS);
-    /** Closed with bytes unread, a connection would be reset before its caller read why it is closed. */
-    private static final long PARTING_MS = 300;
-    /** What a caller sends before it has seen that nothing is taken any more is read away for so long. */
-    private static final long HANGING_UP_MS = 100;
-    /** A caller that sends no more is asked twice whether it still reads: the first is answered by a reset if not. */
-    private static final long PROBE_MS = 50;
+    /** How useful a connection is, least first: a caller that sent several requests is likelier to send another. */
+    enum Value {
+        NO_VALID_MESSAGE, DRAINING, ONE_REQUEST, SEVERAL_REQUESTS
+    }
+
+    private enum State { OPEN, ENDING, CLOSED }
+
+    /** Past this, nothing more is read from a caller that does not read its responses. */
+    private static final int MAX_UNSENT_BYTES = 64 << 10;
+    /** Between the error and the close, for the caller to read why. */
+    private static final long ERROR_LINGER_MILLIS = 300;
+    /** What a caller sends before it has seen the end of this side is read away for so long. */
+    private static final long CLOSE_LINGER_MILLIS = 100;
+    /** A caller that sends no more is probed twice for whether it still reads: if not, a reset answers the first. */
+    private static final long SECOND_PROBE_MILLIS = 50;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long NOT_YET = 0;
 
     private final Vertx vertx;
     private final NetSocket socket;
-    private final RequestDispatcher dispatcher;
     private final Counters counters;
-    private final Consumer<CallerConnection> gone;
-    private final FrameReader reader = new FrameReader();
-    /** Emptied by answers, and as the connection closes. */
-    private final Map<Long, Waiting> open = new HashMap<>();
-    private long lastStream;
-    private long lastUsed = System.nanoTime();
-    private boolean awaiting = true; // a message has not come whole
-    private int looks; // since it is awaited
-    private int unusable;
-    private int takenBack;
-    private boolean proven; // a sound message came
-    private int asked;
-    private long lastCallAt; // 0 until it was told that no new request is wanted
-    private boolean heardAll; // its caller sends no more
-    private boolean stuck; // nothing more is read until what was written has gone out
-    private boolean parting; // what still comes is of no use
-    private boolean closed;
+    private final Consumer<CallerConnection> onClosed;
+    private final CallerFrameReader reader = new CallerFrameReader();
+    private final CallerStreams streams;
+    private final MessageTimeout messageTimeout = new MessageTimeout();
+    private State state = State.OPEN; // while ENDING, what still comes is not taken in
+    private long lastUsedNanos = System.nanoTime();
+    private long drainRequestedNanos = NOT_YET;
+    private boolean inputShutdown; // its caller sends no more
+    private boolean writeBlocked; // nothing more is read until what was written has gone out
 
     CallerConnection(Vertx vertx, NetSocket socket, RequestDispatcher dispatcher, Counters counters,
-            Consumer<CallerConnection> gone) {
+            Consumer<CallerConnection> onClosed) {
         this.vertx = vertx;
         this.socket = socket;
-        this.dispatcher = dispatcher;
         this.counters = counters;
-        this.gone = gone;
-        socket.setWriteQueueMaxSize(MOST_UNSENT);
+        this.onClosed = onClosed;
+        streams = new CallerStreams(dispatcher, this);
+        socket.setWriteQueueMaxSize(MAX_UNSENT_BYTES);
         socket.handler(this::read);
         socket.exceptionHandler(e -> socket.close());
         socket.closeHandler(v -> closed());
-        HalfClose.watch(socket, this::heardAll);
-        socket.shutdownHandler(v -> {}); // told by lastCall; without a handler the socket is closed at once
+        HalfClose.onInputShutdown(socket, this::inputShutdown);
+        // Shutdown is announced by requestDrain(); without a handler the socket would be closed at once.
+        socket.shutdownHandler(v -> {});
     }
 
-    private void read(Buffer more) {
-        if (parting) {
-            return; // never passed on: its answer could not be given any more
+    private void read(Buffer bytes) {
+        if (state != State.OPEN) {
+            return; // never dispatched: it could not be answered any more
         }
-        lastUsed = System.nanoTime();
+        lastUsedNanos = System.nanoTime();
         try {
-            reader.feed(more.getBytes());
-            boolean whole = false;
-            for (CallerMessage m = reader.next(); m != null && !closed && !parting; m = reader.next()) {
-                whole = true;
-                take(m);
-            }
-            if (whole || !awaiting) {
-                looks = 0;
+            reader.feed(bytes.getBytes());
+            boolean wholeMessage = false;
+            for (CallerMessage message = reader.next(); message != null && state == State.OPEN; message =
+                    reader.next()) {
+                wholeMessage = true;
+                streams.accept(message);
             }
-            awaiting = !reader.isEmpty();
+            messageTimeout.bytesRead(wholeMessage, !reader.isEmpty());
         } catch (MalformedMessageException e) {
-            part(Count.CONNECTIONS_ENDED_AS_MALFORMED, e.getMessage());
+            endWithError(Count.CONNECTIONS_ENDED_AS_MALFORMED, e.getMessage());
+        } catch (CallerProtocolException e) {
+            endWithError(e.kind(), e.getMessage());
         }
     }
 
-    private void take(CallerMessage message) throws MalformedMessageException {
-        if (message instanceof CallerMessage.GivenUp) {
-            Waiting waiting = open.remove(message.stream());
-            if (waiting != null) {
-                waiting.gone();
-                if (++takenBack > MOST_TAKEN_BACK) {
-                    part(Count.CONNECTIONS_ENDED_AS_TAKING_BACK, "too many requests taken back");
-                }
-            }
-            return;
-        }
-        if (message.stream() != 0 && message.stream() <= lastStream || open.containsKey(message.stream())) {
-            throw new MalformedMessageException("stream " + message.stream() + " used twice");
-        }
-        if (open.size() >= MOST_OPEN) {
-            part(Count.CONNECTIONS_ENDED_AS_OVERFULL, "more than " + MOST_OPEN + " requests open");
-            return;
-        }
-        lastStream = message.stream();
-        Waiting waiting = new Waiting(message.stream());
-        open.put(message.stream(), waiting);
-        if (message instanceof CallerMessage.Check check) {
-            proven = true;
-            dispatcher.healthCheck(waiting, check.deep());
-        } else if (message instanceof CallerMessage.Submitted submitted) {
-            waiting.inFlight = dispatcher.dispatch(submitted.arrival(), waiting);
-            proven |= waiting.inFlight != null;
-            asked++;
-        } else {
-            dispatcher.answerUnusable(waiting);
-        }
+    /** Writes the response to a stream, and closes if it was the last that a caller waited for that sends no more. */
+    void writeResponse(byte[] frame) {
+        write(frame);
+        closeIfFinished();
     }
 
     private void write(byte[] frame) {
-        if (closed) {
+        if (state == State.CLOSED) {
             return;
         }
-        lastUsed = System.nanoTime();
+        lastUsedNanos = System.nanoTime();
         socket.write(Buffer.buffer(frame));
-        if (socket.writeQueueFull() && !stuck) {
-            stuck = true;
+        if (socket.writeQueueFull() && !writeBlocked) {
+            writeBlocked = true;
             socket.pause();
-            socket.drainHandler(v -> unstuck());
+            socket.drainHandler(v -> writeUnblocked());
         }
     }
 
     /** What had come before the end of its caller's side is read first. */
-    private void unstuck() {
-        stuck = false;
+    private void writeUnblocked() {
+        writeBlocked = false;
         socket.resume();
-        vertx.runOnContext(v -> closeIfAllIsSaid());
+        vertx.runOnContext(v -> closeIfFinished());
     }
 
     /** Asks for no new request; the caller closes once all is answered, or is closed on when idle. */
-    void lastCall() {
-        if (lastCallAt == 0) {
-            lastCallAt = System.nanoTime();
-            socket.write(Buffer.buffer(CallerFrames.noNewRequest()));
+    void requestDrain() {
+        if (drainRequestedNanos == NOT_YET) {
+            drainRequestedNanos = System.nanoTime();
+            socket.write(Buffer.buffer(CallerFrameEncoder.noNewRequest()));
         }
     }
 
     /**
-     * Its caller sends no more: gone, or waiting for what is open. What is owed is answered, and the end comes with the
-     * last answer; the word that no request is wanted does no harm to who waits, and finds out who is gone.
+     * The caller sends no more: it is gone, or waits for what is open. What is owed is answered, and the connection
+     * closed with the last response. The notification that no request is wanted does no harm to a caller that waits,
+     * and is answered by a reset from one that is gone.
      */
-    private void heardAll() {
-        heardAll = true;
-        if (parting || open.isEmpty() && !stuck) {
+    private void inputShutdown() {
+        inputShutdown = true;
+        if (state != State.OPEN || streams.isEmpty() && !writeBlocked) {
             socket.close();
         } else {
-            write(CallerFrames.noNewRequest());
-            vertx.setTimer(PROBE_MS, id -> write(CallerFrames.noNewRequest()));
+            write(CallerFrameEncoder.noNewRequest());
+            vertx.setTimer(SECOND_PROBE_MILLIS, id -> write(CallerFrameEncoder.noNewRequest()));
         }
     }
 
     /**
-     * First it is told, so that no request crosses the close; what is open is never cut.
+     * Asks an idle connection for no new request first, so that none crosses the close; a connection with something
+     * open is never closed.
      *
-     * @param told seconds from that word on in which a caller that heeds it has closed by itself
+     * @param idleSeconds after which it is idle
+     * @param drainSeconds after the notification in which a caller that heeds it has closed by itself
      */
-    void closeIfIdle(double seconds, double told, long now) {
-        if (!parting && open.isEmpty() && now - lastUsed > seconds * 1e9) {
-            if (lastCallAt == 0) {
-                lastCall();
-            } else if (now - lastCallAt > told * 1e9) {
-                hangUp();
-            }
+    void closeIfIdle(double idleSeconds, double drainSeconds, long nowNanos) {
+        boolean idle = streams.isEmpty() && nowNanos - lastUsedNanos > idleSeconds * NANOS_PER_SECOND;
+        if (state != State.OPEN || !idle) {
+            return;
         }
-    }
-
-    /**
-     * Ends it with nothing owed. Its own side is closed first and what still comes is read away: closed over unread
-     * bytes it would be reset, and its caller would lose the last answer.
-     */
-    void hangUp() {
-        if (!parting) {
-            parting = true;
-            lastCall();
-            HalfClose.finish(socket);
-            vertx.setTimer(HANGING_UP_MS, id -> socket.close());
+        if (drainRequestedNanos == NOT_YET) {
+            requestDrain();
+        } else if (nowNanos - drainRequestedNanos > drainSeconds * NANOS_PER_SECOND) {
+            closeInOrder();
         }
     }
 
-    /** What was never said, or said by half, ends it; what waits for an answer or between two requests does not. */
-    void closeIfDumb() {
-        if (!parting && awaiting && ++looks > DUMB_LOOKS) {
-            part(proven ? Count.CONNECTIONS_ENDED_AS_HALF_SAID : Count.CONNECTIONS_ENDED_AS_SILENT,
-                    "no whole request in time");
+    /** Shuts its own side down and reads away what still comes, so that no unread byte resets the connection. */
+    void closeInOrder() {
+        if (state == State.OPEN) {
+            state = State.ENDING;
+            requestDrain();
+            HalfClose.shutdownOutput(socket);
+            vertx.setTimer(CLOSE_LINGER_MILLIS, id -> socket.close());
         }
     }
 
-    /** Whether nothing is lost with it. */
-    boolean vacant() {
-        return open.isEmpty();
-    }
-
-    /** What it has been good for: a caller that came again is likelier to come once more than one that did not. */
-    int standing() {
-        return parting || !proven ? 0 : lastCallAt != 0 ? 1 : asked <= 1 ? 2 : 3;
-    }
-
-    long lastUsed() {
-        return lastUsed;
-    }
-
-    /** Whether it ever said anything sound. */
-    boolean proven() {
-        return proven;
-    }
-
-    void cut() {
-        socket.close();
-        closed();
+    /** Ends a connection that says nothing, or half a message; one that waits, or rests between requests, is kept. */
+    void closeIfMessageOverdue() {
+        if (state == State.OPEN && messageTimeout.isOverdueAtSweep()) {
+            endWithError(streams.validMessageRead() ? Count.CONNECTIONS_ENDED_AS_HALF_SAID
+                    : Count.CONNECTIONS_ENDED_AS_SILENT, "no whole request in time");
+        }
     }
 
-    /** Its caller is told why; it ends once that can have been read, and nothing on it is answered any more. */
-    private void part(Count kind, String why) {
-        if (parting) {
+    /** Sends the error and ends once that can have been read; all that is open is answered as failed. */
+    void endWithError(Count kind, String reason) {
+        if (state != State.OPEN) {
             return;
         }
         counters.add(kind);
-        parting = true;
-        for (Waiting waiting : List.copyOf(open.values())) {
-            waiting.answer(Response.UNUSABLE);
-            waiting.gone();
-        }
-        write(CallerFrames.error(why));
-        HalfClose.finish(socket);
+        state = State.ENDING;
+        streams.failAll();
+        write(CallerFrameEncoder.error(reason));
+        HalfClose.shutdownOutput(socket);
         // It may send at full speed, and reading what nobody takes would cost the others their time.
         socket.drainHandler(null);
         socket.pause();
-        vertx.setTimer(PARTING_MS, id -> socket.close());
+        vertx.setTimer(ERROR_LINGER_MILLIS, id -> socket.close());
+    }
+
+    /** Closes at once: nothing sound ever came on it. */
+    void closeNow() {
+        socket.close();
+        closed();
     }
 
-    private void closeIfAllIsSaid() {
-        if (heardAll && !parting && !stuck && open.isEmpty()) {
+    private void closeIfFinished() {
+        if (inputShutdown && state == State.OPEN && !writeBlocked && streams.isEmpty()) {
             socket.close();
         }
     }
 
     private void closed() {
-        if (!closed) {
-            closed = true;
-            List<Waiting> left = new ArrayList<>(open.values());
-            open.clear();
-            left.forEach(Waiting::gone);
-            gone.accept(this);
+        if (state != State.CLOSED) {
+            state = State.CLOSED;
+            streams.abandonAll();
+            onClosed.accept(this);
         }
     }
 
-    /** Whoever waits on one stream. */
-    private final class Waiting implements Caller {
-        private final long stream;
-        private InFlightRequest inFlight;
-
-        Waiting(long stream) {
-            this.stream = stream;
-        }
+    /** Whether no response is owed on it. */
+    boolean isVacant() {
+        return streams.isEmpty();
+    }
 
-        @Override
-        public void answer(Response answer) {
-            if (open.remove(stream) != null) {
-                takenBack = 0;
-                write(CallerFrames.answer(stream, answer));
-                closeIfAllIsSaid();
-            }
+    Value value() {
+        if (state != State.OPEN || !streams.validMessageRead()) {
+            return Value.NO_VALID_MESSAGE;
         }
-
-        @Override
-        public void unusable(Response answer) {
-            answer(answer);
-            if (++unusable >= MOST_UNUSABLE) {
-                part(Count.CONNECTIONS_ENDED_AS_UNUSABLE, "too many requests that can't be decided on");
-            }
+        if (drainRequestedNanos != NOT_YET) {
+            return Value.DRAINING;
         }
+        return streams.requests() <= 1 ? Value.ONE_REQUEST : Value.SEVERAL_REQUESTS;
+    }
 
-        @Override
-        public void health(boolean good, Double level) {
-            if (open.remove(stream) != null) {
-                write(CallerFrames.health(stream, good, level));
-                closeIfAllIsSaid();
-            }
-        }
+    long lastUsedNanos() {
+        return lastUsedNanos;
+    }
 
-        void gone() {
-            if (inFlight != null) {
-                dispatcher.callerDisconnected(inFlight);
-            } else {
-                dispatcher.healthCheckAbandoned(this);
-            }
-        }
+    boolean validMessageRead() {
+        return streams.validMessageRead();
     }
 }
--- a/src/main/java/topazladder/net/CallerServer.java
+++ b/src/main/java/topazladder/net/CallerServer.java
@@ -9,6 +9,7 @@
 import java.util.Comparator;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -18,145 +19,155 @@
 import topazladder.service.Counters.Count;
 import topazladder.service.RequestDispatcher;
 
-/** Listens for callers and keeps their connections, so many and no more. */
+/**
+ * Listens for callers and bounds their connections. Past the bound a vacant connection is evicted for a new one; well
+ * before it, those of least value are asked to drain, so that few need be evicted.
+ *
+ * <p>Invariant: a connection with something open on it is never evicted, and a shutdown resets no caller whose
+ * connection the system has accepted.
+ */
 final class CallerServer implements Callers {
-    /** Looks for idle connections no more often than this, however short they may idle. */
-    static final long LEAST_SWEEP_MS = 100;
+    /** Idle and silent connections are looked for no more often than this, however short they may idle. */
+    static final long SWEEP_PERIOD_MILLIS = 100;
 
+    private static final int ACCEPT_BACKLOG = 1024;
     /** Past any time from the notice to the kill: the instance ends before its server does. */
-    private static final long LONGEST_SHUTDOWN_S = 3600;
-
-    /** Past this part of the table those of least use are asked to leave, so that none need be cut. */
-    private static final double FILLED = 0.7;
-    /** Seconds: between two requests of a busy caller lies less. */
-    private static final double LEAST_IDLE = 0.5;
-    /** Seconds: by then a caller that was told of the last call has heard it, and closes by itself if it ever will. */
-    private static final double TOLD = 0.5;
-    /** The same as the instance leaves, of the 0.6 that the last call comes before the kill. */
-    private static final double TOLD_AT_LAST = 0.25;
-    private static final long LOOK_MS = 20;
-    private static final Comparator<CallerConnection> LEAST_FIRST =
-            Comparator.comparingInt(CallerConnection::standing).thenComparingLong(CallerConnection::lastUsed);
+    private static final long MAX_SHUTDOWN_SECONDS = 3600;
+    /** Part of the bound past which connections of least value are asked to drain. */
+    private static final double HIGH_WATERMARK = 0.7;
+    /** Between two requests of a busy caller lies less. */
+    private static final double MIN_IDLE_SECONDS = 0.5;
+    /** By then a caller that was asked to drain has heard so, and closes by itself if it ever will. */
+    private static final double DRAIN_SECONDS = 0.5;
+    /** The same in the graceful shutdown, of the 0.6 s that the last call comes before the kill. */
+    private static final double SHUTDOWN_DRAIN_SECONDS = 0.25;
+    private static final long ACCEPT_GATE_CHECK_MILLIS = 20;
+    /** After a pause the sweeps that were missed come at once; none is made within half a period of the last. */
+    private static final long MIN_SWEEP_INTERVAL_NANOS = SWEEP_PERIOD_MILLIS * 1_000_000 / 2;
+    private static final Comparator<CallerConnection> LEAST_VALUABLE_FIRST =
+            Comparator.comparing(CallerConnection::value).thenComparingLong(CallerConnection::lastUsedNanos);
 
     private final Vertx vertx;
     private final Counters counters;
-    private final int most;
-    private final BooleanSupplier heldBack;
+    private final int maxConnections;
+    private final BooleanSupplier acceptGateShut;
     private final NetServer server;
-    /** One a connection; emptied as they close. */
+    /** Emptied as connections close. */
     private final Set<CallerConnection> connections = new LinkedHashSet<>();
     private RequestDispatcher dispatcher;
-    private double idle = Double.POSITIVE_INFINITY;
-    private boolean lastCall;
+    private double idleSeconds = Double.POSITIVE_INFINITY;
+    private boolean draining;
     private boolean ended;
-    private long lastSweep = System.nanoTime();
+    private long lastSweepNanos = System.nanoTime();
 
     /**
-     * @param most connections at once: the rest of the descriptors is for the other sockets and files
-     * @param heldBack whether newcomers are waiting in the system's hands because of that
+     * @param maxConnections at once: the rest of the descriptors is for the other sockets and files
+     * @param acceptGateShut whether new connections wait in the system's backlog because of that
      */
-    CallerServer(Vertx vertx, int most, BooleanSupplier heldBack, Counters counters) {
+    CallerServer(Vertx vertx, int maxConnections, BooleanSupplier acceptGateShut, Counters counters) {
         this.vertx = vertx;
-        this.most = most;
-        this.heldBack = heldBack;
+        this.maxConnections = maxConnections;
+        this.acceptGateShut = acceptGateShut;
         this.counters = counters;
         server = vertx.createNetServer(new NetServerOptions().setReuseAddress(true).setTcpNoDelay(true)
-                .setAcceptBacklog(1024));
+                .setAcceptBacklog(ACCEPT_BACKLOG));
     }
 
-    Future<NetServer> listen(Address at, RequestDispatcher dispatcher) {
-        this.dispatcher = dispatcher;
-        vertx.setPeriodic(LEAST_SWEEP_MS, id -> sweep());
-        return server.connectHandler(this::connected).listen(at.port(), at.host());
+    Future<NetServer> listen(Address address, RequestDispatcher requestDispatcher) {
+        dispatcher = requestDispatcher;
+        vertx.setPeriodic(SWEEP_PERIOD_MILLIS, id -> sweep());
+        return server.connectHandler(this::connected).listen(address.port(), address.host());
     }
 
     private void connected(NetSocket socket) {
-        boolean full = connections.size() >= most && !makeRoom();
+        boolean full = connections.size() >= maxConnections && !evictOne();
         counters.add(full ? Count.CONNECTIONS_TURNED_AWAY : Count.CONNECTIONS_TAKEN);
-        CallerConnection c = new CallerConnection(vertx, socket, dispatcher, counters, this::closed);
-        connections.add(c);
-        if (full || lastCall) {
-            // Not closed at once: its first request may have come with it, and would be lost. The gate holds back who
-            // comes after the few that there is room for beyond the table.
-            c.lastCall();
+        CallerConnection connection = new CallerConnection(vertx, socket, dispatcher, counters, connections::remove);
+        connections.add(connection);
+        if (full || draining) {
+            // Not closed at once: its first request may have come with it, and would be lost. The accept gate holds
+            // back whoever comes after the few that there are descriptors for beyond the bound.
+            connection.requestDrain();
         }
     }
 
     /**
-     * Whoever holds a connection with nothing open on it gives way to whoever comes: first those that have asked for
-     * nothing sound yet, or hundreds that say nothing would keep all others out; then the one idle for longest.
+     * Evicts the vacant connection of least value: first those on which nothing sound came yet, or hundreds of silent
+     * ones would keep all others out; then the one that is idle for longest.
      */
-    private boolean makeRoom() {
-        CallerConnection least = connections.stream().filter(CallerConnection::vacant).min(LEAST_FIRST).orElse(null);
-        if (least != null) {
-            counters.add(Count.CONNECTIONS_GIVEN_WAY);
-            connections.remove(least);
-            if (least.proven()) {
-                least.hangUp(); // a request may be on its way just now
-            } else {
-                least.cut();
-            }
-        }
-        return least != null;
+    private boolean evictOne() {
+        Optional<CallerConnection> least =
+                connections.stream().filter(CallerConnection::isVacant).min(LEAST_VALUABLE_FIRST);
+        least.ifPresent(this::evict);
+        return least.isPresent();
     }
 
-    private void closed(CallerConnection c) {
-        connections.remove(c);
+    private void evict(CallerConnection connection) {
+        counters.add(Count.CONNECTIONS_GIVEN_WAY);
+        connections.remove(connection);
+        if (connection.validMessageRead()) {
+            connection.closeInOrder(); // a request may be on its way just now
+        } else {
+            connection.closeNow();
+        }
     }
 
     @Override
     public void closeIdle(double seconds) {
-        idle = seconds;
+        idleSeconds = seconds;
     }
 
     private void sweep() {
-        long now = System.nanoTime();
-        if (now - lastSweep < LEAST_SWEEP_MS * 500_000) {
-            return; // after a pause those that were missed come all at once, before anything is read
+        long nowNanos = System.nanoTime();
+        if (nowNanos - lastSweepNanos < MIN_SWEEP_INTERVAL_NANOS) {
+            return;
         }
-        lastSweep = now;
-        List.copyOf(connections).forEach(c -> {
-            c.closeIfDumb();
-            if (lastCall) {
-                c.closeIfIdle(0, TOLD_AT_LAST, now);
-            } else if (idle < Double.POSITIVE_INFINITY) {
-                c.closeIfIdle(idle, TOLD, now);
-            }
-        });
-        long tooMany = connections.size() - Math.round(most * FILLED);
-        if (tooMany > 0) {
-            connections.stream().filter(CallerConnection::vacant).sorted(LEAST_FIRST).limit(tooMany).toList()
-                    .forEach(c -> c.closeIfIdle(LEAST_IDLE, TOLD, now));
+        lastSweepNanos = nowNanos;
+        List.copyOf(connections).forEach(connection -> sweep(connection, nowNanos));
+        long overWatermark = connections.size() - Math.round(maxConnections * HIGH_WATERMARK);
+        if (overWatermark > 0) {
+            connections.stream().filter(CallerConnection::isVacant).sorted(LEAST_VALUABLE_FIRST).limit(overWatermark)
+                    .toList()
+                    .forEach(connection -> connection.closeIfIdle(MIN_IDLE_SECONDS, DRAIN_SECONDS, nowNanos));
+        }
+    }
+
+    private void sweep(CallerConnection connection, long nowNanos) {
+        connection.closeIfMessageOverdue();
+        if (draining) {
+            connection.closeIfIdle(0, SHUTDOWN_DRAIN_SECONDS, nowNanos);
+        } else if (idleSeconds < Double.POSITIVE_INFINITY) {
+            connection.closeIfIdle(idleSeconds, DRAIN_SECONDS, nowNanos);
         }
     }
 
     @Override
     public void lastCall() {
-        lastCall = true;
-        new ArrayList<>(connections).forEach(CallerConnection::lastCall);
+        draining = true;
+        new ArrayList<>(connections).forEach(CallerConnection::requestDrain);
         stopListening(true);
     }
 
     /**
-     * Whoever the system has taken for this server already would be reset with its request unread: where the gate holds
-     * newcomers back, they are let in first, as those in there leave.
+     * Whoever the system has accepted for this server already would be reset with its request unread: where the accept
+     * gate holds new connections back, they are taken first, as others close.
      *
-     * @param wasOpen whether the gate was open a look ago: who was held back needs a moment to come in
+     * @param wasOpen whether the gate was open a check ago: who was held back needs a moment to come in
      */
     private void stopListening(boolean wasOpen) {
-        boolean open = !heldBack.getAsBoolean();
+        boolean open = !acceptGateShut.getAsBoolean();
         if (!ended && !(open && wasOpen)) {
-            vertx.setTimer(LOOK_MS, id -> stopListening(open));
+            vertx.setTimer(ACCEPT_GATE_CHECK_MILLIS, id -> stopListening(open));
         } else {
-            // Closed outright, the server would cut the open requests of all its connections.
-            server.shutdown(LONGEST_SHUTDOWN_S, TimeUnit.SECONDS);
+            // Closed outright, the server would close the open requests of all its connections.
+            server.shutdown(MAX_SHUTDOWN_SECONDS, TimeUnit.SECONDS);
         }
     }
 
-    /** Nothing that comes from here on is passed on; what was written goes out before the connections end. */
+    /** Dispatches nothing that comes from here on; what was written goes out before the connections end. */
     void end() {
         ended = true;
-        new ArrayList<>(connections).forEach(CallerConnection::hangUp);
+        new ArrayList<>(connections).forEach(CallerConnection::closeInOrder);
     }
 
     @Override
--- a/src/main/java/topazladder/net/DependencyEndpointChoice.java
+++ b/src/main/java/topazladder/net/DependencyEndpointChoice.java
@@ -3,26 +3,29 @@
 import topazladder.below.How;
 import topazladder.config.ServiceSettings.Address;
 
-/** Which of several index servers a call goes to, and what became of it there. */
+/** Which of several endpoints of the dependency a call goes to, and what became of it there. */
 public interface DependencyEndpointChoice {
+    /** In place of an endpoint's index where there is none. */
+    int NO_ENDPOINT = -1;
 
     /**
-     * @param not a server that the call has been to, or -1
-     * @return its place among the servers, or -1 where none is left; the call counts as in hand there until it is
-     *     told what became of it
+     * Chooses an endpoint. The call counts as in flight there until {@link #callEnded} or {@link #callAbandoned}.
+     *
+     * @param excluded an endpoint that the call has been to, or {@link #NO_ENDPOINT}
+     * @return the index of the endpoint, or {@link #NO_ENDPOINT} where none is left
      */
-    int pick(int not);
+    int pick(int excluded);
 
-    Address at(int server);
+    Address address(int endpoint);
 
-    /** Whether it is used at all now. */
-    boolean uses(int server);
+    /** Whether new calls may go to it now. */
+    boolean isInUse(int endpoint);
 
-    void ended(int server, How how);
+    void callEnded(int endpoint, How how);
 
-    /** The call was given up before it told anything of the server. */
-    void dropped(int server);
+    /** The call was given up before it told anything of the endpoint. */
+    void callAbandoned(int endpoint);
 
-    /** Whether a call that surely did not run may go to another server. */
-    boolean mayRepeat();
+    /** Whether a call that surely did not run may be retried on another endpoint. */
+    boolean isRetryPermitted();
 }
--- a/src/main/java/topazladder/net/RuntimeLink.java
+++ b/src/main/java/topazladder/net/RuntimeLink.java
@@ -1,10 +1,6 @@
 package topazladder.net;
 
 import io.vertx.core.Vertx;
-import io.vertx.core.buffer.Buffer;
-import io.vertx.core.net.NetClient;
-import io.vertx.core.net.NetClientOptions;
-import io.vertx.core.net.NetSocket;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.config.ServiceSettings.Address;
@@ -12,318 +8,252 @@
 import topazladder.net.codec.LineReader;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.RuntimeLines;
-import topazladder.net.codec.RuntimeLines.Ended;
-import topazladder.net.codec.RuntimeLines.Load;
-import topazladder.net.codec.RuntimeLines.Nack;
-import topazladder.net.codec.RuntimeLines.Notice;
-import topazladder.net.codec.RuntimeLines.Ready;
-import topazladder.net.codec.RuntimeLines.Verdict;
-import topazladder.net.codec.RuntimeLines.Wants;
+import topazladder.net.codec.RuntimeNotice;
+import topazladder.net.codec.RuntimeNotice.CommandRejected;
+import topazladder.net.codec.RuntimeNotice.DependencyCallRequested;
+import topazladder.net.codec.RuntimeNotice.Gauges;
+import topazladder.net.codec.RuntimeNotice.HealthCheckCompleted;
+import topazladder.net.codec.RuntimeNotice.Ready;
+import topazladder.net.codec.RuntimeNotice.RunEnded;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
 import topazladder.service.RuntimePort;
 
-/** The link to the runtime: taken anew whenever it is lost, with nothing lost or doubled. */
-final class RuntimeLink implements RuntimePort {
+/**
+ * The link to the runtime: commands out, notices in, over a connection that is taken anew whenever it is lost.
+ *
+ * <p>Invariants: each command takes effect once, though the link is lost, and each notice is handled once, though the
+ * runtime repeats it on a new connection. On a new connection no command is written before the answer to the first
+ * question came: all notices that were missed come before it, and only then is it known what ran.
+ */
+final class RuntimeLink implements RuntimePort, RuntimeConnection.Listener {
     private static final Logger LOG = LoggerFactory.getLogger(RuntimeLink.class);
+    /** Before the number of the last command written: what the tag of a question for the gauges is made of. */
+    private static final String ACKNOWLEDGEMENT_TAG_PREFIX = "c";
+    private static final long NO_TAG = -1;
 
-    /**
-     * Without a word for so long, and through so many questions: the other end is gone and no packet said so. Both, as
-     * after a pause of this machine the time is long and nothing was asked.
-     */
-    private static final long SILENT_NS = 5_000_000_000L;
-    private static final int MOST_UNANSWERED = 100;
-    /** An answer to a question takes a few of them at most, unless the link is worth nothing any more. */
-    private static final long HAND_OVER_MS = 200;
-
-    private final Vertx vertx;
     private final Counters counters;
-    private final NetClient client;
-    private final Backoff backoff = new Backoff();
+    private final RuntimeConnection connection;
     private final UnacknowledgedCommands unacknowledged = new UnacknowledgedCommands();
-    private Address address;
+    private final SilenceDetector silence = new SilenceDetector();
     private RequestDispatcher dispatcher;
     private InstanceLifecycle instance;
-    private int attempt; // the latest connect or wait for one; whatever an earlier one leads to is let go
-    private NetSocket socket; // null while there is no link
-    private NetSocket next; // takes its place as soon as all that was written to it is shown to be read
-    private LineReader reader;
     private long lastNotice;
-    private boolean caughtUp; // all notices of before are read, so that commands may be given
-    private int unanswered; // questions since the runtime said anything
-    private long lastWord = System.nanoTime();
-    private boolean over;
+    private boolean caughtUp; // all missed notices were read, so that commands may be written
 
     RuntimeLink(Vertx vertx, Address address, Counters counters) {
-        this.vertx = vertx;
-        this.address = address;
         this.counters = counters;
-        client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true).setConnectTimeout(1000));
+        connection = new RuntimeConnection(vertx, address, counters, this);
     }
 
-    void open(RequestDispatcher dispatcher, InstanceLifecycle instance) {
-        this.dispatcher = dispatcher;
-        this.instance = instance;
-        connect();
+    void open(RequestDispatcher requestDispatcher, InstanceLifecycle instanceLifecycle) {
+        dispatcher = requestDispatcher;
+        instance = instanceLifecycle;
+        connection.connect();
     }
 
     void close() {
-        over = true;
-        if (next != null) {
-            next.close();
+        connection.close();
+    }
+
+    /** The connection to the old address is left once there is one to the new; it is of use until then. */
+    void moveTo(Address address) {
+        if (address.equals(connection.address())) {
+            return;
         }
-        if (socket != null) {
-            socket.close();
+        LOG.info("runtime address changed address={}:{}", address.host(), address.port());
+        connection.moveTo(address);
+        if (dispatcher != null && !connection.isClosed()) {
+            connection.connect();
         }
     }
 
-    /** The link at the old address is left once there is one at the new; it is of use until then. */
-    void move(Address to) {
-        if (!to.equals(address)) {
-            LOG.info("the runtime is at another address");
-            address = to;
-            backoff.reset();
-            if (dispatcher != null && !over) {
-                connect();
-            }
+    // ---- What becomes of the connection
+
+    @Override
+    public void opened() {
+        caughtUp = false;
+        connection.write(RuntimeLines.sync(lastNotice));
+    }
+
+    @Override
+    public void lost(boolean closed) {
+        caughtUp = false;
+        dispatcher.runtimeLost();
+        if (!closed) {
+            counters.add(Count.LINKS_LOST);
+            LOG.warn("runtime link lost last_notice={}", lastNotice);
         }
     }
 
-    private void connect() {
-        int mine = ++attempt;
-        client.connect(address.port(), address.host()).onComplete(s -> {
-            if (mine == attempt && !over) {
-                connected(s);
-            } else {
-                s.close();
-            }
-        }, e -> {
-            if (mine == attempt) {
-                again();
-            }
-        });
+    @Override
+    public boolean hasUnacknowledgedCommands() {
+        return caughtUp && unacknowledged.anyWritten();
     }
 
-    /**
-     * A link in use is left once the runtime has shown to have read all that was written to it: of a start that it has
-     * not, nobody could tell whether it was. One that is silent or stalled is left all the same.
-     */
-    private void connected(NetSocket s) {
-        if (next != null) {
-            next.close();
-        }
-        next = null;
-        if (caughtUp && unacknowledged.anyWritten()) {
-            next = s;
-            s.exceptionHandler(e -> s.close());
-            s.closeHandler(v -> {
-                if (next == s) {
-                    next = null;
-                    again();
-                }
-            });
-            write(RuntimeLines.gauges("c" + unacknowledged.lastWritten()));
-            vertx.setTimer(HAND_OVER_MS, id -> takeNext(s));
-        } else {
-            use(s);
-        }
+    @Override
+    public void acknowledgementWanted() {
+        askWhatWasRead();
     }
 
-    private void takeNext(NetSocket s) {
-        if (next != null && next == s && !over) {
-            next = null;
-            use(s);
-        }
+    @Override
+    public void bytesReceived() {
+        silence.received();
     }
 
-    private void use(NetSocket s) {
-        NetSocket old = socket;
-        socket = s;
-        caughtUp = false;
-        if (old != null) {
-            old.close();
+    // ---- Notices
+
+    @Override
+    public void received(LineReader.Line line) throws MalformedMessageException {
+        RuntimeNotice notice = RuntimeLines.notice(line);
+        if (notice instanceof Ready ready) {
+            ready(ready);
+        } else if (notice instanceof Gauges gauges) {
+            gauges(gauges);
+        } else if (notice instanceof RunEnded ended) {
+            runEnded(ended);
+        } else if (notice instanceof DependencyCallRequested requested) {
+            dependencyCallRequested(requested);
+        } else if (notice instanceof HealthCheckCompleted completed) {
+            dispatcher.healthCheckCompleted(tag(completed.tag()), completed.passed());
+        } else if (notice instanceof CommandRejected rejected) {
+            commandRejected(rejected);
         }
-        reader = RuntimeLines.reader();
-        s.handler(more -> read(s, more));
-        s.exceptionHandler(e -> s.close());
-        s.closeHandler(v -> lost(s));
-        write(RuntimeLines.sync(lastNotice));
+        // A remark has no meaning, so that its number must not pass over a notice that has one.
     }
 
-    private void lost(NetSocket s) {
-        if (socket == s) {
-            socket = null;
-            caughtUp = false;
-            dispatcher.runtimeLost();
-            if (!over) {
-                counters.add(Count.LINKS_LOST);
-                LOG.warn("the link to the runtime is lost after notice {}", lastNotice);
+    private void ready(Ready ready) {
+        connection.resetBackoff();
+        LOG.info("runtime ready up_seconds={} state={}", ready.upSeconds(), ready.loaded() ? "loaded" : "empty");
+        // The answer to a question comes after all missed notices; only then is it known what ran.
+        askWhatWasRead();
+        instance.runtimeConnected(!ready.loaded());
+    }
+
+    private void gauges(Gauges gauges) {
+        if (!caughtUp) {
+            caughtUp = true;
+            resend();
+        } else {
+            unacknowledged.acknowledgeUpTo(acknowledgedBy(gauges.tag()));
+            if (!unacknowledged.anyWritten()) {
+                connection.handOver();
             }
-            if (next != null) {
-                takeNext(next);
+        }
+        dispatcher.gaugesReceived(gauges.values());
+    }
+
+    /** A run that was started and ends in this instant would be started a second time: such starts are in doubt. */
+    private void resend() {
+        for (Command command : unacknowledged.all()) {
+            if (command.start() && unacknowledged.wasWritten(command)) {
+                unacknowledged.acknowledge(command.reference());
+                dispatcher.startUncertain(command.reference());
             } else {
-                again();
+                write(command);
             }
         }
     }
 
-    private void again() {
-        if (!over) {
-            int mine = ++attempt;
-            vertx.setTimer(backoff.next(), id -> {
-                if (mine == attempt) {
-                    connect();
-                }
-            });
+    private void runEnded(RunEnded ended) {
+        if (isNew(ended.number())) {
+            unacknowledged.acknowledge(ended.reference());
+            dispatcher.runEnded(ended.reference(), ended.outcome(), ended.elapsedSeconds(), ended.result());
         }
     }
 
-    private void read(NetSocket from, Buffer more) {
-        if (socket != from) {
-            // One left with bytes that could not go out is still open: what comes late on it would tear a line here.
-            return;
-        }
-        unanswered = 0;
-        lastWord = System.nanoTime();
-        try {
-            reader.feed(more.getBytes());
-            for (LineReader.Line l = reader.next(); l != null && socket == from; l = reader.next()) {
-                take(RuntimeLines.notice(l));
-            }
-        } catch (MalformedMessageException e) {
-            counters.add(Count.LINES_UNREADABLE);
-            LOG.warn("the runtime sent what can't be read: {}", e.getMessage());
-            from.close();
+    private void dependencyCallRequested(DependencyCallRequested requested) {
+        if (isNew(requested.number())) {
+            unacknowledged.acknowledge(requested.reference());
+            dispatcher.dependencyCallRequested(requested.reference(), requested.number(), requested.body());
         }
     }
 
-    private void take(Notice notice) {
-        if (notice instanceof Ready ready) {
-            backoff.reset();
-            LOG.info("the runtime is up since {} s, {}", ready.secondsAgo(), ready.loaded() ? "loaded" : "empty");
-            // The answer to a question comes after all notices of before; only then is it known what ran.
-            write(RuntimeLines.gauges("c" + unacknowledged.lastWritten()));
-            instance.runtimeConnected(!ready.loaded());
-        } else if (notice instanceof Load load) {
-            load(load);
-        } else if (notice instanceof Ended e) {
-            if (isNew(e.number())) {
-                unacknowledged.heardOf(e.ref());
-                dispatcher.runEnded(e.ref(), e.how(), e.elapsed(), e.result());
-            }
-        } else if (notice instanceof Wants w) {
-            if (isNew(w.number())) {
-                unacknowledged.heardOf(w.ref());
-                dispatcher.dependencyCallRequested(w.ref(), w.number(), w.body());
-            }
-        } else if (notice instanceof Verdict v) {
-            dispatcher.healthCheckCompleted(tag(v.tag()), v.passed());
-        } else if (notice instanceof Nack n) {
-            unacknowledged.heardOf(n.ref());
-            if (n.command().equals("start")) {
-                dispatcher.notStarted(n.ref());
-            } else if (n.command().equals("selftest")) {
-                dispatcher.healthCheckCompleted(tag(n.ref()), false);
-            } else {
-                counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
-            }
+    private void commandRejected(CommandRejected rejected) {
+        unacknowledged.acknowledge(rejected.reference());
+        switch (rejected.command()) {
+            case RuntimeLines.START -> dispatcher.notStarted(rejected.reference());
+            case RuntimeLines.SELF_TEST -> dispatcher.healthCheckCompleted(tag(rejected.reference()), false);
+            default -> counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
         }
-        // A remark has no meaning, so that its number must not pass over a notice that has one.
     }
 
     /** A notice that was read before the link was lost may come again. */
     private boolean isNew(long number) {
-        boolean is = number > lastNotice;
+        boolean isNew = number > lastNotice;
         lastNotice = Math.max(lastNotice, number);
-        return is;
+        return isNew;
     }
 
-    private void load(Load load) {
-        if (!caughtUp) {
-            caughtUp = true;
-            for (Command c : unacknowledged.all()) {
-                if (c.start() && unacknowledged.wasWritten(c)) {
-                    // A run that was started and ends in this instant would be started a second time.
-                    unacknowledged.heardOf(c.ref());
-                    dispatcher.startUncertain(c.ref());
-                } else {
-                    write(c);
-                }
-            }
-        } else {
-            unacknowledged.readUpTo(tag(load.tag().replaceFirst("^c", "")));
-            if (!unacknowledged.anyWritten()) {
-                takeNext(next);
-            }
-        }
-        dispatcher.gaugesReceived(load.values());
+    private static long acknowledgedBy(String tag) {
+        return tag(tag.startsWith(ACKNOWLEDGEMENT_TAG_PREFIX) ? tag.substring(ACKNOWLEDGEMENT_TAG_PREFIX.length())
+                : tag);
     }
 
     private static long tag(String text) {
         try {
             return Long.parseLong(text);
         } catch (NumberFormatException e) {
-            return -1; // no question of ours: it acknowledges nothing
+            return NO_TAG; // no question of this side: it acknowledges nothing
         }
     }
 
-    private void command(String ref, boolean start, byte[] bytes) {
-        if (over) {
-            return; // what is read after the shutdown is never sent on
+    // ---- Commands
+
+    private void send(String reference, boolean start, byte[] encoded) {
+        if (connection.isClosed()) {
+            return; // what is read after the shutdown is never forwarded
         }
-        Command c = unacknowledged.add(ref, start, bytes);
-        if (caughtUp && next == null) {
-            write(c);
+        Command command = unacknowledged.add(reference, start, encoded);
+        if (caughtUp && !connection.isHandingOver()) {
+            write(command);
         }
     }
 
-    private void write(Command c) {
-        unacknowledged.written(c);
-        write(c.bytes());
+    private void write(Command command) {
+        unacknowledged.markWritten(command);
+        connection.write(command.encoded());
     }
 
-    private void write(byte[] bytes) {
-        if (socket != null) {
-            socket.write(Buffer.buffer(bytes));
-        }
+    /** Asks for the gauges, under a tag by which their answer acknowledges all commands written before. */
+    private void askWhatWasRead() {
+        connection.write(RuntimeLines.gauges(ACKNOWLEDGEMENT_TAG_PREFIX + unacknowledged.lastWritten()));
     }
 
     @Override
-    public void start(String ref, String requestClass, byte[] body) {
-        command(ref, true, RuntimeLines.start(ref, requestClass, body));
+    public void start(String reference, String requestClass, byte[] body) {
+        send(reference, true, RuntimeLines.start(reference, requestClass, body));
     }
 
     @Override
-    public void give(String ref, byte[] reply) {
-        command(ref, false, RuntimeLines.give(ref, reply));
+    public void give(String reference, byte[] reply) {
+        send(reference, false, RuntimeLines.give(reference, reply));
     }
 
     @Override
-    public void omit(String ref, long notice) {
-        command(ref, false, RuntimeLines.omit(ref, notice));
+    public void omit(String reference, long notice) {
+        send(reference, false, RuntimeLines.omit(reference, notice));
     }
 
     @Override
     public void askGauges() {
-        if (socket != null && ++unanswered > MOST_UNANSWERED && System.nanoTime() - lastWord > SILENT_NS) {
-            unanswered = 0;
-            lastWord = System.nanoTime();
+        if (connection.isOpen() && silence.isSilentAtQuestion()) {
             counters.add(Count.LINKS_STALLED);
-            LOG.warn("the link to the runtime is silent after notice {}", lastNotice);
-            connect();
+            LOG.warn("runtime link silent last_notice={}", lastNotice);
+            connection.connect();
         }
         if (caughtUp) {
-            write(RuntimeLines.gauges("c" + unacknowledged.lastWritten()));
+            askWhatWasRead();
         }
     }
 
     @Override
     public void askWhetherWorkGetsDone(long tag) {
-        if (socket == null) {
+        if (!connection.isOpen()) {
             dispatcher.healthCheckCompleted(tag, false); // nobody would ever tell
         }
-        write(RuntimeLines.selftest(String.valueOf(tag)));
+        connection.write(RuntimeLines.selfTest(String.valueOf(tag)));
     }
 }
--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.RejectedExecutionException;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.DoubleSupplier;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
@@ -23,7 +24,6 @@
 import topazladder.net.amqp.AmqpNode;
 import topazladder.net.hall.HallNode;
 import topazladder.net.peer.PeerNode;
-import topazladder.service.Callers;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.DependencyCircuitBreaker;
@@ -32,123 +32,128 @@
 import topazladder.service.RequestDispatcher;
 import topazladder.service.Timers;
 
-/** Puts the parts of a real service instance together, all on one event loop. */
+/**
+ * Puts the parts of a real service instance together, all on one event loop.
+ *
+ * <p>Invariant: the process exits only after all that was written to callers has had time to go out, and every
+ * extension is closed.
+ */
 public final class ServiceInstance {
     private static final Logger LOG = LoggerFactory.getLogger(ServiceInstance.class);
-    /**
-     * Kept back of the descriptors: libraries, event loop and links hold 33, and a closed one is given back only
-     * when the event loop comes round again. None left, nobody would be taken for a second.
-     */
-    private static final int OTHER_DESCRIPTORS = 128;
-    /** Accepted, and not yet known to the event loop. */
-    private static final int NEWCOMERS = 24;
-    /** For the last words to callers that stayed to the end, and for theirs to be read away: the kill is near. */
-    private static final long ENDING_MS = 40;
-    /** The status of an instance that went out as its hall agreed, to be started again in whatever version is due. */
-    private static final int AGREED = 75;
-    /** One in so many descriptors may be a connection to the index. */
-    private static final int INDEX_PART = 8;
+    /** For the last responses to callers that stayed to the end, and for theirs to be read away: the kill is near. */
+    private static final long LAST_RESPONSES_MILLIS = 40;
+    /** A supervisor starts the instance again with it, in whatever version the rollout has reached. */
+    private static final int AGREED_SHUTDOWN_STATUS = 75;
+    private static final int CANNOT_LISTEN_STATUS = 1;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    private final ServiceSettings terms;
+    private final ServiceSettings settings;
     private final Vertx vertx;
     private final Counters counters = new Counters();
     private final CallerServer callers;
     private final RuntimeLink runtime;
-    private final DependencyLink index;
-    private final ControlPlane control;
+    private final DependencyClient dependency;
+    private final ControlPlaneHeartbeat heartbeat;
     private final RequestDispatcher dispatcher;
     private final InstanceLifecycle instance;
     private final IntConsumer exit;
-    private int status;
-    private final List<InstanceExtension> parts = new ArrayList<>();
+    private int exitStatus;
+    private final List<InstanceExtension> extensions = new ArrayList<>();
 
     /** @param exit ends the process with a status; nothing is done any more after it */
-    public ServiceInstance(ServiceSettings terms, IntConsumer exit) {
-        this(terms, ExtensionSettings.NONE, exit);
+    public ServiceInstance(ServiceSettings settings, IntConsumer exit) {
+        this(settings, ExtensionSettings.NONE, exit);
     }
 
-    /** @param own switches on the parts that are off by default */
-    public ServiceInstance(ServiceSettings terms, ExtensionSettings own, IntConsumer exit) {
-        this.terms = terms;
+    /** @param extensionSettings switches on the extensions that are off by default */
+    public ServiceInstance(ServiceSettings settings, ExtensionSettings extensionSettings, IntConsumer exit) {
+        this.settings = settings;
         this.exit = exit;
-        int toIndex = Math.max(1, terms.sockets() / INDEX_PART);
-        int toCallers = Math.max(1, terms.sockets() - OTHER_DESCRIPTORS - toIndex);
-        AcceptGate gate = new AcceptGate(toCallers + NEWCOMERS);
-        vertx = Vertx.builder().withTransport(gate)
-                .with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1)
-                        .setInternalBlockingPoolSize(1).setFileSystemOptions(new FileSystemOptions()
-                                .setFileCachingEnabled(false).setClassPathResolvingEnabled(false)))
-                .build();
-        vertx.exceptionHandler(this::fault);
-        callers = new CallerServer(vertx, toCallers, gate::shut, counters);
-        runtime = new RuntimeLink(vertx, terms.runtime(), counters);
-        index = new DependencyLink(vertx, terms.index(), toIndex, counters);
-        control = new ControlPlane(vertx, terms.control(), terms.name());
+        SocketBudget budget = SocketBudget.of(settings.sockets());
+        AcceptGate gate = new AcceptGate(budget.acceptedConnections());
+        vertx = singleEventLoop(gate);
+        vertx.exceptionHandler(this::unhandledException);
+        callers = new CallerServer(vertx, budget.callerConnections(), gate::isShut, counters);
+        runtime = new RuntimeLink(vertx, settings.runtime(), counters);
+        dependency = new DependencyClient(vertx, settings.index(), budget.dependencyConnections(), counters);
+        heartbeat = new ControlPlaneHeartbeat(vertx, settings.control(), settings.name());
         DoubleSupplier clock = ServiceInstance::unixSeconds;
-        Timers timers = (seconds, what) -> vertx.setTimer(Math.max(1, Math.round(seconds * 1000)),
-                id -> what.run());
-        dispatcher = new RequestDispatcher(clock, terms.terms(), runtime, index, callers, timers, counters);
-        instance = new InstanceLifecycle(terms.name(), terms.seed(), terms.stopAfter(), clock, dispatcher,
-                withParts(callers),
-                timers,
-                this::exit);
-        addParts(own, clock, timers);
+        Timers timers = (seconds, what) -> vertx.setTimer(timerMillis(seconds), id -> what.run());
+        dispatcher = new RequestDispatcher(clock, settings.terms(), runtime, dependency, callers, timers, counters);
+        instance = new InstanceLifecycle(settings.name(), settings.seed(), settings.stopAfter(), clock, dispatcher,
+                new CallersAndExtensions(callers, extensions), timers, this::exit);
+        addExtensions(extensionSettings, clock, timers);
     }
 
-    private void addParts(ExtensionSettings own, DoubleSupplier clock, Timers timers) {
-        AmqpNode brokers = own.brokers().isEmpty() ? null
-                : new AmqpNode(vertx, terms, own, clock, timers, dispatcher, instance, counters);
-        if (own.peering() != null) {
-            HallNode[] hall = new HallNode[1];
-            PeerNode peers = new PeerNode(vertx, terms, own, dispatcher, instance, counters, () -> hall[0]);
-            parts.add(peers);
-            if (own.members() != null) {
-                DependencyCircuitBreaker reach =
-                        new DependencyCircuitBreaker(new SplittableRandom(terms.seed() ^ System.nanoTime()));
-                if (own.members().duties().stream().anyMatch(d -> d.what() instanceof ClusterSettings.Probe)) {
-                    index.tryBy(reach);
-                }
-                hall[0] = new HallNode(vertx, terms, own, instance::phase, counters, peers::keys,
-                        this::leaveAsAgreed, this::counted, c -> brokers.consumeBy(c.broker(), c.queue()),
-                        index::address, reach);
-                parts.add(hall[0]);
-                if (hall[0].choice() != null) {
-                    index.choose(hall[0].choice());
+    private static Vertx singleEventLoop(AcceptGate gate) {
+        FileSystemOptions noFiles =
+                new FileSystemOptions().setFileCachingEnabled(false).setClassPathResolvingEnabled(false);
+        return Vertx.builder().withTransport(gate)
+                .with(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1)
+                        .setFileSystemOptions(noFiles))
+                .build();
+    }
+
+    private void addExtensions(ExtensionSettings extensionSettings, DoubleSupplier clock, Timers timers) {
+        AmqpNode brokers = extensionSettings.brokers().isEmpty() ? null
+                : new AmqpNode(vertx, settings, extensionSettings, clock, timers, dispatcher, instance, counters);
+        if (extensionSettings.peering() != null) {
+            AtomicReference<HallNode> cluster = new AtomicReference<>();
+            PeerNode peers =
+                    new PeerNode(vertx, settings, extensionSettings, dispatcher, instance, counters, cluster::get);
+            extensions.add(peers);
+            if (extensionSettings.members() != null) {
+                cluster.set(clusterNode(extensionSettings, peers, brokers));
+                extensions.add(cluster.get());
+                if (cluster.get().choice() != null) {
+                    dependency.choose(cluster.get().choice());
                 }
             }
         }
         if (brokers != null) {
-            parts.add(brokers);
+            extensions.add(brokers);
         }
     }
 
+    private HallNode clusterNode(ExtensionSettings extensionSettings, PeerNode peers, AmqpNode brokers) {
+        DependencyCircuitBreaker circuitBreaker =
+                new DependencyCircuitBreaker(new SplittableRandom(settings.seed() ^ System.nanoTime()));
+        if (extensionSettings.members().duties().stream().anyMatch(d -> d.what() instanceof ClusterSettings.Probe)) {
+            dependency.guardBy(circuitBreaker);
+        }
+        return new HallNode(vertx, settings, extensionSettings, instance::phase, counters, peers::keys,
+                this::leaveAsAgreed, this::counted, c -> brokers.consumeBy(c.broker(), c.queue()),
+                dependency::address, circuitBreaker);
+    }
+
+    /** Listens, and then reaches out; exits with status 1 if the address can't be listened on. */
     public void start() {
-        onLoop(() -> callers.listen(terms.listen(), dispatcher).onComplete(s -> {
+        onLoop(() -> callers.listen(settings.listen(), dispatcher).onComplete(listening -> {
             instance.listenersOpened();
-            parts.forEach(InstanceExtension::open);
-            index.open(dispatcher);
+            extensions.forEach(InstanceExtension::open);
+            dependency.open(dispatcher);
             runtime.open(dispatcher, instance);
-            control.open(instance);
+            heartbeat.start(instance);
         }, e -> {
-            System.err.println("serve: can't listen on " + terms.listen().host() + ":" + terms.listen().port()
+            System.err.println("serve: can't listen on " + settings.listen().host() + ":" + settings.listen().port()
                     + ": " + e.getMessage());
-            vertx.close().onComplete(v2 -> exit.accept(1));
+            vertx.close().onComplete(closed -> exit.accept(CANNOT_LISTEN_STATUS));
         }));
     }
 
-    /** The notice to leave, from any thread. */
+    /** Begins the graceful shutdown; may be called from any thread. */
     public void leave() {
         onLoop(() -> {
-            parts.forEach(InstanceExtension::leave);
+            extensions.forEach(InstanceExtension::leave);
             instance.shutdown();
         });
     }
 
-    /** The hall has agreed that this instance goes out: whoever supervises it is told so by the status. */
-    private void leaveAsAgreed(double notice) {
-        status = AGREED;
+    /** The cluster has agreed that this instance shuts down: the status tells so to whoever supervises it. */
+    private void leaveAsAgreed(double noticeSeconds) {
+        exitStatus = AGREED_SHUTDOWN_STATUS;
         instance.announceShutdown();
-        vertx.setTimer(Math.max(1, Math.round(notice * 1000)), id -> leave());
+        vertx.setTimer(timerMillis(noticeSeconds), id -> leave());
     }
 
     private ThroughputMeter.Counted counted() {
@@ -156,64 +161,49 @@
         return new ThroughputMeter.Counted(payoff[0], payoff[1], counters.of(Count.FAILED));
     }
 
-    /** What a part has to settle holds the stop back as an open connection does. */
-    private Callers withParts(Callers server) {
-        return new Callers() {
-            @Override
-            public void closeIdle(double seconds) {
-                server.closeIdle(seconds);
-            }
-
-            @Override
-            public void lastCall() {
-                server.lastCall();
-            }
-
-            @Override
-            public int connections() {
-                return server.connections() + parts.stream().mapToInt(InstanceExtension::busy).sum();
-            }
-        };
-    }
-
-    /** Moves to the addresses of the configuration as it is now, from any thread. One that is bad changes nothing. */
+    /**
+     * Moves to the addresses of the configuration as it is now; an invalid one changes nothing. May be called from any
+     * thread, on which the configuration is read.
+     */
     public void reload(Supplier<ServiceSettings> configuration) {
         try {
             ServiceSettings read = configuration.get();
-            onLoop(() -> {
-                counters.add(Count.CONFIGURATIONS_READ);
-                LOG.info("{} reads its configuration anew", terms.name());
-                if (!read.alikeButForAddresses(terms)) {
-                    LOG.warn("the configuration differs in more than addresses: that holds from the next start on");
-                }
-                runtime.move(read.runtime());
-                index.move(read.index());
-                control.move(read.control());
-            });
+            onLoop(() -> moveTo(read));
         } catch (InvalidSettingsException e) {
-            onLoop(() -> {
-                counters.add(Count.CONFIGURATIONS_REFUSED);
-                LOG.error("the configuration stays as it was: {}", e.getMessage());
-            });
+            onLoop(() -> rejected("configuration rejected reason=\"{}\"", e));
         }
     }
 
-    /** The same for the settings of the parts that are switched on. */
-    public void reloadOwn(Supplier<ExtensionSettings> settings) {
+    private void moveTo(ServiceSettings read) {
+        counters.add(Count.CONFIGURATIONS_READ);
+        LOG.info("configuration reloaded name={}", settings.name());
+        if (!read.alikeButForAddresses(settings)) {
+            LOG.warn("configuration change deferred name={} until=next-start"
+                    + " reason=\"it differs in more than addresses\"", settings.name());
+        }
+        runtime.moveTo(read.runtime());
+        dependency.moveTo(read.index());
+        heartbeat.moveTo(read.control());
+    }
+
+    /** The same for the settings of the extensions. */
+    public void reloadOwn(Supplier<ExtensionSettings> configuration) {
         try {
-            ExtensionSettings read = settings.get();
-            onLoop(() -> parts.forEach(p -> p.reload(read)));
+            ExtensionSettings read = configuration.get();
+            onLoop(() -> extensions.forEach(extension -> extension.reload(read)));
         } catch (InvalidSettingsException e) {
-            onLoop(() -> {
-                counters.add(Count.CONFIGURATIONS_REFUSED);
-                LOG.error("the settings stay as they were: {}", e.getMessage());
-            });
+            onLoop(() -> rejected("extension settings rejected reason=\"{}\"", e));
         }
     }
 
-    /** Logs the counters and what is in hand, from any thread. */
+    private void rejected(String event, InvalidSettingsException e) {
+        counters.add(Count.CONFIGURATIONS_REFUSED);
+        LOG.error(event, e.getMessage());
+    }
+
+    /** Logs the counters and what is in flight; may be called from any thread. */
     public void tell() {
-        onLoop(this::tellCounters);
+        onLoop(this::logCounters);
     }
 
     private void onLoop(Runnable what) {
@@ -221,28 +211,29 @@
             vertx.runOnContext(v -> what.run());
         } catch (RejectedExecutionException e) {
             // A signal that comes while the process ends has nothing left to tell.
-            LOG.debug("after the end", e);
+            LOG.debug("event loop closed", e);
         }
     }
 
     /** One request's fault must not end the process that all others are in. */
-    private void fault(Throwable e) {
+    private void unhandledException(Throwable e) {
         counters.add(Count.FAULTS);
-        LOG.error("a fault of the program", e);
+        LOG.error("unhandled exception", e);
     }
 
-    private void tellCounters() {
-        LOG.info("{} {} {} connections={}", terms.name(), counters, dispatcher, callers.connections());
+    private void logCounters() {
+        LOG.info("counters name={} {} {} connections={}", settings.name(), counters, dispatcher,
+                callers.connections());
     }
 
     private void exit() {
-        tellCounters();
-        boolean left = callers.connections() > 0;
+        logCounters();
+        boolean callersLeft = callers.connections() > 0;
         callers.end();
-        closeParts(parts.iterator(), () -> {
+        closeAll(extensions.iterator(), () -> {
             runtime.close();
-            if (left) {
-                vertx.setTimer(ENDING_MS, id -> close());
+            if (callersLeft) {
+                vertx.setTimer(LAST_RESPONSES_MILLIS, id -> close());
             } else {
                 close();
             }
@@ -250,20 +241,25 @@
     }
 
     private void close() {
-        control.close();
-        vertx.close().onComplete(v -> exit.accept(status));
+        heartbeat.stop();
+        vertx.close().onComplete(v -> exit.accept(exitStatus));
     }
 
-    private static void closeParts(Iterator<InstanceExtension> left, Runnable then) {
-        if (left.hasNext()) {
-            left.next().close(() -> closeParts(left, then));
+    /** Closes one extension after the other. */
+    private static void closeAll(Iterator<InstanceExtension> remaining, Runnable then) {
+        if (remaining.hasNext()) {
+            remaining.next().close(() -> closeAll(remaining, then));
         } else {
             then.run();
         }
     }
 
+    private static long timerMillis(double seconds) {
+        return Math.max(1, Math.round(seconds * 1000));
+    }
+
     private static double unixSeconds() {
         Instant now = Clock.systemUTC().instant();
-        return now.getEpochSecond() + now.getNano() / 1e9;
+        return now.getEpochSecond() + now.getNano() / NANOS_PER_SECOND;
     }
 }
--- a/src/main/java/topazladder/net/codec/CallerMessage.java
+++ b/src/main/java/topazladder/net/codec/CallerMessage.java
@@ -2,21 +2,32 @@
 
 import topazladder.service.IncomingRequest;
 
-/** What a caller's frame says. */
+/** What one frame of a caller says; each is of one stream of its connection. */
 public sealed interface CallerMessage {
 
     long stream();
 
-    record Submitted(long stream, IncomingRequest arrival) implements CallerMessage {
+    /** A request that can be decided on. */
+    record RequestSubmitted(long stream, IncomingRequest request) implements CallerMessage {
     }
 
-    /** A sound frame with a field that is missing, impossible or unknown. */
-    record Unusable(long stream, String why) implements CallerMessage {
+    /**
+     * A request in a sound frame that can't be decided on: it gets one failed response, and the connection goes on.
+     *
+     * @param reason the field that is missing, out of bounds or unknown
+     */
+    record InvalidRequest(long stream, String reason) implements CallerMessage {
     }
 
-    record GivenUp(long stream) implements CallerMessage {
+    /** Nobody waits for the response to this stream any more. */
+    record RequestCancelled(long stream) implements CallerMessage {
     }
 
-    record Check(long stream, boolean deep) implements CallerMessage {
+    /**
+     * A health check.
+     *
+     * @param deep whether it asks if work gets done
+     */
+    record HealthCheck(long stream, boolean deep) implements CallerMessage {
     }
 }
--- a/src/main/java/topazladder/net/codec/LineReader.java
+++ b/src/main/java/topazladder/net/codec/LineReader.java
@@ -3,115 +3,133 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Reads lines of words ending in CR LF, some followed by as many bytes as their last word says and CR LF. */
+/**
+ * Reads lines of words that end in CR LF, some followed by a payload of as many bytes as their last word says and
+ * CR LF. Bytes may come in any pieces.
+ */
 public final class LineReader {
-    /** Far past any body, result or reply; a length past it is not waited for, nor room made for it. */
-    private static final int LONGEST_BLOB = 1 << 16;
+    /** Returned by a {@link PayloadLength} for a line without a payload. */
+    public static final int NO_PAYLOAD = -1;
 
-    /** How many bytes follow a line; under 0 if none, and no CR LF of theirs either. */
-    public interface Blobs {
-        int after(String[] words) throws MalformedMessageException;
+    /** Far past any body, result or reply: more is neither waited for nor buffered. */
+    private static final int MAX_PAYLOAD_BYTES = 1 << 16;
+
+    /** Tells how many bytes follow a line; {@link #NO_PAYLOAD} if none, and no CR LF of theirs either. */
+    public interface PayloadLength {
+        int of(String[] words) throws MalformedMessageException;
     }
 
-    /** One message: its words, and the bytes behind them or null. */
-    public record Line(String[] words, byte[] blob) {
+    /** One message: its words, and its payload or null. */
+    public record Line(String[] words, byte[] payload) {
     }
 
-    private final int longestLine;
-    private final Blobs blobs;
-    private final Unread unread = new Unread();
-    private String[] words; // of the line whose bytes have not all come
-    private int blob;
+    private final int maxLineBytes;
+    private final PayloadLength payloadLength;
+    private final ReceiveBuffer received = new ReceiveBuffer();
+    private String[] words; // of the line whose payload has not all come, or null
+    private int payloadBytes;
 
-    public LineReader(int longestLine, Blobs blobs) {
-        this.longestLine = longestLine;
-        this.blobs = blobs;
+    /** @param maxLineBytes past which a line without an end is malformed; without its CR LF and payload */
+    public LineReader(int maxLineBytes, PayloadLength payloadLength) {
+        this.maxLineBytes = maxLineBytes;
+        this.payloadLength = payloadLength;
     }
 
-    public void feed(byte[] more) {
-        unread.add(more);
+    /** Adds bytes in the order in which they came. */
+    public void feed(byte[] bytes) {
+        received.add(bytes);
     }
 
     /** Whether all that came was taken as whole messages. */
     public boolean isEmpty() {
-        return words == null && unread.size() == 0;
+        return words == null && received.size() == 0;
     }
 
-    /** The next whole message, or null until more bytes have come. */
+    /**
+     * Returns the next whole message, or null until more bytes have come.
+     *
+     * @throws MalformedMessageException if the bytes are no line; the connection can't be read any further
+     */
     public Line next() throws MalformedMessageException {
         if (words == null && !readWords()) {
             return null;
         }
-        byte[] held = null;
-        if (blob >= 0) {
-            if (unread.size() < blob + 2) {
+        byte[] payload = null;
+        if (payloadBytes >= 0) {
+            if (received.size() < payloadBytes + 2) {
                 return null;
             }
-            int end = unread.from + blob;
-            if (unread.bytes[end] != '\r' || unread.bytes[end + 1] != '\n') {
+            int end = received.from + payloadBytes;
+            if (received.bytes[end] != '\r' || received.bytes[end + 1] != '\n') {
                 throw new MalformedMessageException("bytes that do not end in CR LF");
             }
-            held = Arrays.copyOfRange(unread.bytes, unread.from, end);
-            unread.from = end + 2;
+            payload = Arrays.copyOfRange(received.bytes, received.from, end);
+            received.from = end + 2;
         }
-        Line line = new Line(words, held);
+        Line line = new Line(words, payload);
         words = null;
         return line;
     }
 
     private boolean readWords() throws MalformedMessageException {
-        int end = unread.from;
-        while (end < unread.to && unread.bytes[end] != '\n') {
-            // Noise may hold no end of a line for long: told by the first byte that no line holds.
-            if (unread.bytes[end] >= 0 && unread.bytes[end] < ' ' && unread.bytes[end] != '\r') {
-                throw new MalformedMessageException("a line with a control character");
-            }
-            end++;
-        }
-        int length = end - unread.from;
-        if (length > longestLine) {
+        int end = endOfLine();
+        int length = end - received.from;
+        if (length > maxLineBytes) {
             throw new MalformedMessageException("a line without an end");
         }
-        if (end == unread.to) {
+        if (end == received.to) {
             return false;
         }
-        if (length == 0 || unread.bytes[end - 1] != '\r') {
+        if (length == 0 || received.bytes[end - 1] != '\r') {
             throw new MalformedMessageException("a line that does not end in CR LF");
         }
         // The limit keeps empty words: without it a line of spaces alone would have none, not even a first.
-        words = new String(unread.bytes, unread.from, length - 1, StandardCharsets.UTF_8).split(" ", -1);
-        unread.from = end + 1;
-        blob = blobs.after(words);
-        if (blob > LONGEST_BLOB) {
-            throw new MalformedMessageException("a length past belief: " + blob);
+        words = new String(received.bytes, received.from, length - 1, StandardCharsets.UTF_8).split(" ", -1);
+        received.from = end + 1;
+        payloadBytes = payloadLength.of(words);
+        if (payloadBytes > MAX_PAYLOAD_BYTES) {
+            throw new MalformedMessageException("a length past belief: " + payloadBytes);
         }
         return true;
     }
 
+    private int endOfLine() throws MalformedMessageException {
+        int end = received.from;
+        while (end < received.to && received.bytes[end] != '\n') {
+            // Noise may hold no end of a line for long: it is known by the first byte that no line holds.
+            if (received.bytes[end] >= 0 && received.bytes[end] < ' ' && received.bytes[end] != '\r') {
+                throw new MalformedMessageException("a line with a control character");
+            }
+            end++;
+        }
+        return end;
+    }
+
+    /** Reads a word that gives the length of a payload in bytes. */
     public static int length(String word) throws MalformedMessageException {
         return (int) whole(word, Integer.MAX_VALUE);
     }
 
-    static long whole(String word, long most) throws MalformedMessageException {
+    static long whole(String word, long max) throws MalformedMessageException {
         try {
-            long n = Long.parseLong(word);
-            if (n >= 0 && n <= most) {
-                return n;
+            long number = Long.parseLong(word);
+            if (number >= 0 && number <= max) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, as a number out of bounds is.
+            // Reported below, as a number out of bounds is.
         }
         throw new MalformedMessageException("no whole number: " + word);
     }
 
     static double number(String word) throws MalformedMessageException {
         try {
-            double n = Double.parseDouble(word);
-            if (Double.isFinite(n)) {
-                return n;
+            double number = Double.parseDouble(word);
+            if (Double.isFinite(number)) {
+                return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, as a number without bounds is.
+            // Reported below, as a number that is not finite is.
         }
         throw new MalformedMessageException("no number: " + word);
     }
--- a/src/main/java/topazladder/net/codec/PeerFrames.java
+++ b/src/main/java/topazladder/net/codec/PeerFrames.java
@@ -98,7 +98,7 @@
 
     /** Takes bytes in any pieces; nothing is allocated for a frame but what came of it. */
     public static final class Reader {
-        private final Unread unread = new Unread();
+        private final ReceiveBuffer unread = new ReceiveBuffer();
 
         public void feed(byte[] more) {
             unread.add(more);
--- a/src/main/java/topazladder/net/codec/RuntimeLines.java
+++ b/src/main/java/topazladder/net/codec/RuntimeLines.java
@@ -5,125 +5,144 @@
 import topazladder.net.codec.LineReader.Line;
 import topazladder.request.Outcome;
 
-/** The commands to the runtime, and its notices. */
+/** Encodes the commands to the runtime, and decodes its notices. */
 public final class RuntimeLines {
-    private static final int LONGEST_LINE = 4096;
+    /** The first word of the commands whose rejection has a meaning of its own. */
+    public static final String START = "start";
+    public static final String SELF_TEST = "selftest";
 
-    /** What the runtime says. */
-    public sealed interface Notice {}
+    private static final int MAX_LINE_BYTES = 4096;
+    private static final byte[] NO_RESULT = {};
 
-    public record Ready(boolean loaded, double secondsAgo) implements Notice {
-    }
+    private RuntimeLines() {}
 
-    public record Ended(long number, String ref, Outcome how, double elapsed, byte[] result) implements Notice {
+    /** Creates a reader for one link. */
+    public static LineReader reader() {
+        return new LineReader(MAX_LINE_BYTES, words -> switch (words[0]) {
+            case "end" -> words.length == 6 ? LineReader.length(words[5]) : LineReader.NO_PAYLOAD;
+            case "wants" -> words.length == 4 ? LineReader.length(words[3]) : LineReader.NO_PAYLOAD;
+            default -> LineReader.NO_PAYLOAD;
+        });
     }
 
-    public record Wants(long number, String ref, byte[] body) implements Notice {
+    /** Decodes a notice; throws if its words are none that the runtime may say. */
+    public static RuntimeNotice notice(Line line) throws MalformedMessageException {
+        String[] words = line.words();
+        return switch (words[0]) {
+            case "ready" -> ready(words);
+            case "end" -> runEnded(words, line.payload());
+            case "wants" -> dependencyCallRequested(words, line.payload());
+            case "load" -> gauges(words);
+            case "verdict" -> healthCheckCompleted(words);
+            case "nack" -> commandRejected(words);
+            case "info" -> remark(words);
+            default -> throw new MalformedMessageException("no notice of the runtime: " + words[0]);
+        };
     }
 
-    public record Load(String tag, double[] values) implements Notice {
+    private static RuntimeNotice ready(String[] words) throws MalformedMessageException {
+        requireWords(words, 3);
+        boolean loaded = words[1].equals("LOADED");
+        if (!loaded && !words[1].equals("EMPTY")) {
+            throw new MalformedMessageException("ready in no known state: " + words[1]);
+        }
+        return new RuntimeNotice.Ready(loaded, LineReader.number(words[2]) / 1000);
     }
 
-    public record Verdict(String tag, boolean passed) implements Notice {
+    private static RuntimeNotice runEnded(String[] words, byte[] result) throws MalformedMessageException {
+        requireWords(words, 5);
+        return new RuntimeNotice.RunEnded(number(words[1]), words[2], outcome(words[3]),
+                LineReader.number(words[4]) / 1000, result == null ? NO_RESULT : result);
     }
 
-    public record Nack(String command, String ref) implements Notice {
+    private static RuntimeNotice dependencyCallRequested(String[] words, byte[] body)
+            throws MalformedMessageException {
+        requireWords(words, 4);
+        return new RuntimeNotice.DependencyCallRequested(number(words[1]), words[2], body);
     }
 
-    public record Info(long number, String text) implements Notice {
+    private static RuntimeNotice gauges(String[] words) throws MalformedMessageException {
+        requireWords(words, 2);
+        double[] values = new double[words.length - 2];
+        for (int i = 0; i < values.length; i++) {
+            values[i] = LineReader.number(words[i + 2]);
+        }
+        return new RuntimeNotice.Gauges(words[1], values);
     }
 
-    private RuntimeLines() {}
+    private static RuntimeNotice healthCheckCompleted(String[] words) throws MalformedMessageException {
+        requireWords(words, 3);
+        return new RuntimeNotice.HealthCheckCompleted(words[1], words[2].equals("PASS"));
+    }
 
-    public static LineReader reader() {
-        return new LineReader(LONGEST_LINE, words -> switch (words[0]) {
-            case "end" -> words.length == 6 ? LineReader.length(words[5]) : -1;
-            case "wants" -> words.length == 4 ? LineReader.length(words[3]) : -1;
-            default -> -1;
-        });
+    private static RuntimeNotice commandRejected(String[] words) throws MalformedMessageException {
+        requireWords(words, 2);
+        return new RuntimeNotice.CommandRejected(words[1], words.length > 2 ? words[2] : "");
     }
 
-    public static Notice notice(Line line) throws MalformedMessageException {
-        String[] w = line.words();
-        switch (w[0]) {
-            case "ready" :
-                need(w, 3);
-                if (!w[1].equals("EMPTY") && !w[1].equals("LOADED")) {
-                    throw new MalformedMessageException("ready in no known state: " + w[1]);
-                }
-                return new Ready(w[1].equals("LOADED"), LineReader.number(w[2]) / 1000);
-            case "end" :
-                need(w, 5);
-                return new Ended(LineReader.whole(w[1], Long.MAX_VALUE), w[2], ending(w[3]),
-                        LineReader.number(w[4]) / 1000, line.blob() == null ? new byte[0] : line.blob());
-            case "wants" :
-                need(w, 4);
-                return new Wants(LineReader.whole(w[1], Long.MAX_VALUE), w[2], line.blob());
-            case "load" :
-                need(w, 2);
-                double[] values = new double[w.length - 2];
-                for (int i = 0; i < values.length; i++) {
-                    values[i] = LineReader.number(w[i + 2]);
-                }
-                return new Load(w[1], values);
-            case "verdict" :
-                need(w, 3);
-                return new Verdict(w[1], w[2].equals("PASS"));
-            case "nack" :
-                need(w, 2);
-                return new Nack(w[1], w.length > 2 ? w[2] : "");
-            case "info" :
-                need(w, 2);
-                return new Info(LineReader.whole(w[1], Long.MAX_VALUE), String.join(" ", w));
-            default :
-                throw new MalformedMessageException("no notice of the runtime: " + w[0]);
-        }
+    private static RuntimeNotice remark(String[] words) throws MalformedMessageException {
+        requireWords(words, 2);
+        return new RuntimeNotice.Remark(number(words[1]), String.join(" ", words));
     }
 
+    /**
+     * Encodes the first command on a link.
+     *
+     * @param lastRead number of the last notice that was read, 0 after a start
+     */
     public static byte[] sync(long lastRead) {
         return line("sync " + lastRead);
     }
 
-    public static byte[] start(String ref, String requestClass, byte[] body) {
-        return line("start " + ref + " " + requestClass + " " + body.length, body);
+    /** Encodes the command to run a request. */
+    public static byte[] start(String reference, String requestClass, byte[] body) {
+        return line(START + " " + reference + " " + requestClass + " " + body.length, body);
     }
 
-    public static byte[] give(String ref, byte[] reply) {
-        return line("give " + ref + " " + reply.length, reply);
+    /** Encodes the dependency's reply for the run that waits for it. */
+    public static byte[] give(String reference, byte[] reply) {
+        return line("give " + reference + " " + reply.length, reply);
     }
 
-    public static byte[] omit(String ref, long notice) {
-        return line("omit " + ref + " " + notice);
+    /** Encodes the command to go on without the call that a notice asked for. */
+    public static byte[] omit(String reference, long notice) {
+        return line("omit " + reference + " " + notice);
     }
 
+    /** Encodes the question for the gauges; the tag comes back with them. */
     public static byte[] gauges(String tag) {
         return line("gauges " + tag);
     }
 
-    public static byte[] selftest(String tag) {
-        return line("selftest " + tag);
+    /** Encodes the command to do the work of a deep health check; the tag comes back with its result. */
+    public static byte[] selfTest(String tag) {
+        return line(SELF_TEST + " " + tag);
     }
 
     static byte[] line(String words) {
         return (words + "\r\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    static byte[] line(String words, byte[] blob) {
+    static byte[] line(String words, byte[] payload) {
         byte[] head = line(words);
-        byte[] all = Arrays.copyOf(head, head.length + blob.length + 2);
-        System.arraycopy(blob, 0, all, head.length, blob.length);
-        all[all.length - 2] = '\r';
-        all[all.length - 1] = '\n';
-        return all;
+        byte[] line = Arrays.copyOf(head, head.length + payload.length + 2);
+        System.arraycopy(payload, 0, line, head.length, payload.length);
+        line[line.length - 2] = '\r';
+        line[line.length - 1] = '\n';
+        return line;
     }
 
-    private static void need(String[] words, int count) throws MalformedMessageException {
+    private static void requireWords(String[] words, int count) throws MalformedMessageException {
         if (words.length < count) {
             throw new MalformedMessageException(words[0] + " with too few words");
         }
     }
 
-    private static Outcome ending(String word) throws MalformedMessageException {
+    private static long number(String word) throws MalformedMessageException {
+        return LineReader.whole(word, Long.MAX_VALUE);
+    }
+
+    private static Outcome outcome(String word) throws MalformedMessageException {
         return switch (word) {
             case "PASS" -> Outcome.SUCCEEDED;
             case "FAIL" -> Outcome.FAILED;
--- a/src/main/java/topazladder/net/hall/PoolChoice.java
+++ b/src/main/java/topazladder/net/hall/PoolChoice.java
@@ -24,34 +24,34 @@
     }
 
     @Override
-    public int pick(int not) {
-        return use.pick(clock.getAsDouble(), not);
+    public int pick(int excluded) {
+        return use.pick(clock.getAsDouble(), excluded);
     }
 
     @Override
-    public Address at(int server) {
-        return addresses.get(server);
+    public Address address(int endpoint) {
+        return addresses.get(endpoint);
     }
 
     @Override
-    public boolean uses(int server) {
-        Use.State s = use.state(use.terms().servers().get(server));
+    public boolean isInUse(int endpoint) {
+        Use.State s = use.state(use.terms().servers().get(endpoint));
         return s != Use.State.OUT && s != Use.State.OWN_OUT;
     }
 
     @Override
-    public void ended(int server, How how) {
-        use.ended(clock.getAsDouble(), server, how);
+    public void callEnded(int endpoint, How how) {
+        use.ended(clock.getAsDouble(), endpoint, how);
         noticed.run();
     }
 
     @Override
-    public void dropped(int server) {
-        use.dropped(server);
+    public void callAbandoned(int endpoint) {
+        use.dropped(endpoint);
     }
 
     @Override
-    public boolean mayRepeat() {
+    public boolean isRetryPermitted() {
         return use.mayRepeat();
     }
 }
--- a/src/main/java/topazladder/rig/LiveIndex.java
+++ b/src/main/java/topazladder/rig/LiveIndex.java
@@ -38,7 +38,7 @@
                     if (l.words()[0].equals("GET")) {
                         Object call = new Object();
                         mine.add(call);
-                        double work = Double.parseDouble(new String(l.blob(), StandardCharsets.US_ASCII));
+                        double work = Double.parseDouble(new String(l.payload(), StandardCharsets.US_ASCII));
                         below.call(call, work, () -> {
                             mine.remove(call);
                             socket.write(ref + " HIT 1\r\ny\r\n");
--- a/src/main/java/topazladder/rig/LiveRuntime.java
+++ b/src/main/java/topazladder/rig/LiveRuntime.java
@@ -123,11 +123,11 @@
             }
             case "start" -> {
                 watch.started(w[1]);
-                String[] body = new String(line.blob(), StandardCharsets.US_ASCII).split(" ");
+                String[] body = new String(line.payload(), StandardCharsets.US_ASCII).split(" ");
                 if (body.length > 2) {
                     ran.accept(body[2], w[1]);
                 }
-                runtime.start(w[1], line.blob());
+                runtime.start(w[1], line.payload());
             }
             case "give" -> runtime.goOn(w[1], false);
             case "omit" -> runtime.goOn(w[1], true);
--- a/src/test/java/topazladder/AmqpServiceTest.java
+++ b/src/test/java/topazladder/AmqpServiceTest.java
@@ -1,6 +1,7 @@
 package topazladder;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static topazladder.CallerFrameBuilder.request;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -9,8 +10,6 @@
 import io.vertx.core.net.PemKeyCertOptions;
 import io.vertx.core.net.PemTrustOptions;
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -57,7 +56,7 @@
     private final CompletableFuture<Integer> exit = new CompletableFuture<>();
     private Broker broker;
     private BrokerServer server;
-    private Peer runtime;
+    private StandInLineServer runtime;
     private ServiceInstance service;
     private int port;
     private int brokerPort;
@@ -65,7 +64,7 @@
 
     @BeforeEach
     void listen() throws Exception {
-        runtime = new Peer();
+        runtime = new StandInLineServer();
         broker = onLoop(() -> {
             Broker b = new Broker(() -> System.nanoTime() / 1e9,
                     (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)), id -> what.run()), ledger);
@@ -96,12 +95,6 @@
         await(vertx.close().toCompletionStage().toCompletableFuture());
     }
 
-    private static int free() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
-        }
-    }
-
     private static <T> T await(CompletableFuture<T> f) throws Exception {
         return f.get(20, TimeUnit.SECONDS);
     }
@@ -121,8 +114,8 @@
     }
 
     private void serve(ExtensionSettings own) throws Exception {
-        port = free();
-        service = new ServiceInstance(ServiceSettings.of("""
+        port = LoopbackPorts.free();
+        service = ServiceInstanceFixture.start(ServiceSettings.of("""
             {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":1500,
              "settings":{"Classes":[
              {"Name":"read","Idempotency":"safe","TargetNs":20000000000,"DeadlineNs":30000000000},
@@ -131,11 +124,8 @@
              {"Name":"invoice","Idempotency":"unsafe","TargetNs":20000000000,"DeadlineNs":30000000000,
               "Importance":10}],
              "Extra":{"Cores":1,"MemoryKb":100000,"OwnStats":["core_use","on_cores"]}}}"""
-                .formatted(port, runtime.address()), Map.of()), own, exit::complete);
-        service.start();
-        runtime.accept();
-        assertThat(runtime.hear()).isEqualTo("sync 0");
-        runtime.say("ready LOADED 3600000\r\n");
+                .formatted(port, runtime.address()), Map.of()), own, runtime, exit);
+        runtime.send(ServiceInstanceFixture.READY_LOADED);
     }
 
     private void publish(String id, String requestClass, String mark, String body, String replyTo) throws Exception {
@@ -152,14 +142,14 @@
 
     /** The next run that the runtime is told to begin: its ref. */
     private String begins(String requestClass, String body) throws IOException {
-        String[] words = runtime.hear().split(" ");
+        String[] words = runtime.receive().split(" ");
         assertThat(words[0] + " " + words[2]).isEqualTo("start " + requestClass);
-        assertThat(runtime.hear(Integer.parseInt(words[3]))).isEqualTo(body);
+        assertThat(runtime.receivePayload(Integer.parseInt(words[3]))).isEqualTo(body);
         return words[1];
     }
 
     private void passes(String ref, String result) throws IOException {
-        runtime.say("end " + ++notices + " " + ref + " PASS 9 " + result.length() + "\r\n" + result + "\r\n");
+        runtime.send("end " + ++notices + " " + ref + " PASS 9 " + result.length() + "\r\n" + result + "\r\n");
     }
 
     private void until(Supplier<Boolean> what) throws Exception {
@@ -241,19 +231,14 @@
     @Test
     void theSameOrderFromACallerAndFromTheBrokerRunsOnce() throws Exception {
         serve("user: \"desk\" password_file: \"password\"");
-        String said = "";
-        while (!said.startsWith("33 on 1 code 0")) {
-            try (Stub check = new Stub(port)) {
-                said = check.send(Frames.frame(32, 1, Frames.fields())).hear();
-            }
-        }
-        try (Stub caller = new Stub(port)) {
-            caller.send(Frames.request(1, "000000000000000a", "place", "replay", "F"));
+        ServiceInstanceFixture.awaitHealthy(port);
+        try (StandInCaller caller = new StandInCaller(port)) {
+            caller.send(request(1, "000000000000000a", "place", "replay", "F"));
             String ref = begins("place", "body");
             publish("1", "place", "F", "body", null);
             until(() -> count(What.DELIVERED) == 1);
             passes(ref, "done");
-            assertThat(caller.hear()).isEqualTo("17 on 1 code 0 done");
+            assertThat(caller.receive()).isEqualTo("17 on 1 code 0 done");
             until(() -> count(What.ACKNOWLEDGED) == 1);
         }
     }
@@ -388,7 +373,7 @@
     void aReloadMovesToAnotherBroker() throws Exception {
         BrokerServer next = new BrokerServer(vertx, broker, new BrokerServer.Terms("desk", "secret", 1, 8192),
                 new NetServerOptions());
-        int other = await(next.listen(free()).toCompletionStage().toCompletableFuture());
+        int other = await(next.listen(LoopbackPorts.free()).toCompletionStage().toCompletableFuture());
         serve("user: \"desk\" password_file: \"password\"");
         until(() -> server.connections() == 2);
         service.reloadOwn(() -> settings(other, "user: \"desk\" password_file: \"password\""));
@@ -414,8 +399,8 @@
         serve("user: \"desk\" password_file: \"password\"");
         int most = 0;
         for (int i = 0; i < 400; i++) {
-            String[] words = runtime.hear().split(" ");
-            runtime.hear(Integer.parseInt(words[3]));
+            String[] words = runtime.receive().split(" ");
+            runtime.receivePayload(Integer.parseInt(words[3]));
             most = Math.max(most, 10_000 - onLoop(() -> broker.ready("orders")) - (int) count(What.ACKNOWLEDGED));
             passes(words[1], "x");
         }
@@ -432,7 +417,7 @@
                         .setKeyCertOptions(new PemKeyCertOptions().setCertPath(folder.resolve("broker.crt").toString())
                                 .setKeyPath(folder.resolve("broker.key").toString()))
                         .setTrustOptions(new PemTrustOptions().addCertPath(folder.resolve("desk.crt").toString())));
-        int at = await(secure.listen(free()).toCompletionStage().toCompletableFuture());
+        int at = await(secure.listen(LoopbackPorts.free()).toCompletionStage().toCompletableFuture());
         String tls = "external: true tls { trust_file: \"broker.crt\" certificate_file: \"desk.crt\" key_file:"
                 + " \"desk.key\""
                 + " server_name: \"%s\" }";
--- a/src/test/java/topazladder/Frames.java
+++ b/src/test/java/topazladder/CallerFrameBuilder.java
@@ -4,27 +4,46 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Frames as a caller writes and reads them. */
-public final class Frames {
-    private Frames() {}
+/** Builds frames as a caller writes them, sound or not, and shows those that it reads as text. */
+public final class CallerFrameBuilder {
+    private static final int LENGTH_BYTES = 4;
+    private static final int HEADER_BYTES = 5;
+    private static final int MAX_FIELDS_BYTES = 4096;
 
-    public static byte[] request(int stream, String ref, String requestClass, String... more) {
-        String[] fields = {"service", requestClass, "ref", ref, "since", String.valueOf(System.currentTimeMillis()),
-                "sender", "4", "project", "acme", "room", "24.5", "class_rank", "0.6250"};
+    private CallerFrameBuilder() {}
+
+    /** A request with all that the protocol wants; {@code more} are further fields, names and values in turn. */
+    public static byte[] request(int stream, String reference, String requestClass, String... more) {
+        String[] fields =
+                {"service", requestClass, "ref", reference, "since", String.valueOf(System.currentTimeMillis()),
+                        "sender", "4", "project", "acme", "room", "24.5", "class_rank", "0.6250"};
         String[] all = Arrays.copyOf(fields, fields.length + more.length);
         System.arraycopy(more, 0, all, fields.length, more.length);
         return frame(16, stream, fields(all), "body".getBytes(StandardCharsets.UTF_8));
     }
 
+    /** A health check. */
+    public static byte[] healthCheck(int stream) {
+        return frame(32, stream, fields());
+    }
+
+    /** A health check that asks whether work gets done. */
+    public static byte[] deepHealthCheck(int stream) {
+        return frame(32, stream, fields("inner", "1"));
+    }
+
+    /** A frame of any type, its payload put together from parts. */
     public static byte[] frame(int type, int stream, byte[]... parts) {
-        int size = Arrays.stream(parts).mapToInt(p -> p.length).sum();
-        ByteBuffer out = ByteBuffer.allocate(9 + size).putInt(5 + size).put((byte) type).putInt(stream);
+        int payloadBytes = Arrays.stream(parts).mapToInt(part -> part.length).sum();
+        ByteBuffer out = ByteBuffer.allocate(LENGTH_BYTES + HEADER_BYTES + payloadBytes)
+                .putInt(HEADER_BYTES + payloadBytes).put((byte) type).putInt(stream);
         Arrays.stream(parts).forEach(out::put);
         return out.array();
     }
 
+    /** Fields as a part of a payload, names and values in turn. */
     public static byte[] fields(String... pairs) {
-        ByteBuffer out = ByteBuffer.allocate(4096).put((byte) (pairs.length / 2));
+        ByteBuffer out = ByteBuffer.allocate(MAX_FIELDS_BYTES).put((byte) (pairs.length / 2));
         for (int i = 0; i < pairs.length; i += 2) {
             out.put((byte) pairs[i].length()).put(pairs[i].getBytes(StandardCharsets.UTF_8))
                     .putShort((short) pairs[i + 1].length()).put(pairs[i + 1].getBytes(StandardCharsets.UTF_8));
@@ -32,7 +51,7 @@
         return Arrays.copyOf(out.array(), out.position());
     }
 
-    /** What a frame without its length says. */
+    /** Returns what a frame without its length says. */
     public static String text(byte[] frame) {
         ByteBuffer in = ByteBuffer.wrap(frame);
         StringBuilder text = new StringBuilder(in.get() + " on " + in.getInt());
--- a/src/test/java/topazladder/HallServiceTest.java
+++ b/src/test/java/topazladder/HallServiceTest.java
@@ -15,7 +15,6 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.AfterEach;
@@ -26,7 +25,6 @@
 import topazladder.config.ExtensionSettings;
 import topazladder.config.ExtensionSettingsFile;
 import topazladder.config.InvalidSettingsException;
-import topazladder.config.ServiceSettings;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.hall.Saying;
 import topazladder.hall.Saying.Command;
@@ -52,19 +50,13 @@
 
     @TempDir
     private Path folder;
-    private Peer runtime;
+    private StandInLineServer runtime;
     private ServerSocket touched;
     private BufferedReader touches;
     private ServiceInstance service;
     private int port;
     private final CompletableFuture<Integer> exit = new CompletableFuture<>();
 
-    private static int free() throws IOException {
-        try (ServerSocket s = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
-            return s.getLocalPort();
-        }
-    }
-
     private ExtensionSettings settings(String hall) throws IOException {
         Files.write(folder.resolve("key"), KEY);
         return ExtensionSettingsFile.of(
@@ -74,23 +66,17 @@
 
     @BeforeEach
     void start() throws Exception {
-        port = free();
+        port = LoopbackPorts.free();
         touched = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
         touched.setSoTimeout(20_000);
         ExtensionSettings own = settings("voters: \"n1\" folder: \"voter\" heartbeat: 0.1"
                 + " duties { name: \"price-clock\" lease: 1"
                 + " touch { address: \"127.0.0.1:" + touched.getLocalPort() + "\" every: 0.02 } }");
         Founding.found("n1", own.members(), 0);
-        runtime = new Peer();
-        service = new ServiceInstance(ServiceSettings.of("""
-            {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":2000,
-             "settings":{"Classes":[{"Name":"read","Idempotency":"safe","DeadlineNs":30000000000}],
-             "Extra":{"Cores":4,"MemoryKb":100000,"OwnStats":["core_use","on_cores"]}}}"""
-                .formatted(free(), runtime.address()), Map.of()), own, exit::complete);
-        service.start();
-        runtime.accept();
-        runtime.hear();
-        runtime.say("ready EMPTY 1\r\n");
+        runtime = new StandInLineServer();
+        service = ServiceInstanceFixture.start(
+                ServiceInstanceFixture.oneClassSettings(LoopbackPorts.free(), runtime, 2000), own, runtime, exit);
+        runtime.send(ServiceInstanceFixture.READY_EMPTY);
         touches = new BufferedReader(new InputStreamReader(touched.accept().getInputStream(),
                 StandardCharsets.US_ASCII));
     }
--- a/src/test/java/topazladder/PackedProgramIT.java
+++ b/src/test/java/topazladder/PackedProgramIT.java
@@ -5,8 +5,6 @@
 
 import java.io.IOException;
 import java.io.OutputStream;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -61,9 +59,7 @@
         ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", "trap '' HUP; exec \"$0\" -jar \"$1\" serve",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), JAR.toString());
         builder.environment().put("GW_CONFIG", Path.of("deploy", "rehearsal.json").toAbsolutePath().toString());
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            builder.environment().put("GW_LISTEN", "127.0.0.1:" + free.getLocalPort());
-        }
+        builder.environment().put("GW_LISTEN", "127.0.0.1:" + LoopbackPorts.free());
         Process deaf = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
             awaitLine(log, "SIGHUP is ignored, as by nohup", 1);
@@ -125,9 +121,7 @@
         ProcessBuilder builder = new ProcessBuilder("/usr/bin/strace", "-f", "-o", trace.toString(), "-e",
                 "trace=process,socket,connect,bind,io_uring_setup,splice,sendfile", "/bin/sh", "-c", RunLine.read());
         builder.environment().put("GW_CONFIG", Path.of("deploy", "rehearsal.json").toAbsolutePath().toString());
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            builder.environment().put("GW_LISTEN", "127.0.0.1:" + free.getLocalPort());
-        }
+        builder.environment().put("GW_LISTEN", "127.0.0.1:" + LoopbackPorts.free());
         Process traced = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
             awaitLine(log, "is awaiting runtime after starting", 2);
@@ -173,9 +167,7 @@
         ProcessBuilder builder = new ProcessBuilder(line);
         builder.environment().put("GW_CONFIG", config.toString());
         // A port that is free now: the file's own may be some connection's other end by chance.
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            builder.environment().put("GW_LISTEN", "127.0.0.1:" + free.getLocalPort());
-        }
+        builder.environment().put("GW_LISTEN", "127.0.0.1:" + LoopbackPorts.free());
         return builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
     }
 
--- a/src/test/java/topazladder/PeeringServiceTest.java
+++ b/src/test/java/topazladder/PeeringServiceTest.java
@@ -2,6 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
+import static topazladder.CallerFrameBuilder.request;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -9,7 +10,6 @@
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
@@ -20,7 +20,6 @@
 import topazladder.config.ExtensionSettings;
 import topazladder.config.ExtensionSettingsFile;
 import topazladder.config.InvalidSettingsException;
-import topazladder.config.ServiceSettings;
 import topazladder.net.ServiceInstance;
 
 /** A service instance whose peers are slow, gone or replaced, and the settings that name them. */
@@ -40,36 +39,24 @@
     }
 
     private static ServerSocket listening() throws IOException {
-        ServerSocket s = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-        s.setSoTimeout(20_000);
-        return s;
+        ServerSocket socket = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
+        socket.setSoTimeout(20_000);
+        return socket;
     }
 
-    private ServiceInstance start(Peer runtime, int port, ExtensionSettings own, CompletableFuture<Integer> exit)
-            throws IOException {
-        ServiceInstance service = new ServiceInstance(ServiceSettings.of("""
-            {"name":"n1","listen":"127.0.0.1:%d","runtime":"%s","control":"127.0.0.1:9","seed":"1","stop_ms":800,
-             "settings":{"Classes":[{"Name":"read","Idempotency":"safe","DeadlineNs":30000000000}],
-             "Extra":{"Cores":4,"MemoryKb":100000,"OwnStats":["core_use","on_cores"]}}}"""
-                .formatted(port, runtime.address()), Map.of()), own, exit::complete);
-        service.start();
-        runtime.accept();
-        assertThat(runtime.hear()).isEqualTo("sync 0");
-        runtime.say("ready EMPTY 1\r\n");
+    private ServiceInstance start(StandInLineServer runtime, int port, ExtensionSettings extensionSettings,
+            CompletableFuture<Integer> exit) throws IOException {
+        ServiceInstance service = ServiceInstanceFixture.start(
+                ServiceInstanceFixture.oneClassSettings(port, runtime, 800), extensionSettings, runtime, exit);
+        runtime.send(ServiceInstanceFixture.READY_EMPTY);
         return service;
     }
 
-    private static int free() throws IOException {
-        try (ServerSocket s = listening()) {
-            return s.getLocalPort();
-        }
-    }
-
     @Test
     void aPeerThatNeverSpeaksHoldsServingBackNoLongerThanTheBound() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
-        int port = free();
-        try (Peer runtime = new Peer(); ServerSocket silent = listening()) {
+        int port = LoopbackPorts.free();
+        try (StandInLineServer runtime = new StandInLineServer(); ServerSocket silent = listening()) {
             // The try alone would go on for ten minutes.
             ServiceInstance service =
                     start(runtime, port, settings("wait: 0.2 try_for: 600 " + peer("p", silent)), exit);
@@ -83,9 +70,11 @@
     @Test
     void aNewListInTheMiddleOfAskingLeadsToWhoeverIsNew() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
-        try (Peer runtime = new Peer(); ServerSocket silent = listening(); ServerSocket fresh = listening()) {
+        try (StandInLineServer runtime = new StandInLineServer();
+                ServerSocket silent = listening();
+                ServerSocket fresh = listening()) {
             ExtensionSettings old = settings("hedge_after: 0.05 try_for: 600 " + peer("p", silent));
-            ServiceInstance service = start(runtime, free(), old, exit);
+            ServiceInstance service = start(runtime, LoopbackPorts.free(), old, exit);
             silent.accept();
             service.reloadOwn(() -> {
                 try {
@@ -105,27 +94,23 @@
     @Test
     void aNoticeToLeaveWhileServingIsHeldBackEndsIt() throws Exception {
         CompletableFuture<Integer> exit = new CompletableFuture<>();
-        try (Peer runtime = new Peer(); ServerSocket silent = listening()) {
+        try (StandInLineServer runtime = new StandInLineServer(); ServerSocket silent = listening()) {
             ServiceInstance service =
-                    start(runtime, free(), settings("wait: 60 try_for: 600 " + peer("p", silent)), exit);
+                    start(runtime, LoopbackPorts.free(), settings("wait: 60 try_for: 600 " + peer("p", silent)), exit);
             silent.accept();
             service.leave();
             assertThat(exit.get(20, TimeUnit.SECONDS)).isZero();
         }
     }
 
-    private static void answersOnceItServes(Peer runtime, int port) throws IOException {
-        for (String said = ""; !said.startsWith("33 on 1 code 0");) {
-            try (Stub check = new Stub(port)) {
-                said = check.send(Frames.frame(32, 1, Frames.fields())).hear();
-            }
-        }
-        try (Stub stub = new Stub(port)) {
-            stub.send(Frames.request(1, "000000000000000a", "read"));
-            assertThat(runtime.hear()).isEqualTo("start 000000000000000a read 4");
-            runtime.hear(4);
-            runtime.say("end 1 000000000000000a PASS 9 2\r\nr1\r\n");
-            assertThat(stub.hear()).isEqualTo("17 on 1 code 0 r1");
+    private static void answersOnceItServes(StandInLineServer runtime, int port) throws IOException {
+        ServiceInstanceFixture.awaitHealthy(port);
+        try (StandInCaller caller = new StandInCaller(port)) {
+            caller.send(request(1, "000000000000000a", "read"));
+            assertThat(runtime.receive()).isEqualTo("start 000000000000000a read 4");
+            runtime.receivePayload(4);
+            runtime.send("end 1 000000000000000a PASS 9 2\r\nr1\r\n");
+            assertThat(caller.receive()).isEqualTo("17 on 1 code 0 r1");
         }
     }
 
--- a/src/test/java/topazladder/RunLineTest.java
+++ b/src/test/java/topazladder/RunLineTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.junit.jupiter.api.Assumptions.assumeTrue;
 
+import java.io.File;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -61,7 +62,7 @@
         Path config = folder.resolve("config.json");
         Files.writeString(config, "{\"limits\":{\"memory_mb\":48}}");
         Process traced = run(List.of("/usr/bin/strace", "-f", "-e", "trace=process", "-o", trace.toString(),
-                "/bin/sh", "-c", runLine()), config);
+                "/bin/sh", "-c", RunLine.read()), config);
         assumeTrue(traced.exitValue() == 0 && Files.exists(trace), "strace may not trace here");
         List<String> calls = Files.readAllLines(trace);
         assertThat(calls).noneMatch(call -> call.matches("^\\d+\\s+(v?fork|clone3?)\\(.*"));
@@ -80,7 +81,7 @@
                 "/bin/true"), null);
         assumeTrue(probe.exitValue() == 0, "strace may not trace here");
         Process refused = run(List.of("/usr/bin/strace", "-f", "-o", "/dev/null", "-e",
-                "inject=fork,vfork,clone,clone3:error=ENOSYS", "/bin/sh", "-c", runLine()), config);
+                "inject=fork,vfork,clone,clone3:error=ENOSYS", "/bin/sh", "-c", RunLine.read()), config);
         assertThat(new String(refused.getErrorStream().readAllBytes(), StandardCharsets.UTF_8)).isEmpty();
         assertThat(refused.exitValue()).isZero();
         assertThat(Files.readString(folder.resolve("seen"))).contains("-Xmx21m");
@@ -92,7 +93,7 @@
             file = folder.resolve("config.json");
             Files.writeString(file, config);
         }
-        Process shell = run(List.of("/bin/sh", "-c", runLine()), file);
+        Process shell = run(List.of("/bin/sh", "-c", RunLine.read()), file);
         String error = new String(shell.getErrorStream().readAllBytes(), StandardCharsets.UTF_8);
         String[] seen = Files.readString(folder.resolve("seen")).strip().split(" ", 2);
         return new Played(shell.pid(), Long.parseLong(seen[0]), List.of(seen[1].split(" ")), error);
@@ -110,15 +111,11 @@
         if (config != null) {
             environment.put("GW_CONFIG", config.toString());
         }
-        Process process = builder.redirectInput(ProcessBuilder.Redirect.from(new java.io.File("/dev/null"))).start();
+        Process process = builder.redirectInput(ProcessBuilder.Redirect.from(new File("/dev/null"))).start();
         assertThat(process.waitFor(20, TimeUnit.SECONDS)).isTrue();
         return process;
     }
 
-    private static String runLine() throws IOException {
-        return RunLine.read();
-    }
-
     private record Played(long shellPid, long javaPid, List<String> arguments, String error) {
     }
 }
--- a/src/test/java/topazladder/Stub.java
+++ b/src/test/java/topazladder/StandInCaller.java
@@ -9,20 +9,27 @@
 import java.net.Socket;
 import java.net.SocketException;
 
-/** Stands in for a caller, one connection each. */
-public final class Stub implements AutoCloseable {
+/** Stands in for a caller, with one connection on which frames are written and read by hand. */
+public final class StandInCaller implements AutoCloseable {
+    /** What {@link #receive} returns at the end of the connection. */
+    public static final String CLOSED = "closed";
+
+    private static final int READ_TIMEOUT_MILLIS = 20_000;
+
     private final Socket socket;
     private final DataInputStream in;
     private boolean reset;
 
-    public Stub(int port) throws IOException {
+    /** Connects to a port of the loopback interface. */
+    public StandInCaller(int port) throws IOException {
         socket = new Socket(InetAddress.getLoopbackAddress(), port);
-        socket.setSoTimeout(20_000);
+        socket.setSoTimeout(READ_TIMEOUT_MILLIS);
         socket.setTcpNoDelay(true);
         in = new DataInputStream(new BufferedInputStream(socket.getInputStream()));
     }
 
-    public Stub send(byte[]... frames) throws IOException {
+    /** Writes the frames at once. */
+    public StandInCaller send(byte[]... frames) throws IOException {
         ByteArrayOutputStream joined = new ByteArrayOutputStream();
         for (byte[] frame : frames) {
             joined.write(frame);
@@ -32,33 +39,33 @@
     }
 
     /** It sends no more, and goes on reading. */
-    public void saysNoMore() throws IOException {
+    public void shutdownOutput() throws IOException {
         socket.shutdownOutput();
     }
 
-    /** One frame: its type, stream, code, fields and body, or what ended the connection. */
-    public String hear() throws IOException {
+    /** Returns one frame as text, its type, stream, code, fields and body, or {@link #CLOSED}. */
+    public String receive() throws IOException {
         try {
             byte[] frame = in.readNBytes(in.readInt());
-            return Frames.text(frame);
+            return CallerFrameBuilder.text(frame);
         } catch (EOFException e) {
-            return "closed";
+            return CLOSED;
         } catch (SocketException e) {
             reset = true;
-            return "closed";
+            return CLOSED;
         }
     }
 
-    /** Whether the connection ended otherwise than by a close in order. */
+    /** Whether the connection ended otherwise than by an orderly close. */
     public boolean wasReset() {
         return reset;
     }
 
     /**
-     * The same for an end that was heard as one in order: the first byte after it is taken if it was. A connection that
-     * was closed over unread bytes ends in order first, and is reset a moment later.
+     * The same for an end that was read as an orderly one: the first byte after it is taken if it was. A connection
+     * that was closed over unread bytes ends in order first, and is reset a moment later.
      */
-    public boolean wasResetAfterItsEnd() {
+    public boolean wasResetAfterClose() {
         try {
             socket.getOutputStream().write(0);
         } catch (IOException e) {
--- a/src/test/java/topazladder/net/CallerServerTest.java
+++ b/src/test/java/topazladder/net/CallerServerTest.java
@@ -1,11 +1,11 @@
 package topazladder.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static topazladder.CallerFrameBuilder.deepHealthCheck;
+import static topazladder.CallerFrameBuilder.request;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazladder.Frames;
-import topazladder.Stub;
+import topazladder.LoopbackPorts;
+import topazladder.StandInCaller;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.config.SettingsReader;
 import topazladder.service.Counters;
@@ -39,30 +39,27 @@
         Extra.MemoryKb=100000
         """;
 
-    private static final int GATE = 8;
+    private static final int MAX_CONNECTIONS = 8;
 
     private final Counters counters = new Counters();
     private Vertx vertx;
     private CallerServer server;
     private RequestDispatcher dispatcher;
-    private final CountDownLatch asked = new CountDownLatch(1);
+    private final CountDownLatch deepCheckAsked = new CountDownLatch(1);
     private int port;
 
     @BeforeEach
     void listen() throws Exception {
-        AcceptGate gate = new AcceptGate(GATE);
+        AcceptGate gate = new AcceptGate(MAX_CONNECTIONS);
         vertx = Vertx.builder().withTransport(gate).with(new VertxOptions().setEventLoopPoolSize(1)).build();
-        server = new CallerServer(vertx, GATE, gate::shut, counters);
+        server = new CallerServer(vertx, MAX_CONNECTIONS, gate::isShut, counters);
         dispatcher = new RequestDispatcher(() -> System.currentTimeMillis() / 1000.0, SettingsReader.ofLines(SETTINGS),
-                silent(),
-                null, server, null, counters);
-        try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            port = free.getLocalPort();
-        }
-        CountDownLatch up = new CountDownLatch(1);
+                silentRuntime(), null, server, null, counters);
+        port = LoopbackPorts.free();
+        CountDownLatch listening = new CountDownLatch(1);
         vertx.runOnContext(
-                v -> server.listen(new Address("127.0.0.1", port), dispatcher).onComplete(s -> up.countDown()));
-        up.await();
+                v -> server.listen(new Address("127.0.0.1", port), dispatcher).onComplete(s -> listening.countDown()));
+        listening.await();
     }
 
     @AfterEach
@@ -74,68 +71,68 @@
 
     @Test
     void requestThatLiesUnreadAsTheInstanceEndsIsNeverTakenInAndResetsNothing() throws Exception {
-        try (Stub stub = answeredOnce()) {
-            unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::end);
-            assertThat(stub.hear()).isEqualTo("48 on 0");
-            assertThat(stub.hear()).isEqualTo("closed");
+        try (StandInCaller caller = answeredOnce()) {
+            sendUnreadBefore(caller, request(2, "00000000000000bb", "read"), CallerServer::end);
+            assertThat(caller.receive()).isEqualTo("48 on 0");
+            assertThat(caller.receive()).isEqualTo("closed");
             awaitConnections(0);
             awaitConnections(0); // a turn of the event loop later the socket is given back
-            assertThat(stub.wasResetAfterItsEnd()).isFalse();
+            assertThat(caller.wasResetAfterClose()).isFalse();
             assertThat(counters.of(Count.REQUESTS_TAKEN_IN)).isEqualTo(1);
         }
     }
 
     @Test
     void halfARequestThatLiesUnreadAsTheInstanceEndsResetsNothing() throws Exception {
-        try (Stub stub = answeredOnce()) {
-            byte[] request = Frames.request(2, "00000000000000bb", "read");
-            unreadAs(stub, Arrays.copyOf(request, request.length / 2), CallerServer::end);
-            assertThat(stub.hear()).isEqualTo("48 on 0");
-            assertThat(stub.hear()).isEqualTo("closed");
+        try (StandInCaller caller = answeredOnce()) {
+            byte[] request = request(2, "00000000000000bb", "read");
+            sendUnreadBefore(caller, Arrays.copyOf(request, request.length / 2), CallerServer::end);
+            assertThat(caller.receive()).isEqualTo("48 on 0");
+            assertThat(caller.receive()).isEqualTo("closed");
             awaitConnections(0);
             awaitConnections(0); // a turn of the event loop later the socket is given back
-            assertThat(stub.wasResetAfterItsEnd()).isFalse();
+            assertThat(caller.wasResetAfterClose()).isFalse();
         }
     }
 
     @Test
     void requestThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
-        try (Stub stub = answeredOnce()) {
-            unreadAs(stub, Frames.request(2, "00000000000000bb", "read"), CallerServer::lastCall);
-            assertThat(stub.hear()).isEqualTo("48 on 0");
-            assertThat(stub.hear()).isEqualTo("17 on 2 code 1");
-            assertThat(stub.hear()).isEqualTo("closed");
-            assertThat(stub.wasReset()).isFalse();
+        try (StandInCaller caller = answeredOnce()) {
+            sendUnreadBefore(caller, request(2, "00000000000000bb", "read"), CallerServer::lastCall);
+            assertThat(caller.receive()).isEqualTo("48 on 0");
+            assertThat(caller.receive()).isEqualTo("17 on 2 code 1");
+            assertThat(caller.receive()).isEqualTo("closed");
+            assertThat(caller.wasReset()).isFalse();
         }
     }
 
     @Test
     void callerThatClosedWhileItIsOwedAnAnswerIsFoundOut() throws Exception {
-        try (Stub stub = new Stub(port)) {
-            stub.send(Frames.frame(32, 1, Frames.fields("inner", "1")));
-            asked.await();
+        try (StandInCaller caller = new StandInCaller(port)) {
+            caller.send(deepHealthCheck(1));
+            deepCheckAsked.await();
         }
         awaitConnections(0);
     }
 
     @Test
     void callerThatSendsNoMoreIsStillAnswered() throws Exception {
-        try (Stub stub = new Stub(port)) {
-            stub.send(Frames.frame(32, 1, Frames.fields("inner", "1")));
-            asked.await();
-            stub.saysNoMore();
-            assertThat(stub.hear()).isEqualTo("48 on 0");
-            assertThat(stub.hear()).isEqualTo("48 on 0");
+        try (StandInCaller caller = new StandInCaller(port)) {
+            caller.send(deepHealthCheck(1));
+            deepCheckAsked.await();
+            caller.shutdownOutput();
+            assertThat(caller.receive()).isEqualTo("48 on 0");
+            assertThat(caller.receive()).isEqualTo("48 on 0");
             vertx.runOnContext(v -> dispatcher.healthCheckCompleted(1, true));
-            assertThat(stub.hear()).isEqualTo("33 on 1 code 0");
-            assertThat(stub.hear()).isEqualTo("closed");
-            assertThat(stub.wasReset()).isFalse();
+            assertThat(caller.receive()).isEqualTo("33 on 1 code 0");
+            assertThat(caller.receive()).isEqualTo("closed");
+            assertThat(caller.wasReset()).isFalse();
         }
     }
 
     @Test
     void callerThatSpeaksRightAfterAPauseIsNotTakenForSilent() throws Exception {
-        try (Stub stub = new Stub(port)) {
+        try (StandInCaller caller = new StandInCaller(port)) {
             awaitConnections(1);
             // The machine stands still for longer than one may say nothing; all looks that were missed come at once.
             CountDownLatch over = new CountDownLatch(1);
@@ -146,45 +143,45 @@
                 vertx.setTimer(50, id -> over.countDown());
             });
             over.await();
-            stub.send(Frames.request(1, "00000000000000aa", "read"));
-            assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
+            caller.send(request(1, "00000000000000aa", "read"));
+            assertThat(caller.receive()).isEqualTo("17 on 1 code 1");
         }
     }
 
     @Test
     void callersWhomTheSystemHoldsBehindAFullGateAtTheLastCallAreAnswered() throws Exception {
-        List<Stub> inside = new ArrayList<>();
-        for (int i = 0; i < GATE; i++) {
-            inside.add(new Stub(port).send(Frames.frame(32, 1, Frames.fields("inner", "1"))));
+        List<StandInCaller> inside = new ArrayList<>();
+        for (int i = 0; i < MAX_CONNECTIONS; i++) {
+            inside.add(new StandInCaller(port).send(deepHealthCheck(1)));
             awaitConnections(i + 1);
         }
-        asked.await();
-        try (Stub outside = new Stub(port)) {
-            outside.send(Frames.request(1, "00000000000000aa", "read"));
+        deepCheckAsked.await();
+        try (StandInCaller outside = new StandInCaller(port)) {
+            outside.send(request(1, "00000000000000aa", "read"));
             CountDownLatch told = new CountDownLatch(1);
             vertx.runOnContext(v -> {
                 server.lastCall();
                 told.countDown();
             });
             told.await();
-            for (Stub stub : inside) {
-                stub.close();
+            for (StandInCaller caller : inside) {
+                caller.close();
             }
-            assertThat(outside.hear()).isEqualTo("48 on 0");
-            assertThat(outside.hear()).isEqualTo("17 on 1 code 1");
+            assertThat(outside.receive()).isEqualTo("48 on 0");
+            assertThat(outside.receive()).isEqualTo("17 on 1 code 1");
         }
     }
 
     private void awaitConnections(int count) throws Exception {
-        for (int is = -1; is != count;) {
+        for (int current = -1; current != count;) {
             CompletableFuture<Integer> now = new CompletableFuture<>();
             vertx.runOnContext(v -> now.complete(server.connections()));
-            is = now.get();
+            current = now.get();
         }
     }
 
     /** A runtime that never says whether work gets done. */
-    private RuntimePort silent() {
+    private RuntimePort silentRuntime() {
         return new RuntimePort() {
             @Override
             public void start(String ref, String requestClass, byte[] body) {
@@ -202,20 +199,20 @@
 
             @Override
             public void askWhetherWorkGetsDone(long tag) {
-                asked.countDown();
+                deepCheckAsked.countDown();
             }
         };
     }
 
-    private Stub answeredOnce() throws Exception {
-        Stub stub = new Stub(port);
-        stub.send(Frames.request(1, "00000000000000aa", "read"));
-        assertThat(stub.hear()).isEqualTo("17 on 1 code 1");
-        return stub;
+    private StandInCaller answeredOnce() throws Exception {
+        StandInCaller caller = new StandInCaller(port);
+        caller.send(request(1, "00000000000000aa", "read"));
+        assertThat(caller.receive()).isEqualTo("17 on 1 code 1");
+        return caller;
     }
 
     /** Bytes come while the event loop is held, and what ends it is done before any of them is read. */
-    private void unreadAs(Stub stub, byte[] bytes, Consumer<CallerServer> ends) throws Exception {
+    private void sendUnreadBefore(StandInCaller caller, byte[] bytes, Consumer<CallerServer> action) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch sent = new CountDownLatch(1);
         vertx.runOnContext(v -> { // there is one event loop, on which the sockets are read too
@@ -225,10 +222,10 @@
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            ends.accept(server);
+            action.accept(server);
         });
         held.await();
-        stub.send(bytes);
+        caller.send(bytes);
         sent.countDown();
     }
 }
--- a/src/test/java/topazladder/net/ReturningServerTest.java
+++ b/src/test/java/topazladder/net/ReturningServerTest.java
@@ -27,10 +27,9 @@
 import topazladder.service.RequestDispatcher;
 
 /**
- * What one of five servers is met with on loopback by fleets of 2, 20 and 30 as it comes back, by its own ledger:
- * unequal
- * senders, of which one in four learns of the start two seconds late; after three seconds it starts once more. Beyond
- * the N calls that a cold server can take then, two roots of N and two count as chance.
+ * The calls that one of five endpoints receives on loopback from fleets of 2, 20 and 30 as it comes back, by its own
+ * record: unequal senders, of which one in four learns of the start two seconds late; after three seconds it starts
+ * once more. Beyond the N calls that a cold server can take then, two roots of N and two count as chance.
  */
 @Timeout(60)
 class ReturningServerTest {
@@ -42,7 +41,7 @@
     private static final long SEED = 11;
 
     private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    private final long zero = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
     @Test
     void theSumOfAllSendersStaysWithinWhatAColdServerCanTake() throws Exception {
@@ -65,7 +64,7 @@
     }
 
     private double now() {
-        return (System.nanoTime() - zero) / 1e9;
+        return (System.nanoTime() - startNanos) / 1e9;
     }
 
     private final class Fleet {
@@ -98,13 +97,13 @@
                 for (int i = 0; i < processes; i++) {
                     Use use = new Use(new Use.Terms(SERVERS, 0.25), new SplittableRandom(chance.nextLong()));
                     uses.add(use);
-                    DependencyLink link = new DependencyLink(vertx, null, 32, counters);
-                    link.choose(new Chosen(use, addresses, ReturningServerTest.this::now));
-                    link.open(nobody);
+                    DependencyClient client = new DependencyClient(vertx, null, 32, counters);
+                    client.choose(new UseBackedChoice(use, addresses, ReturningServerTest.this::now));
+                    client.open(nobody);
                     double rate = ALL * (1 + i % 9) / all;
                     vertx.setPeriodic(10, id -> {
                         for (double left = rate * 0.01; chance.nextDouble() < left; left--) {
-                            link.call(String.format("%016x", ++calls), 2, true, new byte[1]);
+                            client.call(String.format("%016x", ++calls), 2, true, new byte[1]);
                         }
                     });
                 }
@@ -138,16 +137,17 @@
 
         private int serve(boolean kept) throws Exception {
             NetServer server = vertx.createNetServer();
-            server.connectHandler(s -> {
+            server.connectHandler(socket -> {
                 LineReader reader = new LineReader(200, words -> LineReader.length(words[3]));
-                s.handler(more -> {
+                socket.handler(bytes -> {
                     try {
-                        reader.feed(more.getBytes());
-                        for (LineReader.Line l = reader.next(); l != null; l = reader.next()) {
+                        reader.feed(bytes.getBytes());
+                        for (LineReader.Line line = reader.next(); line != null; line = reader.next()) {
                             if (kept) {
                                 ledger.add(now());
                             }
-                            s.write(Buffer.buffer((l.words()[1] + " HIT 1\r\ny\r\n").getBytes(StandardCharsets.UTF_8)));
+                            byte[] reply = (line.words()[1] + " HIT 1\r\ny\r\n").getBytes(StandardCharsets.UTF_8);
+                            socket.write(Buffer.buffer(reply));
                         }
                     } catch (MalformedMessageException e) {
                         throw new AssertionError(e);
@@ -159,9 +159,9 @@
 
         void check() {
             double until = 0;
-            for (int s = 0; s < starts.size(); s++) {
-                double start = starts.get(s);
-                until = s + 1 < starts.size() ? starts.get(s + 1) : start + 5;
+            for (int i = 0; i < starts.size(); i++) {
+                double start = starts.get(i);
+                until = i + 1 < starts.size() ? starts.get(i + 1) : start + 5;
                 for (double span : new double[] {0.5, 1, 2}) {
                     for (double from = start; from + span <= until; from += 0.1) {
                         double begins = from;
@@ -184,34 +184,36 @@
         return COLD * t + (1 - COLD) * t * t / (2 * WARM_AFTER);
     }
 
-    private record Chosen(Use use, List<Address> addresses, DoubleSupplier clock) implements DependencyEndpointChoice {
+    private record UseBackedChoice(Use use, List<Address> addresses, DoubleSupplier clock)
+            implements
+                DependencyEndpointChoice {
         @Override
-        public int pick(int not) {
-            return use.pick(clock.getAsDouble(), not);
+        public int pick(int excluded) {
+            return use.pick(clock.getAsDouble(), excluded);
         }
 
         @Override
-        public Address at(int server) {
-            return addresses.get(server);
+        public Address address(int endpoint) {
+            return addresses.get(endpoint);
         }
 
         @Override
-        public boolean uses(int server) {
-            return use.state(SERVERS.get(server)) != Use.State.OUT;
+        public boolean isInUse(int endpoint) {
+            return use.state(SERVERS.get(endpoint)) != Use.State.OUT;
         }
 
         @Override
-        public void ended(int server, How how) {
-            use.ended(clock.getAsDouble(), server, how);
+        public void callEnded(int endpoint, How how) {
+            use.ended(clock.getAsDouble(), endpoint, how);
         }
 
         @Override
-        public void dropped(int server) {
-            use.dropped(server);
+        public void callAbandoned(int endpoint) {
+            use.dropped(endpoint);
         }
 
         @Override
-        public boolean mayRepeat() {
+        public boolean isRetryPermitted() {
             return false;
         }
     }
