--- a/src/main/java/topazladder/net/CallerConnection.java
+++ b/src/main/java/topazladder/net/CallerConnection.java
@@ -83,7 +83,7 @@
             }
             messageTimeout.bytesRead(wholeMessage, !reader.isEmpty());
         } catch (MalformedMessageException e) {
-            endWithError(Count.CONNECTIONS_ENDED_AS_MALFORMED, e.getMessage());
+            endWithError(Count.CONNECTIONS_CLOSED_MALFORMED, e.getMessage());
         } catch (CallerProtocolException e) {
             endWithError(e.kind(), e.getMessage());
         }
@@ -170,8 +170,8 @@
     /** Ends a connection that says nothing, or half a message; one that waits, or rests between requests, is kept. */
     void closeIfMessageOverdue() {
         if (state == State.OPEN && messageTimeout.isOverdueAtSweep()) {
-            endWithError(streams.validMessageRead() ? Count.CONNECTIONS_ENDED_AS_HALF_SAID
-                    : Count.CONNECTIONS_ENDED_AS_SILENT, "no whole request in time");
+            endWithError(streams.validMessageRead() ? Count.CONNECTIONS_CLOSED_INCOMPLETE
+                    : Count.CONNECTIONS_CLOSED_SILENT, "no whole request in time");
         }
     }
 
--- a/src/main/java/topazladder/net/CallerServer.java
+++ b/src/main/java/topazladder/net/CallerServer.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.service.Callers;
+import topazladder.service.ClientConnections;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.RequestDispatcher;
@@ -26,7 +26,7 @@
  * <p>Invariant: a connection with something open on it is never evicted, and a shutdown resets no caller whose
  * connection the system has accepted.
  */
-final class CallerServer implements Callers {
+final class CallerServer implements ClientConnections {
     /** Idle and silent connections are looked for no more often than this, however short they may idle. */
     static final long SWEEP_PERIOD_MILLIS = 100;
 
@@ -81,7 +81,7 @@
 
     private void connected(NetSocket socket) {
         boolean full = connections.size() >= maxConnections && !evictOne();
-        counters.add(full ? Count.CONNECTIONS_TURNED_AWAY : Count.CONNECTIONS_TAKEN);
+        counters.add(full ? Count.CONNECTIONS_REJECTED : Count.CONNECTIONS_ACCEPTED);
         CallerConnection connection = new CallerConnection(vertx, socket, dispatcher, counters, connections::remove);
         connections.add(connection);
         if (full || draining) {
@@ -103,7 +103,7 @@
     }
 
     private void evict(CallerConnection connection) {
-        counters.add(Count.CONNECTIONS_GIVEN_WAY);
+        counters.add(Count.CONNECTIONS_EVICTED);
         connections.remove(connection);
         if (connection.validMessageRead()) {
             connection.closeInOrder(); // a request may be on its way just now
@@ -113,8 +113,8 @@
     }
 
     @Override
-    public void closeIdle(double seconds) {
-        idleSeconds = seconds;
+    public void closeIdle(double newIdleSeconds) {
+        idleSeconds = newIdleSeconds;
     }
 
     private void sweep() {
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void lastCall() {
+    public void stopAccepting() {
         draining = true;
         new ArrayList<>(connections).forEach(CallerConnection::requestDrain);
         stopListening(true);
@@ -171,7 +171,7 @@
     }
 
     @Override
-    public int connections() {
+    public int openConnections() {
         return connections.size();
     }
 }
--- a/src/main/java/topazladder/net/CallerStreams.java
+++ b/src/main/java/topazladder/net/CallerStreams.java
@@ -10,6 +10,7 @@
 import topazladder.net.codec.CallerMessage.RequestCancelled;
 import topazladder.net.codec.CallerMessage.RequestSubmitted;
 import topazladder.net.codec.MalformedMessageException;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.Counters.Count;
 import topazladder.service.InFlightRequest;
 import topazladder.service.RequestDispatcher;
@@ -78,7 +79,7 @@
         } else if (message instanceof RequestSubmitted submitted) {
             dispatch(submitted, response);
         } else {
-            dispatcher.answerUnusable(response);
+            dispatcher.respondInvalid(response);
         }
     }
 
@@ -89,7 +90,7 @@
         }
         abandon(response);
         if (++cancellations > MAX_CANCELLATIONS) {
-            throw new CallerProtocolException(Count.CONNECTIONS_ENDED_AS_TAKING_BACK,
+            throw new CallerProtocolException(Count.CONNECTIONS_CLOSED_TOO_MANY_CANCELLED,
                     "too many requests taken back");
         }
     }
@@ -99,7 +100,7 @@
             throw new MalformedMessageException("stream " + stream + " used twice");
         }
         if (pending.size() >= MAX_OPEN_STREAMS) {
-            throw new CallerProtocolException(Count.CONNECTIONS_ENDED_AS_OVERFULL,
+            throw new CallerProtocolException(Count.CONNECTIONS_CLOSED_TOO_MANY_OPEN,
                     "more than " + MAX_OPEN_STREAMS + " requests open");
         }
         lastStream = stream;
@@ -125,12 +126,12 @@
     void answerInvalid(long stream, Response response) {
         answer(stream, response);
         if (++invalidRequests >= MAX_INVALID_REQUESTS) {
-            connection.endWithError(Count.CONNECTIONS_ENDED_AS_UNUSABLE,
+            connection.endWithError(Count.CONNECTIONS_CLOSED_TOO_MANY_INVALID,
                     "too many requests that can't be decided on");
         }
     }
 
-    void answerHealthCheck(long stream, boolean healthy, Double level) {
+    void answerHealthCheck(long stream, boolean healthy, AdmissionLevel level) {
         if (pending.remove(stream) != null) {
             connection.writeResponse(CallerFrameEncoder.health(stream, healthy, level));
         }
@@ -139,7 +140,7 @@
     /** Answers all that is open as failed, as the caller broke the protocol. */
     void failAll() {
         for (PendingResponse response : List.copyOf(pending.values())) {
-            response.answer(Response.UNUSABLE);
+            response.onResponse(Response.INVALID_REQUEST);
             abandon(response);
         }
     }
--- a/src/main/java/topazladder/net/ControlPlaneHeartbeat.java
+++ b/src/main/java/topazladder/net/ControlPlaneHeartbeat.java
@@ -43,7 +43,7 @@
     }
 
     private void send(InstanceLifecycle instance) {
-        String readiness = instance.ready() ? " Ready" : " NotReady";
+        String readiness = instance.isReady() ? " Ready" : " NotReady";
         socket.send(Buffer.buffer("lease " + instanceName + readiness), address.port(), address.host());
     }
 }
--- a/src/main/java/topazladder/net/DependencyClient.java
+++ b/src/main/java/topazladder/net/DependencyClient.java
@@ -95,7 +95,7 @@
 
     @Override
     public void call(String reference, double timeoutSeconds, boolean retrySafe, byte[] body) {
-        giveUp(reference);
+        cancel(reference);
         DependencyCall call = new DependencyCall(reference, timeoutSeconds, retrySafe, body);
         calls.put(reference, call);
         if (endpoints.isNone()) {
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void giveUp(String reference) {
+    public void cancel(String reference) {
         DependencyCall call = calls.get(reference);
         if (call != null) {
             leave(call);
@@ -174,7 +174,7 @@
         if (call.connection() != null) {
             endpoints.report(call, How.SILENT);
         }
-        counters.add(Count.CALLS_TOO_LONG);
+        counters.add(Count.CALLS_TIMED_OUT);
         finish(call, call.isWritten() ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE, null);
     }
 
@@ -224,7 +224,7 @@
     private void retryElsewhere(DependencyCall refused) {
         endpoints.report(refused, How.REFUSED);
         if (endpoints.isRetryPermitted(refused)) {
-            counters.add(Count.CALLS_REPEATED);
+            counters.add(Count.CALLS_RETRIED);
             refused.refused();
             place(refused);
         } else {
@@ -262,7 +262,7 @@
         }
         DependencyCall lost = connection.takeCall();
         if (lost != null) {
-            counters.add(Count.CALLS_CUT_OFF);
+            counters.add(Count.CALLS_CONNECTION_LOST);
             endpoints.report(lost, How.CUT);
             lost.detach();
             finish(lost, Outcome.CONNECTION_LOST, null);
--- a/src/main/java/topazladder/net/DependencyConnection.java
+++ b/src/main/java/topazladder/net/DependencyConnection.java
@@ -120,7 +120,7 @@
                 throw new MalformedMessageException("the start of another reply");
             }
         } catch (MalformedMessageException e) {
-            counters.add(Count.REPLIES_UNREADABLE);
+            counters.add(Count.REPLIES_MALFORMED);
             close();
         }
     }
@@ -133,7 +133,7 @@
             lastUsedNanos = System.nanoTime();
             listener.replied(this, reply);
         } else {
-            counters.add(Count.REPLIES_TO_NO_CALL);
+            counters.add(Count.REPLIES_UNEXPECTED);
         }
     }
 }
--- a/src/main/java/topazladder/net/PendingResponse.java
+++ b/src/main/java/topazladder/net/PendingResponse.java
@@ -1,11 +1,12 @@
 package topazladder.net;
 
-import topazladder.service.Caller;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.InFlightRequest;
 import topazladder.service.Response;
+import topazladder.service.ResponseListener;
 
 /** The one response that a stream of a connection is owed, to a request or to a health check. */
-final class PendingResponse implements Caller {
+final class PendingResponse implements ResponseListener {
     private final CallerStreams streams;
     private final long stream;
     private InFlightRequest request; // null for a health check, and for a request answered as it was read
@@ -24,17 +25,17 @@
     }
 
     @Override
-    public void answer(Response response) {
+    public void onResponse(Response response) {
         streams.answer(stream, response);
     }
 
     @Override
-    public void unusable(Response response) {
+    public void onInvalidRequest(Response response) {
         streams.answerInvalid(stream, response);
     }
 
     @Override
-    public void health(boolean healthy, Double level) {
+    public void onHealth(boolean healthy, AdmissionLevel level) {
         streams.answerHealthCheck(stream, healthy, level);
     }
 }
--- a/src/main/java/topazladder/net/RuntimeConnection.java
+++ b/src/main/java/topazladder/net/RuntimeConnection.java
@@ -222,7 +222,7 @@
                 listener.received(line);
             }
         } catch (MalformedMessageException e) {
-            counters.add(Count.LINES_UNREADABLE);
+            counters.add(Count.LINES_MALFORMED);
             LOG.warn("runtime line malformed reason=\"{}\"", e.getMessage());
             from.close();
         }
--- a/src/main/java/topazladder/net/RuntimeLink.java
+++ b/src/main/java/topazladder/net/RuntimeLink.java
@@ -81,7 +81,7 @@
     @Override
     public void lost(boolean closed) {
         caughtUp = false;
-        dispatcher.runtimeLost();
+        dispatcher.runtimeDisconnected();
         if (!closed) {
             counters.add(Count.LINKS_LOST);
             LOG.warn("runtime link lost last_notice={}", lastNotice);
@@ -174,9 +174,9 @@
     private void commandRejected(CommandRejected rejected) {
         unacknowledged.acknowledge(rejected.reference());
         switch (rejected.command()) {
-            case RuntimeLines.START -> dispatcher.notStarted(rejected.reference());
+            case RuntimeLines.START -> dispatcher.commandRefused(rejected.reference());
             case RuntimeLines.SELF_TEST -> dispatcher.healthCheckCompleted(tag(rejected.reference()), false);
-            default -> counters.add(Count.COMMANDS_NOT_CARRIED_OUT);
+            default -> counters.add(Count.COMMANDS_REFUSED);
         }
     }
 
@@ -228,17 +228,17 @@
     }
 
     @Override
-    public void give(String reference, byte[] reply) {
+    public void resumeWithReply(String reference, byte[] reply) {
         send(reference, false, RuntimeLines.give(reference, reply));
     }
 
     @Override
-    public void omit(String reference, long notice) {
+    public void resumeWithoutReply(String reference, long notice) {
         send(reference, false, RuntimeLines.omit(reference, notice));
     }
 
     @Override
-    public void askGauges() {
+    public void requestGauges() {
         if (connection.isOpen() && silence.isSilentAtQuestion()) {
             counters.add(Count.LINKS_STALLED);
             LOG.warn("runtime link silent last_notice={}", lastNotice);
@@ -250,10 +250,10 @@
     }
 
     @Override
-    public void askWhetherWorkGetsDone(long tag) {
+    public void requestHealthCheck(long checkId) {
         if (!connection.isOpen()) {
-            dispatcher.healthCheckCompleted(tag, false); // nobody would ever tell
+            dispatcher.healthCheckCompleted(checkId, false); // nobody would ever tell
         }
-        connection.write(RuntimeLines.selfTest(String.valueOf(tag)));
+        connection.write(RuntimeLines.selfTest(String.valueOf(checkId)));
     }
 }
--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -30,7 +30,8 @@
 import topazladder.service.InstanceExtension;
 import topazladder.service.InstanceLifecycle;
 import topazladder.service.RequestDispatcher;
-import topazladder.service.Timers;
+import topazladder.service.Scheduler;
+import topazladder.service.ServedValue;
 
 /**
  * Puts the parts of a real service instance together, all on one event loop.
@@ -69,7 +70,7 @@
     public ServiceInstance(ServiceSettings settings, ExtensionSettings extensionSettings, IntConsumer exit) {
         this.settings = settings;
         this.exit = exit;
-        SocketBudget budget = SocketBudget.of(settings.sockets());
+        SocketBudget budget = SocketBudget.of(settings.maxSockets());
         AcceptGate gate = new AcceptGate(budget.acceptedConnections());
         vertx = singleEventLoop(gate);
         vertx.exceptionHandler(this::unhandledException);
@@ -78,11 +79,13 @@
         dependency = new DependencyClient(vertx, settings.index(), budget.dependencyConnections(), counters);
         heartbeat = new ControlPlaneHeartbeat(vertx, settings.control(), settings.name());
         DoubleSupplier clock = ServiceInstance::unixSeconds;
-        Timers timers = (seconds, what) -> vertx.setTimer(timerMillis(seconds), id -> what.run());
-        dispatcher = new RequestDispatcher(clock, settings.terms(), runtime, dependency, callers, timers, counters);
-        instance = new InstanceLifecycle(settings.name(), settings.seed(), settings.stopAfter(), clock, dispatcher,
-                new CallersAndExtensions(callers, extensions), timers, this::exit);
-        addExtensions(extensionSettings, clock, timers);
+        Scheduler scheduler =
+                (delaySeconds, task) -> vertx.setTimer(timerMillis(delaySeconds), id -> task.run());
+        dispatcher = new RequestDispatcher(clock, settings.terms(), runtime, dependency, callers, scheduler, counters);
+        instance =
+                new InstanceLifecycle(settings.name(), settings.seed(), settings.stopAfterSeconds(), clock, dispatcher,
+                        new CallersAndExtensions(callers, extensions), scheduler, this::exit);
+        addExtensions(extensionSettings, clock, scheduler);
     }
 
     private static Vertx singleEventLoop(AcceptGate gate) {
@@ -94,15 +97,15 @@
                 .build();
     }
 
-    private void addExtensions(ExtensionSettings extensionSettings, DoubleSupplier clock, Timers timers) {
+    private void addExtensions(ExtensionSettings extensionSettings, DoubleSupplier clock, Scheduler scheduler) {
         AmqpNode brokers = extensionSettings.brokers().isEmpty() ? null
-                : new AmqpNode(vertx, settings, extensionSettings, clock, timers, dispatcher, instance, counters);
+                : new AmqpNode(vertx, settings, extensionSettings, clock, scheduler, dispatcher, instance, counters);
         if (extensionSettings.peering() != null) {
             AtomicReference<HallNode> cluster = new AtomicReference<>();
             PeerNode peers =
                     new PeerNode(vertx, settings, extensionSettings, dispatcher, instance, counters, cluster::get);
             extensions.add(peers);
-            if (extensionSettings.members() != null) {
+            if (extensionSettings.cluster() != null) {
                 cluster.set(clusterNode(extensionSettings, peers, brokers));
                 extensions.add(cluster.get());
                 if (cluster.get().choice() != null) {
@@ -118,7 +121,7 @@
     private HallNode clusterNode(ExtensionSettings extensionSettings, PeerNode peers, AmqpNode brokers) {
         DependencyCircuitBreaker circuitBreaker =
                 new DependencyCircuitBreaker(new SplittableRandom(settings.seed() ^ System.nanoTime()));
-        if (extensionSettings.members().duties().stream().anyMatch(d -> d.what() instanceof ClusterSettings.Probe)) {
+        if (extensionSettings.cluster().leases().stream().anyMatch(d -> d.task() instanceof ClusterSettings.Probe)) {
             dependency.guardBy(circuitBreaker);
         }
         return new HallNode(vertx, settings, extensionSettings, instance::phase, counters, peers::keys,
@@ -144,7 +147,7 @@
     /** Begins the graceful shutdown; may be called from any thread. */
     public void leave() {
         onLoop(() -> {
-            extensions.forEach(InstanceExtension::leave);
+            extensions.forEach(InstanceExtension::startShutdown);
             instance.shutdown();
         });
     }
@@ -157,8 +160,8 @@
     }
 
     private ThroughputMeter.Counted counted() {
-        double[] payoff = dispatcher.payoff();
-        return new ThroughputMeter.Counted(payoff[0], payoff[1], counters.of(Count.FAILED));
+        ServedValue value = dispatcher.servedValue();
+        return new ThroughputMeter.Counted(value.offered(), value.served(), counters.get(Count.FAILED));
     }
 
     /**
@@ -175,7 +178,7 @@
     }
 
     private void moveTo(ServiceSettings read) {
-        counters.add(Count.CONFIGURATIONS_READ);
+        counters.add(Count.CONFIGURATIONS_RELOADED);
         LOG.info("configuration reloaded name={}", settings.name());
         if (!read.alikeButForAddresses(settings)) {
             LOG.warn("configuration change deferred name={} until=next-start"
@@ -197,7 +200,7 @@
     }
 
     private void rejected(String event, InvalidSettingsException e) {
-        counters.add(Count.CONFIGURATIONS_REFUSED);
+        counters.add(Count.CONFIGURATIONS_REJECTED);
         LOG.error(event, e.getMessage());
     }
 
@@ -217,18 +220,18 @@
 
     /** One request's fault must not end the process that all others are in. */
     private void unhandledException(Throwable e) {
-        counters.add(Count.FAULTS);
+        counters.add(Count.INTERNAL_ERRORS);
         LOG.error("unhandled exception", e);
     }
 
     private void logCounters() {
         LOG.info("counters name={} {} {} connections={}", settings.name(), counters, dispatcher,
-                callers.connections());
+                callers.openConnections());
     }
 
     private void exit() {
         logCounters();
-        boolean callersLeft = callers.connections() > 0;
+        boolean callersLeft = callers.openConnections() > 0;
         callers.end();
         closeAll(extensions.iterator(), () -> {
             runtime.close();
--- a/src/main/java/topazladder/net/WarmUp.java
+++ b/src/main/java/topazladder/net/WarmUp.java
@@ -79,7 +79,7 @@
         Address dependencyAddress = new Address(at, dependency.getLocalPort());
         // Heartbeats go to the dependency's port, where no datagram is read.
         return new ServiceSettings(INSTANCE_NAME, new Address(at, port), new Address(at, runtime.getLocalPort()),
-                dependencyAddress, dependencyAddress, INSTANCE_SEED, STOP_AFTER_SECONDS, settings.sockets(),
+                dependencyAddress, dependencyAddress, INSTANCE_SEED, STOP_AFTER_SECONDS, settings.maxSockets(),
                 settings.terms());
     }
 
--- a/src/main/java/topazladder/net/codec/CallerFrameEncoder.java
+++ b/src/main/java/topazladder/net/codec/CallerFrameEncoder.java
@@ -4,6 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.Response;
 
 /** Encodes the frames that go to callers, and the requests that the warm-up sends in a caller's place. */
@@ -19,16 +20,16 @@
     /** Encodes the final response to the request on a stream; Retry-After is rounded up to whole milliseconds. */
     public static byte[] answer(long stream, Response response) {
         List<String> fields = new ArrayList<>();
-        addLevel(fields, response.level());
-        if (response.stayAway() > 0) {
+        addLevel(fields, response.admissionLevel());
+        if (response.retryAfterSeconds() > 0) {
             fields.add(CallerProtocol.RETRY_AFTER_MILLIS);
-            fields.add(String.valueOf((long) Math.ceil(response.stayAway() * 1000)));
+            fields.add(String.valueOf((long) Math.ceil(response.retryAfterSeconds() * 1000)));
         }
-        if (response.notElsewhere()) {
+        if (response.doNotRetryElsewhere()) {
             fields.add(CallerProtocol.NOT_ELSEWHERE);
             fields.add(CallerProtocol.SET);
         }
-        int code = switch (response.how()) {
+        int code = switch (response.status()) {
             case SERVED -> CallerProtocol.SERVED_CODE;
             case REJECTED -> CallerProtocol.REJECTED_CODE;
             case FAILED -> CallerProtocol.FAILED_CODE;
@@ -36,12 +37,8 @@
         return codedFrame(CallerProtocol.RESPONSE_FRAME, stream, code, fields, response.body());
     }
 
-    /**
-     * Encodes the response to a health check.
-     *
-     * @param level the posted admission level, or null while none is posted
-     */
-    public static byte[] health(long stream, boolean healthy, Double level) {
+    /** Encodes the response to a health check. */
+    public static byte[] health(long stream, boolean healthy, AdmissionLevel level) {
         List<String> fields = new ArrayList<>();
         addLevel(fields, level);
         int code = healthy ? CallerProtocol.HEALTHY_CODE : CallerProtocol.UNHEALTHY_CODE;
@@ -71,10 +68,10 @@
         return out.put(body).array();
     }
 
-    private static void addLevel(List<String> fields, Double level) {
-        if (level != null) {
+    private static void addLevel(List<String> fields, AdmissionLevel level) {
+        if (level.isPosted()) {
             fields.add(CallerProtocol.LEVEL);
-            fields.add(String.valueOf(level));
+            fields.add(String.valueOf(level.value()));
         }
     }
 
--- a/src/test/java/topazladder/CodecTest.java
+++ b/src/test/java/topazladder/CodecTest.java
@@ -22,9 +22,10 @@
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.RuntimeLines;
 import topazladder.net.codec.RuntimeNotice;
+import topazladder.service.AdmissionLevel;
 import topazladder.service.IncomingRequest;
 import topazladder.service.Response;
-import topazladder.service.Response.How;
+import topazladder.service.Response.Status;
 
 /** What callers, runtime and dependency write is read from any pieces, and what is no message is told from that. */
 class CodecTest {
@@ -99,14 +100,17 @@
 
     @Test
     void answersCarryWhatWasRuled() {
-        assertThat(text(cut(CallerFrameEncoder.answer(3, new Response(How.SERVED, 0.25, 0, false,
+        assertThat(text(cut(CallerFrameEncoder.answer(3, new Response(Status.SERVED, AdmissionLevel.of(0.25), 0, false,
                 "result".getBytes(StandardCharsets.UTF_8)))))).isEqualTo("17 on 3 code 0 pressure=0.25 result");
         assertThat(
-                text(cut(CallerFrameEncoder.answer(4, new Response(How.REJECTED, null, 0.2501, true, new byte[0])))))
-                        .isEqualTo("17 on 4 code 1 cooldown=251 nowhere=1");
-        assertThat(text(cut(CallerFrameEncoder.answer(5, new Response(How.FAILED, null, 0, false, new byte[0])))))
-                .isEqualTo("17 on 5 code 2");
-        assertThat(text(cut(CallerFrameEncoder.health(1, false, 0.5)))).isEqualTo("33 on 1 code 1 pressure=0.5");
+                text(cut(CallerFrameEncoder.answer(4,
+                        new Response(Status.REJECTED, AdmissionLevel.NONE, 0.2501, true, new byte[0])))))
+                                .isEqualTo("17 on 4 code 1 cooldown=251 nowhere=1");
+        assertThat(text(cut(
+                CallerFrameEncoder.answer(5, new Response(Status.FAILED, AdmissionLevel.NONE, 0, false, new byte[0])))))
+                        .isEqualTo("17 on 5 code 2");
+        assertThat(text(cut(CallerFrameEncoder.health(1, false, AdmissionLevel.of(0.5)))))
+                .isEqualTo("33 on 1 code 1 pressure=0.5");
         assertThat(text(cut(CallerFrameEncoder.noNewRequest()))).isEqualTo("48 on 0");
         assertThat(text(cut(CallerFrameEncoder.error("why")))).isEqualTo("17 on 0 code 2 why");
     }
--- a/src/test/java/topazladder/HallServiceTest.java
+++ b/src/test/java/topazladder/HallServiceTest.java
@@ -72,7 +72,7 @@
         ExtensionSettings own = settings("voters: \"n1\" folder: \"voter\" heartbeat: 0.1"
                 + " duties { name: \"price-clock\" lease: 1"
                 + " touch { address: \"127.0.0.1:" + touched.getLocalPort() + "\" every: 0.02 } }");
-        Founding.found("n1", own.members(), 0);
+        Founding.found("n1", own.cluster(), 0);
         runtime = new StandInLineServer();
         service = ServiceInstanceFixture.start(
                 ServiceInstanceFixture.oneClassSettings(LoopbackPorts.free(), runtime, 2000), own, runtime, exit);
@@ -238,10 +238,10 @@
     @Test
     void aFolderThatIsFoundedIsNotFoundedAgainButFormedAnew() throws Exception {
         ExtensionSettings own = settings("voters: \"n1\" folder: \"other\"");
-        Founding.found("n1", own.members(), 0);
-        assertThatThrownBy(() -> Founding.found("n1", own.members(), 0)).isInstanceOf(InvalidSettingsException.class)
+        Founding.found("n1", own.cluster(), 0);
+        assertThatThrownBy(() -> Founding.found("n1", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("--formed 1");
-        assertThat(Founding.found("n1", own.members(), 1)).contains("formed 1");
-        assertThatThrownBy(() -> Founding.found("n9", own.members(), 0)).isInstanceOf(InvalidSettingsException.class);
+        assertThat(Founding.found("n1", own.cluster(), 1)).contains("formed 1");
+        assertThatThrownBy(() -> Founding.found("n9", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class);
     }
 }
--- a/src/test/java/topazladder/PackedProgramIT.java
+++ b/src/test/java/topazladder/PackedProgramIT.java
@@ -30,7 +30,7 @@
         Path log = folder.resolve("log");
         Process plain = start(log, List.of("-Xlog:class+load:file=" + folder.resolve("classes")), "serve");
         try {
-            awaitLine(log, "is awaiting runtime after starting", 2);
+            awaitLine(log, "from=starting to=awaiting-runtime", 2);
             String open;
             try (Stream<Path> all = Files.list(Path.of("/proc", String.valueOf(plain.pid()), "fd"))) {
                 open = all.map(PackedProgramIT::target).collect(Collectors.joining("\n"));
@@ -63,7 +63,7 @@
         Process deaf = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
             awaitLine(log, "SIGHUP is ignored, as by nohup", 1);
-            awaitLine(log, "is awaiting runtime after starting", 2);
+            awaitLine(log, "from=starting to=awaiting-runtime", 2);
         } finally {
             deaf.destroy();
             deaf.waitFor(20, TimeUnit.SECONDS);
@@ -124,7 +124,7 @@
         builder.environment().put("GW_LISTEN", "127.0.0.1:" + LoopbackPorts.free());
         Process traced = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         try {
-            awaitLine(log, "is awaiting runtime after starting", 2);
+            awaitLine(log, "from=starting to=awaiting-runtime", 2);
         } finally {
             long instance = Long.parseLong(Files.readAllLines(trace).get(0).split(" ", 2)[0]);
             ProcessHandle.of(instance).ifPresent(ProcessHandle::destroy);
--- a/src/test/java/topazladder/net/CallerServerTest.java
+++ b/src/test/java/topazladder/net/CallerServerTest.java
@@ -78,7 +78,7 @@
             awaitConnections(0);
             awaitConnections(0); // a turn of the event loop later the socket is given back
             assertThat(caller.wasResetAfterClose()).isFalse();
-            assertThat(counters.of(Count.REQUESTS_TAKEN_IN)).isEqualTo(1);
+            assertThat(counters.get(Count.REQUESTS_RECEIVED)).isEqualTo(1);
         }
     }
 
@@ -98,7 +98,7 @@
     @Test
     void requestThatLiesUnreadAtTheLastCallIsAnswered() throws Exception {
         try (StandInCaller caller = answeredOnce()) {
-            sendUnreadBefore(caller, request(2, "00000000000000bb", "read"), CallerServer::lastCall);
+            sendUnreadBefore(caller, request(2, "00000000000000bb", "read"), CallerServer::stopAccepting);
             assertThat(caller.receive()).isEqualTo("48 on 0");
             assertThat(caller.receive()).isEqualTo("17 on 2 code 1");
             assertThat(caller.receive()).isEqualTo("closed");
@@ -160,7 +160,7 @@
             outside.send(request(1, "00000000000000aa", "read"));
             CountDownLatch told = new CountDownLatch(1);
             vertx.runOnContext(v -> {
-                server.lastCall();
+                server.stopAccepting();
                 told.countDown();
             });
             told.await();
@@ -175,7 +175,7 @@
     private void awaitConnections(int count) throws Exception {
         for (int current = -1; current != count;) {
             CompletableFuture<Integer> now = new CompletableFuture<>();
-            vertx.runOnContext(v -> now.complete(server.connections()));
+            vertx.runOnContext(v -> now.complete(server.openConnections()));
             current = now.get();
         }
     }
@@ -189,16 +189,16 @@
             }
 
             @Override
-            public void give(String ref, byte[] reply) {}
+            public void resumeWithReply(String ref, byte[] reply) {}
 
             @Override
-            public void omit(String ref, long notice) {}
+            public void resumeWithoutReply(String ref, long notice) {}
 
             @Override
-            public void askGauges() {}
+            public void requestGauges() {}
 
             @Override
-            public void askWhetherWorkGetsDone(long tag) {
+            public void requestHealthCheck(long tag) {
                 deepCheckAsked.countDown();
             }
         };
