--- a/src/test/java/topazladder/GlossaryTest.java
+++ b/src/test/java/topazladder/GlossaryTest.java
@@ -18,8 +18,9 @@
     private static final Path GLOSSARY = Path.of("docs", "glossary.md");
     private static final Pattern QUOTED = Pattern.compile("`([^`]+)`");
     /** Block comments, line comments, text blocks, strings and characters: none of them declares a name. */
-    private static final Pattern NOT_CODE = Pattern.compile("/\\*.*?\\*/|//[^\\n]*|\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\])*\""
-            + "|'(?:\\\\.|[^'\\\\])*'", Pattern.DOTALL);
+    private static final Pattern NOT_CODE =
+            Pattern.compile("/\\*.*?\\*/|//[^\\n]*|\"\"\".*?\"\"\"|\"(?:\\\\.|[^\"\\\\])*\""
+                    + "|'(?:\\\\.|[^'\\\\])*'", Pattern.DOTALL);
     /** A type, its end or `var`, and a name after it. */
     private static final Pattern DECLARED = Pattern.compile("([\\w>\\]?]+)\\s+([A-Za-z]\\w*)\\s*(?=[=;,):({<]|->)");
     private static final Pattern NO_TYPE = Pattern.compile(
@@ -42,8 +43,10 @@
 
     @Test
     void namesAreFoundWhereverTheyAreDeclared() {
-        String source = "record Ticket(int payoff) { void ask(List<String> offerings) { double softLimit = 1; } } // seat";
-        assertThat(declaredNames(source)).containsExactlyInAnyOrder("Ticket", "payoff", "ask", "offerings", "softLimit");
+        String source =
+                "record Ticket(int payoff) { void ask(List<String> offerings) { double softLimit = 1; } } // seat";
+        assertThat(declaredNames(source)).containsExactlyInAnyOrder("Ticket", "payoff", "ask", "offerings",
+                "softLimit");
         assertThat(holds("payoffAsked", "payoff")).isTrue();
         assertThat(holds("MOST_TICKETS", "ticket")).isTrue();
         assertThat(holds("shortestSoftLimit", "softLimit")).isTrue();
