--- a/src/main/java/topazladder/Launch.java
+++ b/src/main/java/topazladder/Launch.java
@@ -15,7 +15,7 @@
 import topazladder.net.ServiceInstance;
 import topazladder.net.WarmUp;
 import topazladder.wire.MalformedWireException;
-import topazladder.wire.WireHost;
+import topazladder.wire.SimulatorHost;
 
 /** Starts a service instance with its signals, or the simulator's wire. */
 public final class Launch {
@@ -73,7 +73,7 @@
 
     public static void wirehost() throws IOException {
         try {
-            new WireHost(System.in, System.out).run();
+            new SimulatorHost(System.in, System.out).run();
         } catch (MalformedWireException | InvalidSettingsException e) {
             System.err.println("wirehost: " + e.getMessage());
             System.exit(1);
--- a/src/main/java/topazladder/admission/AdmissionLevel.java
+++ b/src/main/java/topazladder/admission/AdmissionLevel.java
@@ -16,9 +16,8 @@
  * sets the cut to the median rank of those read at or above it, so that it halves what is admitted; a step down
  * restores the cut before. A request ranked under the cut is rejected.
  *
- * <p>The median counts rejected requests too, as the callers that heed the level would else send the cut down again.
- * While cores idle, nothing is completed, or the queue is short, the level falls to 0 at once: idle cores are worse
- * than a jump.
+ * <p>The median counts rejected requests too, and old requests fade. While cores idle, nothing is completed, or the
+ * queue is short, the level falls to 0 at once: idle cores are worse than a jump.
  */
 final class AdmissionLevel implements Stage {
     /** Callers heed a level for a limited time: with so many updates within it, one that is out of date is rare. */
--- a/src/main/java/topazladder/wire/MalformedWireException.java
+++ b/src/main/java/topazladder/wire/MalformedWireException.java
@@ -1,6 +1,6 @@
 package topazladder.wire;
 
-/** What came in is no message of this wire. */
+/** What came in is no message of the simulator's protocol; the message says what was wrong. Ends the program. */
 public final class MalformedWireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- /dev/null
+++ b/src/test/java/topazladder/admission/DecisionTranscript.java
@@ -0,0 +1,130 @@
+package topazladder.admission;
+
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import topazladder.RecordedTrace;
+import topazladder.request.Decision;
+import topazladder.request.DecisionHandler;
+import topazladder.request.Request;
+
+/** Writes down events and what was decided on them, one line each, and keeps in mind what was started and called. */
+final class DecisionTranscript implements DecisionHandler {
+    private final StringBuilder text = new StringBuilder();
+    private final Map<Request, String> names = new LinkedHashMap<>();
+    private final Set<Request> started = new LinkedHashSet<>();
+    private final Set<Request> calling = new LinkedHashSet<>();
+
+    void name(Request request, String name) {
+        names.put(request, name);
+    }
+
+    String nameOf(Request request) {
+        return names.get(request);
+    }
+
+    /** Requests whose runs were started; whoever ends a run takes it out. */
+    Set<Request> started() {
+        return started;
+    }
+
+    /** Requests whose dependency calls were made; whoever ends a call takes it out. */
+    Set<Request> calling() {
+        return calling;
+    }
+
+    void event(double now, String event, List<Decision> decisions) {
+        text.append(String.format(Locale.ROOT, "%6.2f  %s\n", now, event));
+        decisions.forEach(decision -> decision.applyTo(this));
+    }
+
+    /** Leaves out of the text what the step writes. */
+    void unrecorded(Runnable step) {
+        int length = text.length();
+        step.run();
+        text.setLength(length);
+    }
+
+    void assertMatches(String trace) {
+        RecordedTrace.assertMatches(trace, text.toString());
+    }
+
+    static String seconds(double seconds) {
+        return String.format(Locale.ROOT, "%.2f s", seconds);
+    }
+
+    private void decision(String decision) {
+        text.append("          ").append(decision).append('\n');
+    }
+
+    @Override
+    public void start(Request request) {
+        decision("start " + nameOf(request));
+        started.add(request);
+    }
+
+    @Override
+    public void reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere) {
+        decision("reject " + nameOf(request)
+                + (retryAfterSeconds > 0 ? ", retry after " + seconds(retryAfterSeconds) : "")
+                + (doNotRetryElsewhere ? ", do not retry elsewhere" : ""));
+    }
+
+    @Override
+    public void fail(Request request) {
+        decision("fail " + nameOf(request));
+    }
+
+    @Override
+    public void cancelRun(Request request) {
+        decision("cancel run of " + nameOf(request));
+    }
+
+    @Override
+    public void answerFromOriginal(Request request) {
+        decision("answer " + nameOf(request) + " from its original");
+    }
+
+    @Override
+    public void rememberIdempotencyKey(Request request, double windowSeconds) {
+        decision("remember idempotency key of " + nameOf(request) + " for " + seconds(windowSeconds));
+    }
+
+    @Override
+    public void forgetIdempotencyKey(Request request) {
+        decision("forget idempotency key of " + nameOf(request));
+    }
+
+    @Override
+    public void callDependency(Request request, double timeoutSeconds) {
+        decision("call dependency for " + nameOf(request) + " within " + seconds(timeoutSeconds));
+        calling.add(request);
+    }
+
+    @Override
+    public void skipDependencyCall(Request request) {
+        decision("skip dependency call of " + nameOf(request));
+    }
+
+    @Override
+    public void postAdmissionLevel(double level) {
+        decision(String.format(Locale.ROOT, "post admission level %.3f", level));
+    }
+
+    @Override
+    public void setHealth(boolean healthy) {
+        decision("set health " + (healthy ? "good" : "bad"));
+    }
+
+    @Override
+    public void closeIdleConnections(double idleSeconds) {
+        decision("close connections idle for " + seconds(idleSeconds));
+    }
+
+    /** Left out, as every tick asks for the next. */
+    @Override
+    public void scheduleTick(double delaySeconds) {}
+}
