--- a/src/main/java/topazladder/Launch.java
+++ b/src/main/java/topazladder/Launch.java
@@ -13,7 +13,7 @@
 import topazladder.net.ServiceInstance;
 import topazladder.net.WarmUp;
 import topazladder.wire.MalformedWireException;
-import topazladder.wire.WireHost;
+import topazladder.wire.SimulatorHost;
 
 /** Starts a service instance with its signal handlers, or the simulator's wire protocol. */
 public final class Launch {
@@ -95,7 +95,7 @@
      */
     public static void wirehost() throws IOException {
         try {
-            new WireHost(System.in, System.out).run();
+            new SimulatorHost(System.in, System.out).run();
         } catch (MalformedWireException | InvalidSettingsException e) {
             System.err.println("wirehost: " + e.getMessage());
             System.exit(1);
