--- a/src/main/java/topazladder/service/IncomingRequest.java
+++ b/src/main/java/topazladder/service/IncomingRequest.java
@@ -9,7 +9,7 @@
  * @param arrivedAtUnixSeconds when it came to the machine, in Unix seconds
  * @param retry whether the caller says that it sent the request before
  * @param memoryKilobytes memory it takes while in flight
- * @param rank importance within its class, from 0 to 1
+ * @param rank from 0 to under 1, what callers compare with the posted admission level
  * @param idempotencyKey the same for all attempts of one request, or null where the request class has none
  * @param body handed to the runtime as it is
  * @param remainingSeconds seconds that its caller still waits, or 0 where the caller does not say
