--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -294,7 +294,7 @@
 
     /** What a member did of late, and what it can read. */
     public void says(MemberIdentity from, int schema, LoadReport serving, boolean steady) {
-        permits.loadReported(clock.getAsDouble(), instance(from.name()), from.life(), schema, serving, steady);
+        permits.loadReported(clock.getAsDouble(), instance(from.name()), from.incarnation(), schema, serving, steady);
     }
 
     /** All that a conductor goes by. */
@@ -363,7 +363,7 @@
     /** A member that may go would go now: once it is written down it may. */
     public void going(MemberIdentity from, long token) {
         if (leaseManager.isLeader()) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), token, from.life(), ""), outcome -> {
+            propose(new DisruptionCommand.Leaves(instance(from.name()), token, from.incarnation(), ""), outcome -> {
                 if (outcome.done()) {
                     Disruption out = agreed.outs().get(instance(from.name()));
                     world.go(from.name(), token, out == null ? ""
@@ -376,9 +376,9 @@
     /** A member was told to leave by somebody else, and does so whatever is said here. */
     public void leaving(MemberIdentity from, String by) {
         Disruption out = agreed.outs().get(instance(from.name()));
-        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.life() == from.life();
+        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.life() == from.incarnation();
         if (leaseManager.isLeader() && !known) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.life(), by), outcome -> {});
+            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.incarnation(), by), outcome -> {});
         }
     }
 
@@ -486,7 +486,7 @@
         }
         // Behind them: what is withdrawn is not granted in the same moment.
         permits.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, permits::commandCompleted));
-        leaseManager.wakeUp(agreed.outs().all().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
+        leaseManager.setFastPolling(agreed.outs().all().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
                 .map(o -> o.subject().name()).collect(Collectors.toSet()));
         // Said again and again, until it has gone: the word may be lost, and so may the one back. Also to one that has
         // said that it goes and is still there: the leader that wrote it down may have ended before it told it so.
@@ -536,13 +536,13 @@
     private void carryOut(List<Step> steps) {
         for (Step step : steps) {
             if (step instanceof Step.Propose p) {
-                replicate(p.op()).whenComplete((outcome, e) -> {
+                replicate(p.command()).whenComplete((outcome, e) -> {
                     if (e != null) {
                         notDone(e);
-                        leaseManager.commandFailed(p.op());
+                        leaseManager.commandFailed(p.command());
                     }
                 });
-            } else if (step instanceof Step.Confirm c) {
+            } else if (step instanceof Step.ConfirmLeadership c) {
                 node.<Object>query(new Confirm(), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                         .whenComplete((o, e) -> {
                             if (e != null) {
@@ -552,9 +552,9 @@
                                     : leaseManager.leadershipUnconfirmed(c.round()));
                         });
             } else if (step instanceof Step.Reply r) {
-                world.reply(r.to(), r.answer());
-            } else if (step instanceof Step.Nudge n) {
-                world.nudge(n.to());
+                world.reply(r.member(), r.response());
+            } else if (step instanceof Step.WakeUp n) {
+                world.nudge(n.member());
             }
         }
     }
@@ -575,7 +575,7 @@
         long formed = store.founding().formed();
         if (formed > 0) {
             // Of the group before nobody knows how far it went; so far above it, it never came.
-            first.add(new LeaseCommand.RaiseTokens(formed << FORMED_BITS));
+            first.add(new LeaseCommand.RaiseTokenFloor(formed << FORMED_BITS));
         }
         for (LeaseCommand op : first) {
             replicate(op).whenComplete((o, e) -> {
@@ -735,7 +735,7 @@
             }
             Outcome outcome = (Outcome) done;
             double now = clock.getAsDouble();
-            if (op instanceof LeaseCommand.Lead lead) {
+            if (op instanceof LeaseCommand.BeginLeadership lead) {
                 if (lead.nonce() == ownNonce && lead.leader().equals(here.toString())) {
                     LOG.info("{} leads the group in term {}", here, node.getTerm().getTerm());
                     leaseManager.becomeLeader(now);
@@ -768,7 +768,7 @@
         @Override
         public Object getNewTermOperation() {
             ownNonce = chance.nextLong();
-            return new LeaseCommand.Lead(here.toString(), ownNonce);
+            return new LeaseCommand.BeginLeadership(here.toString(), ownNonce);
         }
     }
 }
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -510,7 +510,7 @@
         for (Node n : nodes) {
             if (n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
                 return n.voter.replica().ledger().get(duty) != null
-                        && n.voter.replica().ledger().get(duty).halted() != null;
+                        && n.voter.replica().ledger().get(duty).isSuspended();
             }
         }
         return false;
--- a/src/main/java/topazladder/emulator/hall/LeaseModel.java
+++ b/src/main/java/topazladder/emulator/hall/LeaseModel.java
@@ -102,12 +102,12 @@
         leaders[0].apply(0);
         leaders[0].leaseManager.becomeLeader(0);
         for (int m = 0; m < MEMBERS; m++) {
-            step(m, holders[m].setSteady(0, true));
+            step(m, holders[m].setEligible(0, true));
         }
     }
 
     private static double rate(int fast, int which) {
-        return (fast >> which & 1) == 1 ? 1 + LeaseSettings.CLOCKS : 1 - LeaseSettings.CLOCKS;
+        return (fast >> which & 1) == 1 ? 1 + LeaseSettings.MAX_CLOCK_DRIFT : 1 - LeaseSettings.MAX_CLOCK_DRIFT;
     }
 
     private double at(int member) {
@@ -161,7 +161,7 @@
                 crashes++;
                 lives[c]++;
                 holders[c] = Planted.holder(plant, new MemberIdentity("n" + c, lives[c]));
-                step(c, holders[c].setSteady(at(c), true));
+                step(c, holders[c].setEligible(at(c), true));
                 return;
             }
         }
@@ -195,11 +195,11 @@
             carryOut(l, c.led() ? l.leaseManager.leadershipConfirmed(led(c.leader()), c.round())
                     : l.leaseManager.leadershipUnconfirmed(c.round()));
         } else if (w instanceof Way.Answers a) {
-            if (holders[a.to()].here().equals(a.life())) {
+            if (holders[a.to()].identity().equals(a.life())) {
                 guides[a.to()] = a.from();
                 step(a.to(), holders[a.to()].handleResponse(at(a.to()), a.answer()));
             }
-        } else if (w instanceof Way.Stopped s && holders[s.member()].here().equals(s.life())) {
+        } else if (w instanceof Way.Stopped s && holders[s.member()].identity().equals(s.life())) {
             step(s.member(), holders[s.member()].taskStopped(at(s.member()), DUTY, s.token(), null));
         }
     }
@@ -208,28 +208,28 @@
         for (LeaseManager.Step s : all) {
             if (s instanceof LeaseManager.Step.Propose p) {
                 if (of(l) == current) {
-                    log.add(p.op());
+                    log.add(p.command());
                     l.apply(led(of(l)));
                 } else {
-                    l.leaseManager.commandFailed(p.op());
+                    l.leaseManager.commandFailed(p.command());
                 }
-            } else if (s instanceof LeaseManager.Step.Confirm c) {
+            } else if (s instanceof LeaseManager.Step.ConfirmLeadership c) {
                 way.add(new Way.Confirmed(of(l), c.round(), of(l) == current));
             } else if (s instanceof LeaseManager.Step.Reply r) {
-                int to = r.to().name().equals("n0") ? 0 : 1;
-                way.add(new Way.Answers(to, r.to(), r.answer(), of(l)));
+                int to = r.member().name().equals("n0") ? 0 : 1;
+                way.add(new Way.Answers(to, r.member(), r.response(), of(l)));
             }
-            // A nudge is worth a moment only: the ask comes by itself.
+            // A wake-up is worth a moment only: the ask comes by itself.
         }
     }
 
     private void step(int m, List<LeaseHolder.Step> all) {
         for (LeaseHolder.Step s : all) {
             if (s instanceof LeaseHolder.Step.Send send) {
-                guides[m] = send.another() ? 1 - guides[m] : guides[m];
-                way.add(new Way.Asks(guides[m], send.ask()));
+                guides[m] = send.otherVoter() ? 1 - guides[m] : guides[m];
+                way.add(new Way.Asks(guides[m], send.request()));
             } else if (s instanceof LeaseHolder.Step.Stop stop) {
-                way.add(new Way.Stopped(m, holders[m].here(), stop.token()));
+                way.add(new Way.Stopped(m, holders[m].identity(), stop.fencingToken()));
             }
         }
     }
@@ -238,7 +238,7 @@
     private void look() {
         int who = -1;
         for (int m = 0; m < MEMBERS; m++) {
-            OptionalLong token = holders[m].token(at(m), DUTY);
+            OptionalLong token = holders[m].fencingToken(at(m), DUTY);
             if (token.isPresent()) {
                 if (who >= 0) {
                     broken = "n0 and n1 may both go on, " + now + " s";
--- a/src/main/java/topazladder/emulator/hall/PlanModel.java
+++ b/src/main/java/topazladder/emulator/hall/PlanModel.java
@@ -102,7 +102,7 @@
             duties.apply(new LeaseCommand.Expire(DUTY, conductors.size()));
         }
         long token = duties.apply(new LeaseCommand.Grant(DUTY, new MemberIdentity("n" + conductors.size() % MEMBERS, 1),
-                conductors.size())).token();
+                conductors.size())).fencingToken();
         conductors.add(Planted.conductor(plant, "n9", new ReleaseOp.By(DUTY, token, 0)));
         show(conductors.size() - 1);
     }
--- a/src/main/java/topazladder/emulator/hall/Planted.java
+++ b/src/main/java/topazladder/emulator/hall/Planted.java
@@ -42,18 +42,18 @@
     static LeaseHolder holder(Plant plant, MemberIdentity here) {
         return new LeaseHolder(here) {
             private double lastSent;
-            private long lastNumber;
+            private long lastSequence;
 
             @Override
-            protected double from(double asked, double now) {
+            protected double leaseStart(double requestedAt, double now) {
                 return plant == Plant.COUNTS_FROM_THE_ANSWER ? now
-                        : plant == Plant.TAKES_ANY_ANSWER ? Math.max(asked, lastSent) : asked;
+                        : plant == Plant.TAKES_ANY_ANSWER ? Math.max(requestedAt, lastSent) : requestedAt;
             }
 
             @Override
-            public List<Step> handleResponse(double now, LeaseResponse a) {
-                return super.handleResponse(now, plant == Plant.TAKES_ANY_ANSWER && a.number() < lastNumber
-                        ? new LeaseResponse(lastNumber, a.leases(), a.askAgainIn()) : a);
+            public List<Step> handleResponse(double now, LeaseResponse response) {
+                return super.handleResponse(now, plant == Plant.TAKES_ANY_ANSWER && response.sequence() < lastSequence
+                        ? new LeaseResponse(lastSequence, response.grants(), response.pollAfterSeconds()) : response);
             }
 
             @Override
@@ -62,7 +62,7 @@
                 for (Step s : steps) {
                     if (s instanceof Step.Send send) {
                         lastSent = now;
-                        lastNumber = send.ask().number();
+                        lastSequence = send.request().sequence();
                     }
                 }
                 return steps;
@@ -70,34 +70,35 @@
         };
     }
 
-    static LeaseManager leaseManager(Plant plant, LeaseStateMachine ledger) {
-        return new LeaseManager(ledger) {
+    static LeaseManager leaseManager(Plant plant, LeaseStateMachine stateMachine) {
+        return new LeaseManager(stateMachine) {
             @Override
-            protected double firstUntil(double now, LeaseSettings terms) {
-                return plant == Plant.NEW_LEADER_DOES_NOT_WAIT ? now : super.firstUntil(now, terms);
+            protected double inheritedExpiry(double now, LeaseSettings settings) {
+                return plant == Plant.NEW_LEADER_DOES_NOT_WAIT ? now : super.inheritedExpiry(now, settings);
             }
 
             @Override
-            protected double surelyOver(LeaseSettings terms) {
-                return plant == Plant.CLOCKS_IGNORED ? terms.lease() : super.surelyOver(terms);
+            protected double safeExpirySeconds(LeaseSettings settings) {
+                return plant == Plant.CLOCKS_IGNORED ? settings.durationSeconds() : super.safeExpirySeconds(settings);
             }
 
             @Override
-            protected boolean over(double now, LeaseState s) {
-                return super.over(now + (plant == Plant.EXPIRES_EARLY ? EARLY * s.terms().lease() : 0), s);
+            protected boolean isExpired(double now, LeaseState lease) {
+                double early = plant == Plant.EXPIRES_EARLY ? EARLY * lease.settings().durationSeconds() : 0;
+                return super.isExpired(now + early, lease);
             }
 
             @Override
-            protected boolean renewable(LeaseCommand underWay) {
-                return plant == Plant.RENEWS_WHAT_ENDS || super.renewable(underWay);
+            protected boolean isRenewable(LeaseCommand inFlight) {
+                return plant == Plant.RENEWS_WHAT_ENDS || super.isRenewable(inFlight);
             }
 
             @Override
-            public List<Step> handleRequest(double now, LeaseRequest ask) {
-                List<Step> steps = new ArrayList<>(super.handleRequest(now, ask));
+            public List<Step> handleRequest(double now, LeaseRequest request) {
+                List<Step> steps = new ArrayList<>(super.handleRequest(now, request));
                 if (plant == Plant.RELEASES_ANY_TOKEN && isLeader()) {
-                    ask.stopped()
-                            .forEach(s -> steps.add(new Step.Propose(new LeaseCommand.Release(s.duty(), s.token()))));
+                    request.stopped().forEach(stopped -> steps.add(new Step.Propose(
+                            new LeaseCommand.Release(stopped.leaseName(), stopped.fencingToken()))));
                 }
                 return plant == Plant.ANSWERS_ALONE ? alone(now, steps) : steps;
             }
@@ -106,12 +107,12 @@
             public List<Step> tick(double now) {
                 List<Step> steps = new ArrayList<>(super.tick(now));
                 if (plant == Plant.GRANTS_WHILE_HELD && isLeader()) {
-                    for (LeaseState s : ledger.all()) {
+                    for (LeaseState s : stateMachine.leases()) {
                         // As one that takes a single missed ask for the end of the holder.
-                        knownMembers().keySet().stream()
-                                .filter(m -> s.held() && !knownMembers().containsKey(s.holder()))
+                        knownMembers().stream()
+                                .filter(m -> s.isHeld() && !knownMembers().contains(s.holder()))
                                 .findFirst().ifPresent(m -> steps.add(new Step.Propose(
-                                        new LeaseCommand.Grant(s.terms().name(), m, s.token()))));
+                                        new LeaseCommand.Grant(s.settings().name(), m, s.fencingToken()))));
                     }
                 }
                 return steps;
@@ -120,7 +121,7 @@
             private List<Step> alone(double now, List<Step> steps) {
                 List<Step> all = new ArrayList<>();
                 for (Step s : steps) {
-                    if (s instanceof Step.Confirm c) {
+                    if (s instanceof Step.ConfirmLeadership c) {
                         all.addAll(alone(now, leadershipConfirmed(now, c.round())));
                     } else {
                         all.add(s);
@@ -134,17 +135,18 @@
     static LeaseStateMachine ledger(Plant plant) {
         return new LeaseStateMachine() {
             @Override
-            protected String refused(LeaseState s, LeaseCommand op) {
-                if (plant == Plant.GRANTS_WHILE_HELD && op instanceof LeaseCommand.Grant
-                        || plant == Plant.RELEASES_ANY_TOKEN && op instanceof LeaseCommand.Release) {
+            protected String rejection(LeaseState state, LeaseCommand.OnLease command) {
+                if (plant == Plant.GRANTS_WHILE_HELD && command instanceof LeaseCommand.Grant
+                        || plant == Plant.RELEASES_ANY_TOKEN && command instanceof LeaseCommand.Release) {
                     return null;
                 }
-                return super.refused(s, op);
+                return super.rejection(state, command);
             }
 
             @Override
-            protected long next(LeaseState s) {
-                return plant == Plant.SAME_TOKEN && s.token() > 0 ? s.token() : super.next(s);
+            protected long nextToken(LeaseState state) {
+                return plant == Plant.SAME_TOKEN && state.fencingToken() > 0 ? state.fencingToken()
+                        : super.nextToken(state);
             }
         };
     }
@@ -191,8 +193,8 @@
             public Outcome apply(ReleaseOp op) {
                 LeaseState duty = op.by().conducts() ? duties.get(op.by().duty()) : null;
                 Outcome outcome = super.apply(op);
-                if (outcome.done() && op.by().conducts() && (duty == null || !duty.held()
-                        || duty.token() != op.by().token())) {
+                if (outcome.done() && op.by().conducts() && (duty == null || !duty.isHeld()
+                        || duty.fencingToken() != op.by().token())) {
                     broken.accept("a step under " + op.by().token() + " counts, which is no conductor's: " + op);
                 }
                 return outcome;
--- a/src/main/java/topazladder/hall/MemberNode.java
+++ b/src/main/java/topazladder/hall/MemberNode.java
@@ -95,7 +95,7 @@
         this.clock = clock;
         this.world = world;
         membership = new Membership(terms.membership(), new Standing(terms.name(), terms.address(), terms.hall(),
-                holder.here().life(), 0, Standing.State.ALIVE, false, ""), chance);
+                holder.identity().incarnation(), 0, Standing.State.ALIVE, false, ""), chance);
         guide = new Guide(terms.voters(), chance.nextInt(Integer.MAX_VALUE));
     }
 
@@ -105,7 +105,7 @@
     }
 
     public MemberIdentity here() {
-        return holder.here();
+        return holder.identity();
     }
 
     public Membership membership() {
@@ -127,7 +127,7 @@
 
     /** The token under which an effect may be made now; to be asked before each one. */
     public OptionalLong token(String duty) {
-        return holder.token(clock.getAsDouble(), duty);
+        return holder.fencingToken(clock.getAsDouble(), duty);
     }
 
     /** The duty has come to its end; {@code failed} says why it could not be done, or is null. */
@@ -217,7 +217,7 @@
         double now = clock.getAsDouble();
         boolean steady = wellSaid && now - wellSince >= STEADY_AFTER && membership.health() < MOST_UNWELL;
         membership.steady(steady);
-        duties(holder.setSteady(now, steady && terms.mayHold() && !terms.voters().isEmpty()));
+        duties(holder.setEligible(now, steady && terms.mayHold() && !terms.voters().isEmpty()));
     }
 
     /** One timer at a time: the earliest of what is due. */
@@ -227,7 +227,8 @@
         }
         double now = clock.getAsDouble();
         double in =
-                Math.min(membership.next(now), terms.voters().isEmpty() ? Double.MAX_VALUE : holder.nextDeadline(now));
+                Math.min(membership.next(now),
+                        terms.voters().isEmpty() ? Double.MAX_VALUE : holder.secondsUntilTick(now));
         long mine = ++wake;
         timers.in(Math.min(in, STEADY_AFTER), () -> {
             if (mine == wake && !over) {
@@ -258,11 +259,11 @@
         }
         for (LeaseHolder.Step step : steps) {
             if (step instanceof LeaseHolder.Step.Send s) {
-                if (s.another()) {
+                if (s.otherVoter()) {
                     guide.another();
                 }
                 String whom = guide.whom();
-                Saying ask = new Saying.Asking(s.ask(), terms.address(), terms.schema(), serving,
+                Saying ask = new Saying.Asking(s.request(), terms.address(), terms.schema(), serving,
                         below == null ? List.of() : below.reports(clock.getAsDouble()));
                 if (addressOf(whom) == null && !terms.seeds().isEmpty()) {
                     // Its first words to the voters were lost, and a large hall tells of them late: whoever is found by
@@ -272,11 +273,11 @@
                     world.say(whom, addressOf(whom), ask);
                 }
             } else if (step instanceof LeaseHolder.Step.Start s) {
-                LOG.info("{} takes {} under token {}", here(), s.duty(), s.token());
-                world.start(s.duty(), s.token());
+                LOG.info("{} takes {} under token {}", here(), s.leaseName(), s.fencingToken());
+                world.start(s.leaseName(), s.fencingToken());
             } else if (step instanceof LeaseHolder.Step.Stop s) {
-                LOG.info("{} stops {} under token {}: {}", here(), s.duty(), s.token(), s.why());
-                world.stop(s.duty(), s.token(), s.by());
+                LOG.info("{} stops {} under token {}: {}", here(), s.leaseName(), s.fencingToken(), s.reason());
+                world.stop(s.leaseName(), s.fencingToken(), s.withinSeconds());
             }
         }
     }
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -76,7 +76,7 @@
         if (2 * unread.size() >= replica.voting().size()) {
             return "the voters " + unread + " can't read releases; start them in a version that can";
         }
-        if (replica.ledger().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
+        if (replica.ledger().leases().stream().noneMatch(d -> d.settings().name().equals(CONDUCTING_LEASE))) {
             return "no duty named release conducts here";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
@@ -97,7 +97,8 @@
     }
 
     private String conductor() {
-        return replica.ledger().all().stream().filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
+        return replica.ledger().leases().stream()
+                .filter(d -> d.isHeld() && d.settings().name().equals(CONDUCTING_LEASE))
                 .map(d -> d.holder().name()).findFirst().orElse("");
     }
 }
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -213,8 +213,8 @@
             replica.handle(c.message());
         } else if (what instanceof Saying.Asking a) {
             if (replica.leading()) {
-                replica.says(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
-                verdicts.says(clock.getAsDouble(), a.ask().from().name(), a.below());
+                replica.says(a.ask().member(), a.schema(), a.serving(), a.ask().eligible());
+                verdicts.says(clock.getAsDouble(), a.ask().member().name(), a.below());
                 replica.ask(a.ask());
             } else {
                 elsewhere(from);
--- /dev/null
+++ b/src/main/java/topazladder/lease/KnownMembers.java
@@ -0,0 +1,81 @@
+package topazladder.lease;
+
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+
+/**
+ * The members that a leader has heard of lately, one incarnation for each name. Nothing of it is replicated: a new
+ * leader begins with none.
+ */
+final class KnownMembers {
+    private final Map<String, KnownMember> byName = new TreeMap<>(); // bounded by forgetSilent
+
+    void clear() {
+        byName.clear();
+    }
+
+    int size() {
+        return byName.size();
+    }
+
+    /** Whether a later incarnation of the member was heard: its process should have ended. */
+    boolean isOutdated(MemberIdentity identity) {
+        KnownMember known = byName.get(identity.name());
+        return known != null && known.identity().incarnation() > identity.incarnation();
+    }
+
+    /**
+     * Notes what a member says of itself.
+     *
+     * @return whether this incarnation was not known before
+     */
+    boolean heard(double now, LeaseRequest request) {
+        MemberIdentity identity = request.member();
+        KnownMember known = byName.get(identity.name());
+        boolean isNew = known == null || !known.identity().equals(identity);
+        if (isNew) {
+            known = new KnownMember(identity);
+            byName.put(identity.name(), known);
+        }
+        known.heard(now, request.eligible());
+        return isNew;
+    }
+
+    void forgetSilent(double now, double longerThanSeconds) {
+        byName.values().removeIf(known -> known.silentSeconds(now) > longerThanSeconds);
+    }
+
+    /** The incarnation that was heard of under that name, or null. */
+    KnownMember get(String memberName) {
+        return byName.get(memberName);
+    }
+
+    /** Whether a member of that name was heard of and may be granted leases. */
+    boolean isEligible(String memberName) {
+        KnownMember known = byName.get(memberName);
+        return known != null && known.isEligible();
+    }
+
+    boolean isAnyEligibleBesides(MemberIdentity identity) {
+        return eligible().anyMatch(member -> !member.equals(identity));
+    }
+
+    /** All that may be granted leases, in their natural order. */
+    List<MemberIdentity> eligibleMembers() {
+        return eligible().sorted().toList();
+    }
+
+    Set<MemberIdentity> identities() {
+        Set<MemberIdentity> identities = new TreeSet<>();
+        byName.values().forEach(known -> identities.add(known.identity()));
+        return identities;
+    }
+
+    private Stream<MemberIdentity> eligible() {
+        return byName.values().stream().filter(KnownMember::isEligible).map(KnownMember::identity);
+    }
+}
--- a/src/main/java/topazladder/lease/LeaseCommand.java
+++ b/src/main/java/topazladder/lease/LeaseCommand.java
@@ -3,55 +3,77 @@
 import java.util.List;
 
 /**
- * What the group agrees on, one after another. Each names the token that its proposer saw, so that one that comes
- * twice, or late, changes nothing. None carries a time: clocks differ, and a time in the log would be believed by all.
+ * A command of the replicated log about leases. A command names the fencing token that its proposer saw, so that one
+ * that is applied twice, or late, changes nothing. None carries a time: the voters' clocks differ.
  */
 public sealed interface LeaseCommand {
 
-    /** The duties there are; those that are not listed and held by nobody are taken out. */
-    record Define(List<LeaseSettings> duties) implements LeaseCommand {
+    /** A command about one lease. */
+    sealed interface OnLease extends LeaseCommand {
+        /** The lease that the command is about. */
+        String leaseName();
     }
 
-    /** To a member, while nobody holds it and {@code seen} is the last token granted. */
-    record Grant(String duty, MemberIdentity to, long seen) implements LeaseCommand {
+    /** A command about one lease as it was granted under one fencing token. */
+    sealed interface OnGrant extends OnLease {
+        /** The token under which the lease was granted. */
+        long fencingToken();
+    }
+
+    /** Sets which leases exist; a lease that is not listed is removed once nobody holds it. */
+    record Define(List<LeaseSettings> leases) implements LeaseCommand {
+    }
+
+    /**
+     * Grants a lease that nobody holds.
+     *
+     * @param holder who holds it from now on
+     * @param previousToken the last token granted, as the proposer saw it
+     */
+    record Grant(String leaseName, MemberIdentity holder, long previousToken) implements OnLease {
     }
 
     /** The holder has stopped. */
-    record Release(String duty, long token) implements LeaseCommand {
+    record Release(String leaseName, long fencingToken) implements OnGrant {
     }
 
-    /** The holder's time is surely over, whether it stopped or not. */
-    record Expire(String duty, long token) implements LeaseCommand {
+    /** The holder's time has surely run out, whether it stopped or not. */
+    record Expire(String leaseName, long fencingToken) implements OnGrant {
     }
 
-    /** The holder has held long enough that it was not brought down by the duty. */
-    record Settled(String duty, long token) implements LeaseCommand {
+    /** The holder has held for so long that the work does not bring its holders down: earlier losses are forgotten. */
+    record HolderSettled(String leaseName, long fencingToken) implements OnGrant {
     }
 
-    /** The process that held under the token has ended: another life of its name was heard. */
-    record Crashed(String duty, long token) implements LeaseCommand {
+    /** The process that lost the lease under this token has ended: a later incarnation of the member was heard. */
+    record HolderCrashed(String leaseName, long fencingToken) implements OnGrant {
     }
 
-    /** The holder could not do it, and says why. */
-    record Failed(String duty, long token, String why) implements LeaseCommand {
+    /** The holder could not do the work. */
+    record HolderFailed(String leaseName, long fencingToken, String reason) implements OnGrant {
     }
 
-    /** Nobody is granted it until it is resumed. */
-    record Halt(String duty, String why) implements LeaseCommand {
+    /** The lease is granted to nobody until it is resumed. */
+    record Suspend(String leaseName, String reason) implements OnLease {
     }
 
-    record Resume(String duty) implements LeaseCommand {
+    /** Ends a suspension, and forgets the losses that led to it. */
+    record Resume(String leaseName) implements OnLease {
     }
 
-    /** An operator's wish that this member hold it; an empty name is no wish. */
-    record HandOver(String duty, String member) implements LeaseCommand {
+    /**
+     * An operator's wish about who should hold the lease.
+     *
+     * @param memberName who should hold it; empty withdraws an earlier wish
+     */
+    record Transfer(String leaseName, String memberName) implements OnLease {
     }
 
-    /** Begins a leader's time; it decides nothing before this is applied. */
-    record Lead(String leader, long nonce) implements LeaseCommand {
+    /** The first command of a leader's term; the leader decides nothing before it is applied. */
+    record BeginLeadership(String leader, long nonce) implements LeaseCommand {
     }
 
-    /** Tokens go on above this; after a group was formed anew from what is left of it. */
-    record RaiseTokens(long to) implements LeaseCommand {
+    /** Grants go on above this token; for a group that was formed anew from what is left of an earlier one. */
+    record RaiseTokenFloor(long tokenFloor) implements LeaseCommand {
     }
 }
--- a/src/main/java/topazladder/lease/LeaseHolder.java
+++ b/src/main/java/topazladder/lease/LeaseHolder.java
@@ -1,286 +1,252 @@
 package topazladder.lease;
 
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.OptionalDouble;
 import java.util.OptionalLong;
 import java.util.TreeMap;
-import topazladder.lease.LeaseRequest.Held;
-import topazladder.lease.LeaseRequest.Stopped;
-import topazladder.lease.LeaseResponse.Lease;
+import topazladder.lease.LeaseResponse.Grant;
 
 /**
- * A member's side of duties: asks the group, counts its leases from before each ask, starts and stops what it holds. It
- * goes by one clock that never runs backwards and that counts while the process is stalled; whoever has an effect to
- * make asks {@link #token} just before it and hands the token to whatever is touched.
+ * A member's side of the leases: polls the leader, counts its leases down, and starts and stops the work.
+ *
+ * <p>Invariants:
+ *
+ * <ul>
+ * <li>A lease counts from before its request was sent, and never longer than {@code durationSeconds} from there.
+ * Nothing that arrives late makes it longer.
+ * <li>The work is told to stop when less than 15% of the lease is left, and is allowed no effect past its end, whether
+ * it has reported that it stopped or not. The leader grants the lease again only after that, as it counts with slack
+ * for clocks that run apart.
+ * <li>The work under a token is started once, and never before the work under the last token has stopped.
+ * </ul>
+ *
+ * <p>It goes by one clock that never runs backwards and goes on while the process is stalled; times are seconds of that
+ * clock. Whoever has an effect to make asks {@link #fencingToken} just before it, and hands the token to whatever the
+ * effect is on. All calls come on one thread.
  */
 public class LeaseHolder {
-    /** Parts of a lease after which it is renewed. */
-    private static final double RENEW_AFTER = 0.25;
-    /** Parts of a lease after which an ask without an answer is asked again, of another voter. */
-    private static final double PATIENCE = 0.125;
-    /** Part of a lease before its end at which the duty is told to stop, so that it has come to an end by then. */
-    private static final double STOP_BEFORE = 0.15;
-    /** Asks whose time is remembered; answers to older ones are of no use. */
-    private static final int MOST_OUT = 16;
-    private static final double FIRST_IDLE = 1;
-
-    /** What is to be done outside. */
+    private static final double MIN_TICK_SECONDS = 0.001;
+
+    /** What the caller has to do. */
     public sealed interface Step {
 
-        record Send(LeaseRequest ask, boolean another) implements Step {
+        /**
+         * Send a request to the leader.
+         *
+         * @param otherVoter to another voter than the last request, which got no response
+         */
+        record Send(LeaseRequest request, boolean otherVoter) implements Step {
         }
 
-        record Start(String duty, long token) implements Step {
+        /** Start the work under that token. */
+        record Start(String leaseName, long fencingToken) implements Step {
         }
 
-        /** Stop, and say so by {@link LeaseHolder#stopped}; after so many seconds its effects are no longer allowed. */
-        record Stop(String duty, long token, double by, String why) implements Step {
+        /**
+         * Stop the work, and report it by {@link LeaseHolder#taskStopped}.
+         *
+         * @param withinSeconds after which no effect is allowed any more
+         */
+        record Stop(String leaseName, long fencingToken, double withinSeconds, String reason) implements Step {
         }
     }
 
-    public enum Phase { HOLDING, STOPPING, STOPPED }
-
-    private static final class Post {
-        private final long token;
-        private final double lease;
-        private double until;
-        private Phase phase = Phase.HOLDING;
-        private String failed;
+    private final MemberIdentity identity;
+    private final HeldLeases leases = new HeldLeases();
+    private final PollSchedule polls = new PollSchedule();
+    private boolean eligible;
+    private boolean shuttingDown;
 
-        Post(long token, double lease, double until) {
-            this.token = token;
-            this.lease = lease;
-            this.until = until;
-        }
+    /** @param identity of this process */
+    public LeaseHolder(MemberIdentity identity) {
+        this.identity = identity;
     }
 
-    private final MemberIdentity here;
-    private final Map<String, Post> posts = new TreeMap<>(); // no more than the group grants
-    private final Map<String, Long> ended = new HashMap<>(); // by duty, the last token that is over here
-    private final Map<String, Double> stoppedAt = new HashMap<>(); // by duty, when its end was first to be said
-    private final LinkedHashMap<Long, Double> out = new LinkedHashMap<>();
-    private long number;
-    private boolean steady;
-    private boolean leaving;
-    private double lastAsk = Double.NEGATIVE_INFINITY;
-    private double lastAnswer = Double.NEGATIVE_INFINITY;
-    private double idle = FIRST_IDLE;
-    private boolean soon = true;
-
-    public LeaseHolder(MemberIdentity here) {
-        this.here = here;
+    /** The process that this is a part of. */
+    public MemberIdentity identity() {
+        return identity;
     }
 
-    /** Whether this may be granted anything from now on; what it holds it keeps until the group takes it over. */
-    public List<Step> setSteady(double now, boolean is) {
-        if (steady != is) {
-            steady = is;
-            soon = true;
+    // ---- the process
+
+    /** Whether this may be granted anything from now on; it keeps what it holds until the leader asks for it. */
+    public List<Step> setEligible(double now, boolean isEligible) {
+        if (eligible != isEligible) {
+            eligible = isEligible;
+            polls.pollAtOnce();
         }
         return tick(now);
     }
 
-    /** The process will end: all is stopped in order, and nothing is taken any more. */
+    /** The process will end: all work is stopped in order, and nothing is taken any more. */
     public List<Step> shutDown(double now) {
-        leaving = true;
+        shuttingDown = true;
         List<Step> steps = new ArrayList<>();
-        posts.forEach((duty, p) -> stop(now, duty, p, "the instance leaves", steps));
-        soon = true;
+        leases.forEach((leaseName, lease) -> stop(now, leaseName, lease, "the instance leaves", steps));
+        polls.pollAtOnce();
         steps.addAll(tick(now));
         return steps;
     }
 
-    /** Whether nothing is left that the group should be told before the process ends. */
+    /** Whether nothing is left to stop, or to report, before the process ends. */
     public boolean isIdle() {
-        return posts.isEmpty();
+        return leases.isEmpty();
     }
 
+    // ---- the work
+
     /** The token under which an effect may be made now; empty where none may. To be asked before each effect. */
-    public OptionalLong token(double now, String duty) {
-        Post p = posts.get(duty);
-        return p != null && p.phase != Phase.STOPPED && now < p.until ? OptionalLong.of(p.token) : OptionalLong.empty();
+    public OptionalLong fencingToken(double now, String leaseName) {
+        HeldLease lease = leases.get(leaseName);
+        return lease != null && lease.allowsEffects(now) ? OptionalLong.of(lease.fencingToken())
+                : OptionalLong.empty();
+    }
+
+    /**
+     * The work has ended: no effect under that token is made any more.
+     *
+     * @param failure why it could not be done; null where it was stopped in order
+     */
+    public List<Step> taskStopped(double now, String leaseName, long fencingToken, String failure) {
+        HeldLease lease = leases.get(leaseName);
+        if (lease != null && lease.fencingToken() == fencingToken && !lease.isStopped()) {
+            markStopped(now, leaseName, lease, failure);
+        }
+        return tick(now);
     }
 
-    /** Seconds for which the duty may go on as things stand; 0 where it may not. */
-    public double remainingSeconds(double now, String duty) {
-        Post p = posts.get(duty);
-        return p == null || p.phase == Phase.STOPPED ? 0 : Math.max(0, p.until - now);
+    private void stop(double now, String leaseName, HeldLease lease, String reason, List<Step> steps) {
+        if (lease.isHolding()) {
+            lease.stopping();
+            steps.add(new Step.Stop(leaseName, lease.fencingToken(), lease.remainingSeconds(now), reason));
+        }
     }
 
-    /** The answer to one ask; late ones count from their own ask, unknown ones not at all. */
-    public List<Step> handleResponse(double now, LeaseResponse a) {
+    private void markStopped(double now, String leaseName, HeldLease lease, String failure) {
+        leases.markStopped(now, leaseName, lease, failure);
+        polls.pollAtOnce();
+    }
+
+    // ---- responses
+
+    /** A response arrived, maybe late or twice; one to a request that is not known gives nothing. */
+    public List<Step> handleResponse(double now, LeaseResponse response) {
         List<Step> steps = new ArrayList<>();
-        Double asked = out.remove(a.number());
-        if (asked == null) {
+        OptionalDouble requestedAt = polls.answered(response);
+        if (requestedAt.isEmpty()) {
             return steps;
         }
-        lastAnswer = Math.max(lastAnswer, asked);
-        idle = a.askAgainIn();
-        for (Lease l : a.leases()) {
-            lease(now, from(asked, now), l, steps);
+        double countsFrom = leaseStart(requestedAt.getAsDouble(), now);
+        for (Grant grant : response.grants()) {
+            handleGrant(now, countsFrom + grant.durationSeconds(), grant, steps);
         }
-        // If the group says nothing of a stopped one, it knows.
-        posts.entrySet().removeIf(e -> {
-            boolean known = a.leases().stream().anyMatch(l -> l.duty().equals(e.getKey())
-                    && l.token() == e.getValue().token);
-            return !known && e.getValue().phase == Phase.STOPPED && asked >= stoppedAt.getOrDefault(e.getKey(), now);
-        });
+        leases.forgetRecorded(response, requestedAt.getAsDouble());
         steps.addAll(tick(now));
         return steps;
     }
 
-    /** From when a lease counts. From the answer, it would go on longer here than the group believes. */
-    protected double from(double asked, double now) {
-        return asked;
+    /** From when a lease counts. From the response, it would go on longer here than the leader believes. */
+    protected double leaseStart(double requestedAt, double now) {
+        return requestedAt;
     }
 
-    private void lease(double now, double from, Lease l, List<Step> steps) {
-        Post p = posts.get(l.duty());
-        double until = from + l.lease();
-        if (p != null && p.token == l.token()) {
-            if (p.phase == Phase.HOLDING) {
-                p.until = Math.max(p.until, until);
-                if (l.stop()) {
-                    stop(now, l.duty(), p, "the group wants it elsewhere", steps);
-                }
-            }
-            return;
-        }
-        if (p != null && p.token > l.token()) {
-            return; // an answer that was overtaken
-        }
-        if (l.token() <= ended.getOrDefault(l.duty(), 0L)) {
-            // The group was not told, or the leader that was is none any more: said again, or it would renew it for
-            // ever.
-            over(now, l.duty(), posts.computeIfAbsent(l.duty(), d -> new Post(l.token(), l.lease(), until)), null);
-            return;
+    private void handleGrant(double now, double expiresAt, Grant grant, List<Step> steps) {
+        HeldLease lease = leases.get(grant.leaseName());
+        if (lease != null && lease.fencingToken() == grant.fencingToken()) {
+            handleRenewal(now, expiresAt, lease, grant, steps);
+        } else if (lease != null && lease.fencingToken() > grant.fencingToken()) {
+            return; // the response was overtaken by a later one
+        } else if (leases.hasEnded(grant.leaseName(), grant.fencingToken())) {
+            reportEndAgain(now, expiresAt, grant);
+        } else if (lease != null && !lease.isStopped()) {
+            // Granted anew before the work under the last token has stopped: it would run beside itself.
+            stop(now, grant.leaseName(), lease, "it was granted anew", steps);
+        } else {
+            begin(now, expiresAt, grant, steps);
         }
-        if (p != null && p.phase != Phase.STOPPED) {
-            // Granted anew before the old one has come to its end here: it would run beside itself.
-            stop(now, l.duty(), p, "it was granted anew", steps);
+    }
+
+    private void handleRenewal(double now, double expiresAt, HeldLease lease, Grant grant, List<Step> steps) {
+        if (!lease.isHolding()) {
             return;
         }
-        Post fresh = new Post(l.token(), l.lease(), until);
-        posts.put(l.duty(), fresh);
-        if (now >= until || leaving || l.stop()) {
-            over(now, l.duty(), fresh, null);
-        } else {
-            steps.add(new Step.Start(l.duty(), l.token()));
+        lease.renew(expiresAt);
+        if (grant.stopRequested()) {
+            stop(now, grant.leaseName(), lease, "the group wants it elsewhere", steps);
         }
     }
 
-    /** The duty has come to its end: no effect under that token is made any more. */
-    public List<Step> taskStopped(double now, String duty, long token, String failed) {
-        Post p = posts.get(duty);
-        if (p != null && p.token == token && p.phase != Phase.STOPPED) {
-            over(now, duty, p, failed);
+    /** The leader that was told of the end is none any more: without another report it would be renewed for ever. */
+    private void reportEndAgain(double now, double expiresAt, Grant grant) {
+        HeldLease lease = leases.get(grant.leaseName());
+        if (lease == null) {
+            lease = new HeldLease(grant.fencingToken(), grant.durationSeconds(), expiresAt);
+            leases.put(grant.leaseName(), lease);
         }
-        return tick(now);
+        markStopped(now, grant.leaseName(), lease, null);
     }
 
-    private void over(double now, String duty, Post p, String failed) {
-        p.phase = Phase.STOPPED;
-        p.failed = failed;
-        ended.merge(duty, p.token, Math::max);
-        stoppedAt.put(duty, now);
-        soon = true;
+    private void begin(double now, double expiresAt, Grant grant, List<Step> steps) {
+        HeldLease lease = new HeldLease(grant.fencingToken(), grant.durationSeconds(), expiresAt);
+        leases.put(grant.leaseName(), lease);
+        if (now >= expiresAt || shuttingDown || grant.stopRequested()) {
+            markStopped(now, grant.leaseName(), lease, null);
+        } else {
+            steps.add(new Step.Start(grant.leaseName(), grant.fencingToken()));
+        }
     }
 
-    private void stop(double now, String duty, Post p, String why, List<Step> steps) {
-        if (p.phase == Phase.HOLDING) {
-            p.phase = Phase.STOPPING;
-            steps.add(new Step.Stop(duty, p.token, Math.max(0, p.until - now), why));
-        }
+    // ---- time
+
+    /** Something was granted here: polls at once. */
+    public List<Step> wakeUp(double now) {
+        polls.pollAtOnce();
+        return tick(now);
     }
 
-    /** What time brings. To be called at least as often as {@link #next} says. */
+    /** Stops what runs out and polls where a poll is due. To be called when {@link #secondsUntilTick} says. */
     public List<Step> tick(double now) {
         List<Step> steps = new ArrayList<>();
-        posts.forEach((duty, p) -> {
-            if (p.phase == Phase.HOLDING && p.until - now < STOP_BEFORE * p.lease) {
-                stop(now, duty, p, "its lease was not renewed", steps);
+        leases.forEach((leaseName, lease) -> {
+            if (lease.mustStop(now)) {
+                stop(now, leaseName, lease, "its lease was not renewed", steps);
             }
-            if (p.phase == Phase.STOPPING && now >= p.until) {
-                // Past its time nothing is allowed any more, whether the duty has said so or not.
-                over(now, duty, p, null);
+            if (lease.isOverdue(now)) {
+                markStopped(now, leaseName, lease, null);
             }
         });
-        boolean unanswered = lastAnswer < lastAsk;
-        boolean urgent = !posts.isEmpty() || soon;
-        if (soon && lastAsk < now || now - lastAsk >= (unanswered ? patience(urgent) : interval())) {
-            send(now, unanswered && !soon, steps);
+        if (polls.isDue(now, leases)) {
+            poll(now, steps);
         }
         return steps;
     }
 
-    /** Something was granted here: ask at once. */
-    public List<Step> wakeUp(double now) {
-        soon = true;
-        return tick(now);
-    }
-
-    private double shortest() {
-        return posts.values().stream().mapToDouble(p -> p.lease).min().orElse(Double.MAX_VALUE);
-    }
-
-    private double interval() {
-        return Math.min(idle, shortest() * RENEW_AFTER);
-    }
-
-    private double patience(boolean urgent) {
-        return Math.min(urgent ? Math.min(idle, FIRST_IDLE) : idle, shortest() * PATIENCE);
+    private void poll(double now, List<Step> steps) {
+        boolean otherVoter = polls.shouldTryOtherVoter();
+        long sequence = polls.sent(now);
+        LeaseRequest request = leases.request(identity, sequence, eligible && !shuttingDown);
+        steps.add(new Step.Send(request, otherVoter));
     }
 
     /** Seconds until {@link #tick} is due. */
-    public double nextDeadline(double now) {
-        double due = lastAsk + (lastAnswer < lastAsk ? patience(!posts.isEmpty() || soon) : interval());
-        for (Post p : posts.values()) {
-            if (p.phase == Phase.HOLDING) {
-                due = Math.min(due, p.until - STOP_BEFORE * p.lease);
-            } else if (p.phase == Phase.STOPPING) {
-                due = Math.min(due, p.until);
-            }
-        }
-        return Math.max(0.001, due - now);
+    public double secondsUntilTick(double now) {
+        double dueAt = Math.min(polls.nextPollAt(leases), leases.nextChangeAt());
+        return Math.max(MIN_TICK_SECONDS, dueAt - now);
     }
 
-    private void send(double now, boolean another, List<Step> steps) {
-        soon = false;
-        lastAsk = now;
-        number++;
-        out.put(number, now);
-        if (out.size() > MOST_OUT) {
-            out.remove(out.keySet().iterator().next());
-        }
-        List<Held> held = new ArrayList<>();
-        List<Stopped> over = new ArrayList<>();
-        posts.forEach((duty, p) -> {
-            if (p.phase == Phase.STOPPED) {
-                over.add(new Stopped(duty, p.token, p.failed));
-            } else {
-                held.add(new Held(duty, p.token));
-            }
-        });
-        steps.add(new Step.Send(new LeaseRequest(here, number, steady && !leaving, held, over), another));
-    }
-
-    public MemberIdentity here() {
-        return here;
-    }
+    // ---- for operators
 
-    /** In words: how many asks were sent, and how many of the latest wait for their answers. */
-    public String asks() {
-        return number + " asks, " + out.size() + " open";
+    /** How many polls were sent, and how many of the latest wait for their responses. */
+    public String describeRequests() {
+        return polls.describe();
     }
 
-    /** For operators: each duty with its token, seconds left and phase. */
-    public Map<String, String> told(double now) {
-        Map<String, String> all = new TreeMap<>();
-        posts.forEach((duty, p) -> all.put(duty, p.phase + " token=" + p.token + " left="
-                + Math.round(Math.max(0, p.until - now) * 1000) / 1e3));
-        return all;
+    /** By lease: its phase, token and seconds left. */
+    public Map<String, String> describeLeases(double now) {
+        Map<String, String> described = new TreeMap<>();
+        leases.forEach((leaseName, lease) -> described.put(leaseName, lease.describe(now)));
+        return described;
     }
 }
--- a/src/main/java/topazladder/lease/LeaseRequest.java
+++ b/src/main/java/topazladder/lease/LeaseRequest.java
@@ -3,19 +3,26 @@
 import java.util.List;
 
 /**
- * What a member says to the group's leader: what it holds, what it has stopped, whether it would take more.
+ * A member's poll of the leader: what it holds, what it has stopped, and whether it would take more.
  *
- * @param number grows with each ask of one life; the answer bears it
- * @param steady whether it may be granted anything
- * @param held what it does now
- * @param stopped what it was granted and does not do any more; said again until the group knows it
+ * @param member who asks
+ * @param sequence grows with each request of one incarnation; the response repeats it
+ * @param eligible whether the member may be granted anything
+ * @param held leases whose work the member does now
+ * @param stopped leases that it was granted and no longer works under; repeated until the group has recorded it
  */
-public record LeaseRequest(MemberIdentity from, long number, boolean steady, List<Held> held, List<Stopped> stopped) {
+public record LeaseRequest(MemberIdentity member, long sequence, boolean eligible, List<Held> held,
+        List<Stopped> stopped) {
 
-    public record Held(String duty, long token) {
+    /** A lease that the member works under. */
+    public record Held(String leaseName, long fencingToken) {
     }
 
-    /** @param failed why it could not be done; null where it was stopped as it should be */
-    public record Stopped(String duty, long token, String failed) {
+    /**
+     * A lease that the member no longer works under.
+     *
+     * @param failure why the work could not be done; null where it was stopped in order
+     */
+    public record Stopped(String leaseName, long fencingToken, String failure) {
     }
 }
--- a/src/main/java/topazladder/lease/LeaseResponse.java
+++ b/src/main/java/topazladder/lease/LeaseResponse.java
@@ -3,18 +3,20 @@
 import java.util.List;
 
 /**
- * What the leader says to one ask, after a majority has confirmed that it still leads.
+ * The leader's answer to one {@link LeaseRequest}, given once a majority has confirmed that it still leads.
  *
- * @param number of the ask
- * @param leases all that the member holds by the group
- * @param askAgainIn seconds within which a member without a duty should ask anew
+ * @param sequence of the request
+ * @param grants all leases that the member holds by the replicated state
+ * @param pollAfterSeconds within which a member that holds nothing should poll again
  */
-public record LeaseResponse(long number, List<Lease> leases, double askAgainIn) {
+public record LeaseResponse(long sequence, List<Grant> grants, double pollAfterSeconds) {
 
     /**
-     * @param lease seconds from before the ask was sent
-     * @param stop whether the member is to stop it and say so
+     * A lease that is granted or renewed.
+     *
+     * @param durationSeconds counted from before the request was sent, by the member's clock
+     * @param stopRequested whether the member is to stop the work and report it
      */
-    public record Lease(String duty, long token, double lease, boolean stop) {
+    public record Grant(String leaseName, long fencingToken, double durationSeconds, boolean stopRequested) {
     }
 }
--- a/src/main/java/topazladder/lease/LeaseSettings.java
+++ b/src/main/java/topazladder/lease/LeaseSettings.java
@@ -1,21 +1,26 @@
 package topazladder.lease;
 
 /**
- * What holds for a duty by its settings.
+ * What an installation sets for one lease.
  *
- * @param lease seconds that a holder may go on without word from the group, by its own clock
- * @param mostLosses holders that it may bring down one after another before it is halted
+ * @param name of the lease, unique in the cluster
+ * @param durationSeconds for which a holder may go on without a response from the leader, by the holder's clock
+ * @param maxConsecutiveLosses holders that may end or fail one after another before the lease is suspended
  */
-public record LeaseSettings(String name, double lease, int mostLosses) {
+public record LeaseSettings(String name, double durationSeconds, int maxConsecutiveLosses) {
 
-    /** How far a clock may run fast or slow; what goes beyond is not covered by any promise here. */
-    public static final double CLOCKS = 0.05;
+    /** Part by which a clock may run fast or slow; no promise covers a clock that drifts further. */
+    public static final double MAX_CLOCK_DRIFT = 0.05;
 
     /**
-     * Seconds by the leader's clock after which a lease of so many seconds by a holder's clock is surely over, though
-     * the leader's runs fast and the holder's slow as far as they may.
+     * When a lease has run out at its holder, whatever the two clocks do within the allowed drift:
+     * {@code durationSeconds * (1 + drift) / (1 - drift)}, for a leader's clock that runs fast and a holder's that runs
+     * slow.
+     *
+     * @param durationSeconds by the holder's clock
+     * @return seconds by the leader's clock
      */
-    public static double surelyOver(double lease) {
-        return lease * (1 + CLOCKS) / (1 - CLOCKS);
+    public static double safeExpirySeconds(double durationSeconds) {
+        return durationSeconds * (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT);
     }
 }
--- a/src/main/java/topazladder/lease/LeaseStateMachine.java
+++ b/src/main/java/topazladder/lease/LeaseStateMachine.java
@@ -8,170 +8,194 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
+import topazladder.lease.LeaseCommand.BeginLeadership;
+import topazladder.lease.LeaseCommand.Define;
+import topazladder.lease.LeaseCommand.Expire;
+import topazladder.lease.LeaseCommand.Grant;
+import topazladder.lease.LeaseCommand.HolderCrashed;
+import topazladder.lease.LeaseCommand.HolderFailed;
+import topazladder.lease.LeaseCommand.HolderSettled;
+import topazladder.lease.LeaseCommand.OnGrant;
+import topazladder.lease.LeaseCommand.OnLease;
+import topazladder.lease.LeaseCommand.RaiseTokenFloor;
+import topazladder.lease.LeaseCommand.Release;
+import topazladder.lease.LeaseCommand.Resume;
+import topazladder.lease.LeaseCommand.Suspend;
+import topazladder.lease.LeaseCommand.Transfer;
 import topazladder.lease.LeaseState.Loss;
 
 /**
- * The duties as the group has agreed: the same operations in the same order give the same ledger at every voter.
- * Invariants: a duty's token never falls; a token is granted once; while a duty is held it is granted to nobody else.
+ * The replicated state of the leases: the same commands in the same order give the same state at every voter.
+ *
+ * <p>Invariants: the fencing token of a lease never falls; a token is granted once; a lease that is held is granted to
+ * nobody else. A command that does not fit the state (a token that is no longer current, a lease that is held) is
+ * rejected and changes nothing.
  */
 public class LeaseStateMachine {
-    private final Map<String, LeaseState> duties = new TreeMap<>();
-    private long floor;
+    private final Map<String, LeaseState> leases = new TreeMap<>();
+    private long tokenFloor;
 
     /**
-     * What became of an operation.
+     * What became of a command.
      *
-     * @param token that now holds for the duty
-     * @param why it changed nothing, or null where it did
+     * @param fencingToken the last one granted for the lease, or the floor for commands about no single lease
+     * @param rejection why the command changed nothing, or null where it was applied
      */
-    public record Outcome(long token, String why) {
+    public record Outcome(long fencingToken, String rejection) {
 
-        public boolean done() {
-            return why == null;
+        static Outcome applied(long fencingToken) {
+            return new Outcome(fencingToken, null);
+        }
+
+        /** Whether the command took effect. */
+        public boolean isApplied() {
+            return rejection == null;
         }
     }
 
-    public Outcome apply(LeaseCommand op) {
-        if (op instanceof LeaseCommand.Define d) {
-            return define(d.duties());
-        } else if (op instanceof LeaseCommand.RaiseTokens r) {
-            if (r.to() <= floor) {
-                return new Outcome(floor, "tokens are above that");
-            }
-            floor = r.to();
-            duties.replaceAll((name, s) -> LeaseState.fresh(s.terms(), Math.max(s.token(), floor)));
-            return new Outcome(floor, null);
-        } else if (op instanceof LeaseCommand.Lead) {
-            return new Outcome(floor, null);
+    /** All of the state, to restore another replica from. */
+    public record Snapshot(long tokenFloor, List<LeaseState> leases) {
+    }
+
+    /** Applies one command of the log. */
+    public Outcome apply(LeaseCommand command) {
+        if (command instanceof OnLease onLease) {
+            return applyToLease(onLease);
+        } else if (command instanceof Define define) {
+            return define(define.leases());
+        } else if (command instanceof RaiseTokenFloor raise) {
+            return raiseTokenFloor(raise.tokenFloor());
+        } else if (command instanceof BeginLeadership) {
+            return Outcome.applied(tokenFloor);
         }
-        String name = duty(op);
-        LeaseState s = duties.get(name);
-        if (s == null) {
-            return new Outcome(0, "there is no duty " + name);
+        throw new IllegalArgumentException("no command about leases: " + command);
+    }
+
+    private Outcome define(Collection<LeaseSettings> defined) {
+        Set<String> definedNames = new TreeSet<>();
+        for (LeaseSettings settings : defined) {
+            definedNames.add(settings.name());
+            LeaseState state = leases.get(settings.name());
+            leases.put(settings.name(),
+                    state == null ? LeaseState.neverGranted(settings, tokenFloor) : state.withSettings(settings));
         }
-        String why = refused(s, op);
-        if (why != null) {
-            return new Outcome(s.token(), why);
+        for (LeaseState state : List.copyOf(leases.values())) {
+            if (!definedNames.contains(state.settings().name()) && !state.isHeld()) {
+                remove(state);
+            }
+        }
+        return Outcome.applied(tokenFloor);
+    }
+
+    /** Should the lease be defined again, its tokens must go on above all that were ever granted. */
+    private void remove(LeaseState state) {
+        tokenFloor = Math.max(tokenFloor, state.fencingToken());
+        leases.remove(state.settings().name());
+    }
+
+    private Outcome raiseTokenFloor(long newFloor) {
+        if (newFloor <= tokenFloor) {
+            return new Outcome(tokenFloor, "tokens are above that");
         }
-        LeaseState next = changed(s, op);
-        duties.put(name, next);
-        return new Outcome(next.token(), null);
+        tokenFloor = newFloor;
+        leases.replaceAll((name, state) -> LeaseState.neverGranted(state.settings(),
+                Math.max(state.fencingToken(), tokenFloor)));
+        return Outcome.applied(tokenFloor);
     }
 
-    private Outcome define(Collection<LeaseSettings> terms) {
-        Set<String> named = new TreeSet<>();
-        for (LeaseSettings t : terms) {
-            named.add(t.name());
-            LeaseState s = duties.get(t.name());
-            duties.put(t.name(), s == null ? LeaseState.fresh(t, floor) : s.with(t));
+    private Outcome applyToLease(OnLease command) {
+        LeaseState state = leases.get(command.leaseName());
+        if (state == null) {
+            return new Outcome(0, "there is no duty " + command.leaseName());
         }
-        // Its token goes with it: should it come back, it must go on above all that were ever granted.
-        for (LeaseState s : List.copyOf(duties.values())) {
-            if (!named.contains(s.terms().name()) && !s.held()) {
-                floor = Math.max(floor, s.token());
-                duties.remove(s.terms().name());
-            }
+        String rejection = rejection(state, command);
+        if (rejection != null) {
+            return new Outcome(state.fencingToken(), rejection);
         }
-        return new Outcome(floor, null);
+        LeaseState next = changed(state, command);
+        leases.put(command.leaseName(), next);
+        return Outcome.applied(next.fencingToken());
     }
 
-    /** Why an operation changes nothing here, or null. */
-    protected String refused(LeaseState s, LeaseCommand op) {
-        if (op instanceof LeaseCommand.Grant g) {
-            if (s.held()) {
-                return "it is held by " + s.holder();
-            } else if (s.halted() != null) {
-                return "it is halted: " + s.halted();
-            }
-            return s.token() == g.seen() ? null : "it was granted since";
-        } else if (op instanceof LeaseCommand.Release r) {
-            return current(s, r.token());
-        } else if (op instanceof LeaseCommand.Expire e) {
-            return current(s, e.token());
-        } else if (op instanceof LeaseCommand.Settled t) {
-            return current(s, t.token());
-        } else if (op instanceof LeaseCommand.Failed f) {
-            return current(s, f.token());
-        } else if (op instanceof LeaseCommand.Crashed c) {
-            return s.losses().stream().anyMatch(l -> l.token() == c.token() && !l.ended()) ? null : "no such loss";
+    /** Why a command does not fit the state, or null where it does. */
+    protected String rejection(LeaseState state, OnLease command) {
+        if (command instanceof Grant grant) {
+            return rejection(state, grant);
+        } else if (command instanceof HolderCrashed crashed) {
+            Loss loss = state.lossUnder(crashed.fencingToken());
+            return loss != null && !loss.processEnded() ? null : "no such loss";
+        } else if (command instanceof OnGrant onGrant) {
+            return state.isHeld() && state.fencingToken() == onGrant.fencingToken() ? null
+                    : "the token is not the one that holds";
         }
         return null;
     }
 
-    private static String current(LeaseState s, long token) {
-        return s.held() && s.token() == token ? null : "the token is not the one that holds";
-    }
-
-    private LeaseState changed(LeaseState s, LeaseCommand op) {
-        if (op instanceof LeaseCommand.Grant g) {
-            return s.granted(g.to(), next(s));
-        } else if (op instanceof LeaseCommand.Release) {
-            return s.free();
-        } else if (op instanceof LeaseCommand.Expire e) {
-            return s.free().lost(new Loss(e.token(), s.holder(), false));
-        } else if (op instanceof LeaseCommand.Failed f) {
-            return s.free().lost(new Loss(f.token(), s.holder(), true));
-        } else if (op instanceof LeaseCommand.Crashed c) {
-            Loss lost = s.losses().stream().filter(l -> l.token() == c.token()).findFirst().orElseThrow();
-            return s.lost(new Loss(c.token(), lost.holder(), true));
-        } else if (op instanceof LeaseCommand.Settled) {
-            return s.settled();
-        } else if (op instanceof LeaseCommand.Halt h) {
-            return s.halted(h.why());
-        } else if (op instanceof LeaseCommand.Resume) {
-            return s.resumed();
-        } else if (op instanceof LeaseCommand.HandOver h) {
-            return s.wanted(h.member());
+    private static String rejection(LeaseState state, Grant grant) {
+        if (state.isHeld()) {
+            return "it is held by " + state.holder();
+        } else if (state.isSuspended()) {
+            return "it is halted: " + state.suspendedReason();
         }
-        throw new IllegalArgumentException("no operation on a duty: " + op);
-    }
-
-    protected long next(LeaseState s) {
-        return Math.max(s.token(), floor) + 1;
-    }
-
-    private static String duty(LeaseCommand op) {
-        if (op instanceof LeaseCommand.Grant g) {
-            return g.duty();
-        } else if (op instanceof LeaseCommand.Release r) {
-            return r.duty();
-        } else if (op instanceof LeaseCommand.Expire e) {
-            return e.duty();
-        } else if (op instanceof LeaseCommand.Settled s) {
-            return s.duty();
-        } else if (op instanceof LeaseCommand.Crashed c) {
-            return c.duty();
-        } else if (op instanceof LeaseCommand.Failed f) {
-            return f.duty();
-        } else if (op instanceof LeaseCommand.Halt h) {
-            return h.duty();
-        } else if (op instanceof LeaseCommand.Resume r) {
-            return r.duty();
-        } else if (op instanceof LeaseCommand.HandOver h) {
-            return h.duty();
+        return state.fencingToken() == grant.previousToken() ? null : "it was granted since";
+    }
+
+    private LeaseState changed(LeaseState state, OnLease command) {
+        if (command instanceof OnGrant onGrant) {
+            return changed(state, onGrant);
+        } else if (command instanceof Grant grant) {
+            return state.grantedTo(grant.holder(), nextToken(state));
+        } else if (command instanceof Suspend suspend) {
+            return state.suspended(suspend.reason());
+        } else if (command instanceof Resume) {
+            return state.resumed();
+        } else if (command instanceof Transfer transfer) {
+            return state.transferTo(transfer.memberName());
+        }
+        throw new IllegalArgumentException("no command about one lease: " + command);
+    }
+
+    private static LeaseState changed(LeaseState state, OnGrant command) {
+        if (command instanceof Release) {
+            return state.released();
+        } else if (command instanceof Expire expire) {
+            return state.released().lost(new Loss(expire.fencingToken(), state.holder(), false));
+        } else if (command instanceof HolderFailed failed) {
+            return state.released().lost(new Loss(failed.fencingToken(), state.holder(), true));
+        } else if (command instanceof HolderCrashed crashed) {
+            MemberIdentity holder = state.lossUnder(crashed.fencingToken()).holder();
+            return state.lost(new Loss(crashed.fencingToken(), holder, true));
+        } else if (command instanceof HolderSettled) {
+            return state.settled();
         }
-        throw new IllegalArgumentException("no operation on a duty: " + op);
+        throw new IllegalArgumentException("no command about a granted lease: " + command);
     }
 
-    public LeaseState get(String duty) {
-        return duties.get(duty);
+    /** The token of the next grant: above all that were granted, and above the floor. */
+    protected long nextToken(LeaseState state) {
+        return Math.max(state.fencingToken(), tokenFloor) + 1;
     }
 
-    public Collection<LeaseState> all() {
-        return Collections.unmodifiableCollection(duties.values());
+    /** The lease of that name, or null where none is defined. */
+    public LeaseState get(String leaseName) {
+        return leases.get(leaseName);
     }
 
-    /** All of it, to begin another ledger with. */
-    public record Copy(long floor, List<LeaseState> duties) {
+    /** All leases, by name. */
+    public Collection<LeaseState> leases() {
+        return Collections.unmodifiableCollection(leases.values());
     }
 
-    public Copy copy() {
-        return new Copy(floor, List.copyOf(duties.values()));
+    /** All of the state. */
+    public Snapshot snapshot() {
+        return new Snapshot(tokenFloor, List.copyOf(leases.values()));
     }
 
-    public void replace(Copy other) {
-        floor = other.floor();
-        duties.clear();
-        duties.putAll(other.duties().stream().collect(Collectors.toMap(s -> s.terms().name(), s -> s)));
+    /** Replaces all of the state. */
+    public void restore(Snapshot snapshot) {
+        tokenFloor = snapshot.tokenFloor();
+        leases.clear();
+        leases.putAll(snapshot.leases().stream()
+                .collect(Collectors.toMap(state -> state.settings().name(), state -> state)));
     }
 }
--- a/src/main/java/topazladder/lease/LeasedTask.java
+++ b/src/main/java/topazladder/lease/LeasedTask.java
@@ -1,27 +1,31 @@
 package topazladder.lease;
 
 import java.util.OptionalLong;
+import java.util.function.Consumer;
 import java.util.function.Supplier;
 
 /**
- * What a duty does while its holder holds it. All calls come on the one thread that owns the holder's state; one that
- * needs to wait does so elsewhere, and looks at its leave again behind each wait.
+ * Work that a member does while it holds a lease. All calls come on the one thread that owns the holder's state; a task
+ * that needs to wait does so elsewhere, and looks at its permission again after each wait.
  */
 public interface LeasedTask {
 
     /**
-     * Begin under this token, never before the last one is stopped.
+     * Begins the work under a new token, never before the work under the last one is stopped.
      *
-     * @param leave to be asked just before each effect: the token while it may be made, which goes along with the
-     * effect; empty     once it may not
-     * @param failed to be told where it can't go on, with the reason; nothing is done under the token after that
+     * @param fencingToken under which the lease was granted
+     * @param permission to be asked just before each effect: the token to hand along with the effect while it may be
+     * made, empty once it may not
+     * @param onFailure to be called with the reason where the work can't go on; nothing is done under the token after
+     * that
      */
-    void start(long token, Supplier<OptionalLong> leave, java.util.function.Consumer<String> failed);
+    void start(long fencingToken, Supplier<OptionalLong> permission, Consumer<String> onFailure);
 
     /**
-     * Come to an end: after {@code done} nothing is done under the token.
+     * Ends the work.
      *
-     * @param within seconds; past them nothing is allowed any more, whether it has come to an end or not
+     * @param withinSeconds after which no effect is allowed any more, whether the work has ended or not
+     * @param onStopped to be called once nothing is done under the token any more
      */
-    void stop(double within, Runnable done);
+    void stop(double withinSeconds, Runnable onStopped);
 }
--- a/src/main/java/topazladder/net/codec/GroupMessages.java
+++ b/src/main/java/topazladder/net/codec/GroupMessages.java
@@ -62,7 +62,7 @@
     // ---- names
 
     static MemberId member(MemberIdentity m) {
-        return MemberId.newBuilder().setName(m.name()).setLife(m.life()).build();
+        return MemberId.newBuilder().setName(m.name()).setLife(m.incarnation()).build();
     }
 
     static MemberIdentity member(MemberId m) throws MalformedMessageException {
@@ -106,30 +106,31 @@
         OpMessage.Builder b = OpMessage.newBuilder();
         if (operation instanceof LeaseCommand.Define d) {
             DefineOp.Builder define = DefineOp.newBuilder();
-            d.duties().forEach(t -> define.addDuties(terms(t)));
+            d.leases().forEach(t -> define.addDuties(terms(t)));
             b.setDefine(define);
         } else if (operation instanceof LeaseCommand.Grant g) {
-            b.setGrant(DutyOp.newBuilder().setDuty(g.duty()).setTo(member(g.to())).setToken(g.seen()));
+            b.setGrant(
+                    DutyOp.newBuilder().setDuty(g.leaseName()).setTo(member(g.holder())).setToken(g.previousToken()));
         } else if (operation instanceof LeaseCommand.Release r) {
-            b.setRelease(duty(r.duty(), r.token()));
+            b.setRelease(duty(r.leaseName(), r.fencingToken()));
         } else if (operation instanceof LeaseCommand.Expire e) {
-            b.setExpire(duty(e.duty(), e.token()));
-        } else if (operation instanceof LeaseCommand.Settled s) {
-            b.setSettled(duty(s.duty(), s.token()));
-        } else if (operation instanceof LeaseCommand.Crashed c) {
-            b.setCrashed(duty(c.duty(), c.token()));
-        } else if (operation instanceof LeaseCommand.Failed f) {
-            b.setFailed(duty(f.duty(), f.token()).setText(f.why()));
-        } else if (operation instanceof LeaseCommand.Halt h) {
-            b.setHalt(duty(h.duty(), 0).setText(h.why()));
+            b.setExpire(duty(e.leaseName(), e.fencingToken()));
+        } else if (operation instanceof LeaseCommand.HolderSettled s) {
+            b.setSettled(duty(s.leaseName(), s.fencingToken()));
+        } else if (operation instanceof LeaseCommand.HolderCrashed c) {
+            b.setCrashed(duty(c.leaseName(), c.fencingToken()));
+        } else if (operation instanceof LeaseCommand.HolderFailed f) {
+            b.setFailed(duty(f.leaseName(), f.fencingToken()).setText(f.reason()));
+        } else if (operation instanceof LeaseCommand.Suspend h) {
+            b.setHalt(duty(h.leaseName(), 0).setText(h.reason()));
         } else if (operation instanceof LeaseCommand.Resume r) {
-            b.setResume(duty(r.duty(), 0));
-        } else if (operation instanceof LeaseCommand.HandOver h) {
-            b.setHandOver(duty(h.duty(), 0).setText(h.member()));
-        } else if (operation instanceof LeaseCommand.Lead l) {
+            b.setResume(duty(r.leaseName(), 0));
+        } else if (operation instanceof LeaseCommand.Transfer h) {
+            b.setHandOver(duty(h.leaseName(), 0).setText(h.memberName()));
+        } else if (operation instanceof LeaseCommand.BeginLeadership l) {
             b.setLead(LeadOp.newBuilder().setLeader(l.leader()).setNonce(l.nonce()));
-        } else if (operation instanceof LeaseCommand.RaiseTokens r) {
-            b.setRaiseTokens(r.to());
+        } else if (operation instanceof LeaseCommand.RaiseTokenFloor r) {
+            b.setRaiseTokens(r.tokenFloor());
         } else if (operation instanceof DisruptionCommand o) {
             b.setOut(OutMessages.op(o));
         } else if (operation instanceof ReleaseOp r) {
@@ -161,15 +162,15 @@
                     m.getGrant().getToken());
             case RELEASE -> new LeaseCommand.Release(m.getRelease().getDuty(), m.getRelease().getToken());
             case EXPIRE -> new LeaseCommand.Expire(m.getExpire().getDuty(), m.getExpire().getToken());
-            case SETTLED -> new LeaseCommand.Settled(m.getSettled().getDuty(), m.getSettled().getToken());
-            case CRASHED -> new LeaseCommand.Crashed(m.getCrashed().getDuty(), m.getCrashed().getToken());
-            case FAILED -> new LeaseCommand.Failed(m.getFailed().getDuty(), m.getFailed().getToken(),
+            case SETTLED -> new LeaseCommand.HolderSettled(m.getSettled().getDuty(), m.getSettled().getToken());
+            case CRASHED -> new LeaseCommand.HolderCrashed(m.getCrashed().getDuty(), m.getCrashed().getToken());
+            case FAILED -> new LeaseCommand.HolderFailed(m.getFailed().getDuty(), m.getFailed().getToken(),
                     m.getFailed().getText());
-            case HALT -> new LeaseCommand.Halt(m.getHalt().getDuty(), m.getHalt().getText());
+            case HALT -> new LeaseCommand.Suspend(m.getHalt().getDuty(), m.getHalt().getText());
             case RESUME -> new LeaseCommand.Resume(m.getResume().getDuty());
-            case HAND_OVER -> new LeaseCommand.HandOver(m.getHandOver().getDuty(), m.getHandOver().getText());
-            case LEAD -> new LeaseCommand.Lead(m.getLead().getLeader(), m.getLead().getNonce());
-            case RAISE_TOKENS -> new LeaseCommand.RaiseTokens(m.getRaiseTokens());
+            case HAND_OVER -> new LeaseCommand.Transfer(m.getHandOver().getDuty(), m.getHandOver().getText());
+            case LEAD -> new LeaseCommand.BeginLeadership(m.getLead().getLeader(), m.getLead().getNonce());
+            case RAISE_TOKENS -> new LeaseCommand.RaiseTokenFloor(m.getRaiseTokens());
             case MEMBERS -> MODEL.createUpdateRaftGroupMembersOpBuilder()
                     .setMembers(endpoints(m.getMembers().getMembersList()))
                     .setVotingMembers(endpoints(m.getMembers().getVotingList()))
@@ -190,8 +191,8 @@
     }
 
     private static DutyTermsMessage terms(LeaseSettings t) {
-        return DutyTermsMessage.newBuilder().setName(t.name()).setLease(t.lease()).setMostLosses(t.mostLosses())
-                .build();
+        return DutyTermsMessage.newBuilder().setName(t.name()).setLease(t.durationSeconds())
+                .setMostLosses(t.maxConsecutiveLosses()).build();
     }
 
     private static LeaseSettings terms(DutyTermsMessage t) throws MalformedMessageException {
@@ -203,25 +204,26 @@
 
     // ---- snapshots
 
-    private static LedgerCopy copy(LeaseStateMachine.Copy c) {
-        LedgerCopy.Builder b = LedgerCopy.newBuilder().setFloor(c.floor());
-        for (LeaseState s : c.duties()) {
-            DutyStateMessage.Builder d = DutyStateMessage.newBuilder().setTerms(terms(s.terms())).setToken(s.token())
-                    .setWanted(s.wanted()).setPlaced(s.placed()).setIsHalted(s.halted() != null);
-            if (s.halted() != null) {
-                d.setHalted(s.halted());
+    private static LedgerCopy copy(LeaseStateMachine.Snapshot c) {
+        LedgerCopy.Builder b = LedgerCopy.newBuilder().setFloor(c.tokenFloor());
+        for (LeaseState s : c.leases()) {
+            DutyStateMessage.Builder d = DutyStateMessage.newBuilder().setTerms(terms(s.settings()))
+                    .setToken(s.fencingToken())
+                    .setWanted(s.preferredMember()).setPlaced(s.placedByOperator()).setIsHalted(s.isSuspended());
+            if (s.isSuspended()) {
+                d.setHalted(s.suspendedReason());
             }
             if (s.holder() != null) {
                 d.setHolder(member(s.holder()));
             }
-            s.losses().forEach(l -> d.addLosses(LossMessage.newBuilder().setToken(l.token())
-                    .setHolder(member(l.holder())).setEnded(l.ended())));
+            s.losses().forEach(l -> d.addLosses(LossMessage.newBuilder().setToken(l.fencingToken())
+                    .setHolder(member(l.holder())).setEnded(l.processEnded())));
             b.addDuties(d);
         }
         return b.build();
     }
 
-    private static LeaseStateMachine.Copy copy(LedgerCopy c) throws MalformedMessageException {
+    private static LeaseStateMachine.Snapshot copy(LedgerCopy c) throws MalformedMessageException {
         List<LeaseState> all = new ArrayList<>();
         for (DutyStateMessage s : c.getDutiesList()) {
             List<LeaseState.Loss> losses = new ArrayList<>();
@@ -231,7 +233,7 @@
             all.add(new LeaseState(terms(s.getTerms()), s.getToken(), s.hasHolder() ? member(s.getHolder()) : null,
                     s.getIsHalted() ? s.getHalted() : null, s.getWanted(), s.getPlaced(), List.copyOf(losses)));
         }
-        return new LeaseStateMachine.Copy(c.getFloor(), List.copyOf(all));
+        return new LeaseStateMachine.Snapshot(c.getFloor(), List.copyOf(all));
     }
 
     public static MembersView view(RaftGroupMembersView v) {
--- a/src/main/java/topazladder/net/codec/HallMessages.java
+++ b/src/main/java/topazladder/net/codec/HallMessages.java
@@ -56,10 +56,10 @@
             b.setAsk(ask(a.ask()).setAddress(a.address()).setServing(ReleaseMessages.serving(a.serving()))
                     .addAllBelow(a.below().stream().map(BelowMessages::report).toList()));
         } else if (what instanceof Saying.Answering a) {
-            AnswerMessage.Builder answer = AnswerMessage.newBuilder().setNumber(a.answer().number())
-                    .setAskAgainIn(a.answer().askAgainIn());
-            a.answer().leases().forEach(l -> answer.addLeases(LeaseMessage.newBuilder().setDuty(l.duty())
-                    .setToken(l.token()).setLease(l.lease()).setStop(l.stop())));
+            AnswerMessage.Builder answer = AnswerMessage.newBuilder().setNumber(a.answer().sequence())
+                    .setAskAgainIn(a.answer().pollAfterSeconds());
+            a.answer().grants().forEach(g -> answer.addLeases(LeaseMessage.newBuilder().setDuty(g.leaseName())
+                    .setToken(g.fencingToken()).setLease(g.durationSeconds()).setStop(g.stopRequested())));
             b.setAnswer(answer);
         } else if (what instanceof Saying.LeaderIs l) {
             b.setLeaderIs(l.name()).setLeaderAt(l.address());
@@ -183,12 +183,12 @@
     // ---- duties
 
     private static AskMessage.Builder ask(LeaseRequest a) {
-        AskMessage.Builder b = AskMessage.newBuilder().setFrom(GroupMessages.member(a.from())).setNumber(a.number())
-                .setSteady(a.steady());
-        a.held().forEach(h -> b.addHeld(HeldMessage.newBuilder().setDuty(h.duty()).setToken(h.token())));
+        AskMessage.Builder b = AskMessage.newBuilder().setFrom(GroupMessages.member(a.member()))
+                .setNumber(a.sequence()).setSteady(a.eligible());
+        a.held().forEach(h -> b.addHeld(HeldMessage.newBuilder().setDuty(h.leaseName()).setToken(h.fencingToken())));
         a.stopped().forEach(s -> {
-            HeldMessage.Builder held = HeldMessage.newBuilder().setDuty(s.duty()).setToken(s.token());
-            b.addStopped(s.failed() == null ? held : held.setFailed(s.failed().isEmpty() ? "failed" : s.failed()));
+            HeldMessage.Builder held = HeldMessage.newBuilder().setDuty(s.leaseName()).setToken(s.fencingToken());
+            b.addStopped(s.failure() == null ? held : held.setFailed(s.failure().isEmpty() ? "failed" : s.failure()));
         });
         return b;
     }
@@ -208,15 +208,15 @@
         if (m.getLeasesCount() > MOST_DUTIES || !(m.getAskAgainIn() > 0)) {
             throw new MalformedMessageException("an answer about " + m.getLeasesCount() + " duties");
         }
-        List<LeaseResponse.Lease> leases = new ArrayList<>();
+        List<LeaseResponse.Grant> grants = new ArrayList<>();
         for (LeaseMessage l : m.getLeasesList()) {
             if (!(l.getLease() > 0)) {
                 throw new MalformedMessageException("a lease of " + l.getLease() + " s");
             }
-            leases.add(
-                    new LeaseResponse.Lease(GroupMessages.name(l.getDuty()), l.getToken(), l.getLease(), l.getStop()));
+            grants.add(
+                    new LeaseResponse.Grant(GroupMessages.name(l.getDuty()), l.getToken(), l.getLease(), l.getStop()));
         }
-        return new LeaseResponse(m.getNumber(), List.copyOf(leases), m.getAskAgainIn());
+        return new LeaseResponse(m.getNumber(), List.copyOf(grants), m.getAskAgainIn());
     }
 
     // ---- membership
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -262,7 +262,7 @@
     /** In words, for whoever looks into one that is not answered. */
     public String told() {
         return name + " at " + hall.address() + ": leader " + member.leader() + ", there " + member.there().size()
-                + ", " + member.holder().asks() + ", links " + links;
+                + ", " + member.holder().describeRequests() + ", links " + links;
     }
 
     // ---- Part
@@ -507,13 +507,13 @@
             return;
         }
         LeaseCommand op = switch (c.kind()) {
-            case HAND_OVER -> new LeaseCommand.HandOver(c.duty(), c.text());
-            case HALT -> new LeaseCommand.Halt(c.duty(), c.text().isEmpty() ? "by an operator" : c.text());
+            case HAND_OVER -> new LeaseCommand.Transfer(c.duty(), c.text());
+            case HALT -> new LeaseCommand.Suspend(c.duty(), c.text().isEmpty() ? "by an operator" : c.text());
             case RESUME -> new LeaseCommand.Resume(c.duty());
             default -> throw new IllegalStateException("no command to the leader: " + c.kind());
         };
-        replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
-                outcome.done() ? "done" : outcome.why())));
+        replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
+                outcome.isApplied() ? "done" : outcome.rejection())));
     }
 
     private static JsonObject outs(ConsensusReplica replica) {
@@ -536,10 +536,11 @@
 
     private static JsonObject duties(ConsensusReplica replica) {
         JsonArray all = new JsonArray();
-        for (LeaseState s : replica.ledger().all()) {
-            all.add(new JsonObject().put("name", s.terms().name()).put("token", s.token())
+        for (LeaseState s : replica.ledger().leases()) {
+            all.add(new JsonObject().put("name", s.settings().name()).put("token", s.fencingToken())
                     .put("holder", s.holder() == null ? null : s.holder().name())
-                    .put("lease", s.terms().lease()).put("halted", s.halted()).put("wanted", s.wanted())
+                    .put("lease", s.settings().durationSeconds()).put("halted", s.suspendedReason())
+                    .put("wanted", s.preferredMember())
                     .put("losses", s.losses().size()));
         }
         return new JsonObject().put("leader", replica.here().name()).put("term", replica.term()).put("duties", all);
@@ -577,7 +578,7 @@
         members.add(new JsonObject().put("name", name).put("state", self.state().name()).put("steady", self.steady())
                 .put("address", self.address()).put("hall", self.hall()));
         JsonObject holds = new JsonObject();
-        member.holder().told(clock.getAsDouble()).forEach(holds::put);
+        member.holder().describeLeases(clock.getAsDouble()).forEach(holds::put);
         JsonObject json = new JsonObject().put("member", name).put("phase", phase.get().name())
                 .put("unwell", member.membership().health()).put("members", members).put("holds", holds)
                 .put("traffic", traffic.totals().json());
--- a/src/main/java/topazladder/release/ReleaseLedger.java
+++ b/src/main/java/topazladder/release/ReleaseLedger.java
@@ -46,7 +46,7 @@
 
     protected String notTheConductor(ReleaseOp.By by) {
         LeaseState duty = duties.get(by.duty());
-        return duty != null && duty.held() && duty.token() == by.token() ? null
+        return duty != null && duty.isHeld() && duty.fencingToken() == by.token() ? null
                 : "whoever proposes it does not conduct under " + by.token();
     }
 
@@ -88,7 +88,7 @@
 
     private String conductor(ReleaseOp.By by) {
         LeaseState duty = duties.get(by.duty());
-        return duty == null || !duty.held() ? "" : duty.holder().name();
+        return duty == null || !duty.isHeld() ? "" : duty.holder().name();
     }
 
     private boolean other(long id) {
--- a/src/test/java/topazladder/emulator/hall/HallWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/HallWorldTest.java
@@ -176,10 +176,10 @@
         world.time().runUntil(8);
         int holder = holderOf(world);
         int other = (holder + 1) % 5;
-        propose(world, new LeaseCommand.HandOver("duty-0", "n" + other));
+        propose(world, new LeaseCommand.Transfer("duty-0", "n" + other));
         world.time().runUntil(12);
         assertThat(holderOf(world)).isEqualTo(other);
-        propose(world, new LeaseCommand.Halt("duty-0", "by hand"));
+        propose(world, new LeaseCommand.Suspend("duty-0", "by hand"));
         world.time().runUntil(16);
         assertThat(holderOf(world)).isEqualTo(-1);
         propose(world, new LeaseCommand.Resume("duty-0"));
@@ -200,7 +200,7 @@
     private static void propose(HallWorld world, LeaseCommand op) {
         for (int i = 0; i < 3; i++) {
             if (world.node(i).voter().replica().leading()) {
-                world.node(i).voter().propose(op, o -> assertThat(o.done()).as(o.why()).isTrue());
+                world.node(i).voter().propose(op, o -> assertThat(o.isApplied()).as(o.rejection()).isTrue());
             }
         }
     }
--- a/src/test/java/topazladder/lease/LeaseManagerTest.java
+++ b/src/test/java/topazladder/lease/LeaseManagerTest.java
@@ -11,83 +11,84 @@
 import topazladder.lease.LeaseManager.Step;
 
 /**
- * What the leader grants, renews and ends; its operations are applied as soon as they are proposed, where a test says
- * no more.
+ * What the leader grants, renews and ends; its commands are applied as soon as they are proposed, where a test does not
+ * say otherwise.
  */
 class LeaseManagerTest {
-    private final LeaseStateMachine ledger = new LeaseStateMachine();
+    private final LeaseStateMachine stateMachine = new LeaseStateMachine();
     private LeaseManager leader;
     private final List<Step> said = new ArrayList<>();
 
     @BeforeEach
     void setUp() {
         define(1);
-        leader = new LeaseManager(ledger);
+        leader = new LeaseManager(stateMachine);
         leader.becomeLeader(0);
     }
 
-    private void define(int duties) {
+    private void define(int count) {
         List<LeaseSettings> all = new ArrayList<>();
-        for (int i = 0; i < duties; i++) {
+        for (int i = 0; i < count; i++) {
             all.add(new LeaseSettings("duty-" + i, 2, 3));
         }
-        ledger.apply(new LeaseCommand.Define(all));
+        stateMachine.apply(new LeaseCommand.Define(all));
     }
 
     private static MemberIdentity member(int i) {
         return new MemberIdentity("n" + i, 1);
     }
 
-    private static LeaseRequest ask(MemberIdentity from, long number, boolean steady, LeaseRequest.Stopped... stopped) {
-        return new LeaseRequest(from, number, steady, List.of(), List.of(stopped));
+    private static LeaseRequest request(MemberIdentity from, long sequence, boolean eligible,
+            LeaseRequest.Stopped... stopped) {
+        return new LeaseRequest(from, sequence, eligible, List.of(), List.of(stopped));
     }
 
     /** Carries out all at once: confirms, and applies what is proposed. */
     private void carryOut(double now, List<Step> steps) {
         for (Step s : steps) {
             said.add(s);
-            if (s instanceof Step.Confirm c) {
+            if (s instanceof Step.ConfirmLeadership c) {
                 carryOut(now, leader.leadershipConfirmed(now, c.round()));
             } else if (s instanceof Step.Propose p) {
-                carryOut(now, leader.commandApplied(now, p.op(), ledger.apply(p.op())));
+                carryOut(now, leader.commandApplied(now, p.command(), stateMachine.apply(p.command())));
             }
         }
     }
 
-    private LeaseResponse answerTo(double now, LeaseRequest ask) {
+    private LeaseResponse responseTo(double now, LeaseRequest request) {
         said.clear();
-        carryOut(now, leader.handleRequest(now, ask));
-        return said.stream().filter(s -> s instanceof Step.Reply r && r.to().equals(ask.from()))
-                .map(s -> ((Step.Reply) s).answer()).findFirst().orElse(null);
+        carryOut(now, leader.handleRequest(now, request));
+        return said.stream().filter(s -> s instanceof Step.Reply r && r.member().equals(request.member()))
+                .map(s -> ((Step.Reply) s).response()).findFirst().orElse(null);
     }
 
     private void tick(double now) {
         carryOut(now, leader.tick(now));
     }
 
-    private MemberIdentity holder(int duty) {
-        return ledger.get("duty-" + duty).holder();
+    private MemberIdentity holder(int lease) {
+        return stateMachine.get("duty-" + lease).holder();
     }
 
     @Test
-    void itGrantsToWhoeverIsSteadyOnceAllHadTheirTimeToBeHeard() {
-        answerTo(0.1, ask(member(0), 1, false));
-        answerTo(0.1, ask(member(1), 1, true));
+    void aLeaseIsGrantedToAnEligibleMemberOnceAllHadTheirTimeToBeHeard() {
+        responseTo(0.1, request(member(0), 1, false));
+        responseTo(0.1, request(member(1), 1, true));
         tick(0.5);
         assertThat(holder(0)).isNull();
         tick(1.1);
         assertThat(holder(0)).isEqualTo(member(1));
-        assertThat(said).contains(new Step.Nudge(member(1)));
-        LeaseResponse a = answerTo(1.2, ask(member(1), 2, true));
-        assertThat(a.leases()).containsExactly(new LeaseResponse.Lease("duty-0", 1, 2, false));
+        assertThat(said).contains(new Step.WakeUp(member(1)));
+        LeaseResponse a = responseTo(1.2, request(member(1), 2, true));
+        assertThat(a.grants()).containsExactly(new LeaseResponse.Grant("duty-0", 1, 2, false));
     }
 
     @Test
-    void aNewLeaderWaitsOutWhatItCantKnow() {
-        ledger.apply(new LeaseCommand.Grant("duty-0", member(9), 0));
+    void aNewLeaderWaitsOutLeasesThatAnEarlierOneMayHaveRenewed() {
+        stateMachine.apply(new LeaseCommand.Grant("duty-0", member(9), 0));
         leader.becomeLeader(100);
-        answerTo(100.1, ask(member(1), 1, true));
-        answerTo(101.5, ask(member(1), 2, true));
+        responseTo(100.1, request(member(1), 1, true));
+        responseTo(101.5, request(member(1), 2, true));
         tick(100 + 2 * 1.05 / 0.95 - 0.01);
         assertThat(holder(0)).isEqualTo(member(9));
         tick(100 + 2 * 1.05 / 0.95 + 0.01);
@@ -95,131 +96,133 @@
     }
 
     @Test
-    void nothingIsAnsweredBeforeAMajorityHasConfirmedAndOnlyWhatCameBefore() {
-        List<Step> first = leader.handleRequest(0.1, ask(member(0), 1, true));
-        assertThat(first).containsExactly(new Step.Confirm(1));
-        assertThat(leader.handleRequest(0.2, ask(member(1), 1, true))).isEmpty();
+    void aRequestIsAnsweredOnlyByAConfirmationThatBeganAfterItCame() {
+        List<Step> first = leader.handleRequest(0.1, request(member(0), 1, true));
+        assertThat(first).containsExactly(new Step.ConfirmLeadership(1));
+        assertThat(leader.handleRequest(0.2, request(member(1), 1, true))).isEmpty();
         List<Step> then = leader.leadershipConfirmed(0.3, 1);
         assertThat(then).filteredOn(s -> s instanceof Step.Reply).hasSize(1);
-        assertThat(then).contains(new Step.Confirm(2));
+        assertThat(then).contains(new Step.ConfirmLeadership(2));
         assertThat(leader.leadershipConfirmed(0.4, 2))
-                .filteredOn(s -> s instanceof Step.Reply r && r.to().equals(member(1)))
+                .filteredOn(s -> s instanceof Step.Reply r && r.member().equals(member(1)))
                 .hasSize(1);
     }
 
     @Test
-    void fiveHundredThatAskAtOnceAreAnsweredByTwoConfirmations() {
+    void fiveHundredRequestsAtOnceAreAnsweredByTwoConfirmations() {
         List<Step> all = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            all.addAll(leader.handleRequest(0.1, ask(member(i), 1, true)));
+            all.addAll(leader.handleRequest(0.1, request(member(i), 1, true)));
         }
-        assertThat(all).containsExactly(new Step.Confirm(1));
+        assertThat(all).containsExactly(new Step.ConfirmLeadership(1));
         int answers = leader.leadershipConfirmed(0.2, 1).size();
         answers += leader.leadershipConfirmed(0.3, 2).size();
         assertThat(answers).isEqualTo(500 + 1); // and the second round
     }
 
     @Test
-    void withoutAMajorityNobodyIsAnsweredAndTheAskersAskAgain() {
-        leader.handleRequest(0.1, ask(member(0), 1, true));
+    void withoutAMajorityNobodyIsAnsweredAndTheMembersPollAgain() {
+        leader.handleRequest(0.1, request(member(0), 1, true));
         assertThat(leader.leadershipUnconfirmed(1)).isEmpty();
         assertThat(leader.leadershipConfirmed(0.2, 1)).isEmpty();
-        assertThat(leader.handleRequest(0.3, ask(member(0), 2, true))).containsExactly(new Step.Confirm(2));
+        assertThat(leader.handleRequest(0.3, request(member(0), 2, true)))
+                .containsExactly(new Step.ConfirmLeadership(2));
     }
 
     @Test
-    void whatIsBeingGivenAwayIsNotRenewed() {
-        answerTo(0.1, ask(member(0), 1, true));
+    void aLeaseWhoseExpiryIsProposedIsNotRenewed() {
+        responseTo(0.1, request(member(0), 1, true));
         tick(1.1);
         List<Step> over = leader.tick(1.1 + 2 * 1.05 / 0.95 + 0.1);
         assertThat(over).contains(new Step.Propose(new LeaseCommand.Expire("duty-0", 1)));
-        // The operation is on its way, and the holder asks.
-        List<Step> steps = leader.handleRequest(3.5, ask(member(0), 2, true));
-        long round = ((Step.Confirm) steps.get(0)).round();
+        // While the command is in flight, the holder polls.
+        List<Step> steps = leader.handleRequest(3.5, request(member(0), 2, true));
+        long round = ((Step.ConfirmLeadership) steps.get(0)).round();
         assertThat(leader.leadershipConfirmed(3.6, round)).filteredOn(s -> s instanceof Step.Reply)
-                .extracting(s -> ((Step.Reply) s).answer().leases()).containsExactly(List.of());
+                .extracting(s -> ((Step.Reply) s).response().grants()).containsExactly(List.of());
         // Nobody knows whether it came through: still no renewal.
         leader.commandFailed(new LeaseCommand.Expire("duty-0", 1));
-        long next = ((Step.Confirm) leader.handleRequest(3.7, ask(member(0), 3, true)).get(0)).round();
+        long next = ((Step.ConfirmLeadership) leader.handleRequest(3.7, request(member(0), 3, true)).get(0)).round();
         assertThat(leader.leadershipConfirmed(3.8, next)).filteredOn(s -> s instanceof Step.Reply)
-                .extracting(s -> ((Step.Reply) s).answer().leases()).containsExactly(List.of());
+                .extracting(s -> ((Step.Reply) s).response().grants()).containsExactly(List.of());
     }
 
     @Test
-    void anOperatorsWishIsHandedOverInOrder() {
-        answerTo(0.1, ask(member(0), 1, true));
+    void aTransferWaitsUntilTheHolderHasStopped() {
+        responseTo(0.1, request(member(0), 1, true));
         tick(1.1);
-        answerTo(1.2, ask(member(1), 1, true));
-        ledger.apply(new LeaseCommand.HandOver("duty-0", "n1"));
-        LeaseResponse a = answerTo(1.3, ask(member(0), 2, true));
-        assertThat(a.leases().get(0).stop()).isTrue();
-        answerTo(1.4, ask(member(0), 3, true, new LeaseRequest.Stopped("duty-0", 1, null)));
+        responseTo(1.2, request(member(1), 1, true));
+        stateMachine.apply(new LeaseCommand.Transfer("duty-0", "n1"));
+        LeaseResponse a = responseTo(1.3, request(member(0), 2, true));
+        assertThat(a.grants().get(0).stopRequested()).isTrue();
+        responseTo(1.4, request(member(0), 3, true, new LeaseRequest.Stopped("duty-0", 1, null)));
         tick(1.5);
         assertThat(holder(0)).isEqualTo(member(1));
-        assertThat(ledger.get("duty-0").token()).isEqualTo(2);
-        assertThat(ledger.get("duty-0").wanted()).isEmpty();
+        assertThat(stateMachine.get("duty-0").fencingToken()).isEqualTo(2);
+        assertThat(stateMachine.get("duty-0").preferredMember()).isEmpty();
     }
 
     @Test
-    void aHolderThatIsUnsteadyForAMomentKeepsWhatItHolds() {
-        answerTo(0.1, ask(member(0), 1, true));
+    void aHolderThatIsIneligibleForAMomentKeepsItsLease() {
+        responseTo(0.1, request(member(0), 1, true));
         tick(1.1);
-        answerTo(1.2, ask(member(1), 1, true));
-        assertThat(answerTo(1.3, ask(member(0), 2, false)).leases().get(0).stop()).isFalse();
-        assertThat(answerTo(2.0, ask(member(0), 3, true)).leases().get(0).stop()).isFalse();
-        answerTo(2.5, ask(member(0), 4, false));
-        answerTo(3.5, ask(member(0), 5, false));
-        assertThat(answerTo(4.6, ask(member(0), 6, false)).leases().get(0).stop()).isTrue();
+        responseTo(1.2, request(member(1), 1, true));
+        assertThat(responseTo(1.3, request(member(0), 2, false)).grants().get(0).stopRequested()).isFalse();
+        assertThat(responseTo(2.0, request(member(0), 3, true)).grants().get(0).stopRequested()).isFalse();
+        responseTo(2.5, request(member(0), 4, false));
+        responseTo(3.5, request(member(0), 5, false));
+        assertThat(responseTo(4.6, request(member(0), 6, false)).grants().get(0).stopRequested()).isTrue();
     }
 
     @Test
-    void aMemberThatComesBackUnderAnotherLifeCountsWhatItLostAsBroughtDown() {
-        for (long life = 1; life <= 3; life++) {
-            double at = life * 10;
-            MemberIdentity m = new MemberIdentity("n0", life);
-            answerTo(at, ask(m, 1, true));
+    void lossesOfEarlierIncarnationsCountAsBroughtAboutByTheWork() {
+        for (long incarnation = 1; incarnation <= 3; incarnation++) {
+            double at = incarnation * 10;
+            MemberIdentity m = new MemberIdentity("n0", incarnation);
+            responseTo(at, request(m, 1, true));
             tick(at + 1.1);
             assertThat(holder(0)).isEqualTo(m);
             tick(at + 9);
             assertThat(holder(0)).isNull();
         }
-        answerTo(40, ask(new MemberIdentity("n0", 4), 1, true));
-        assertThat(ledger.get("duty-0").halted()).contains("brought down 3");
+        responseTo(40, request(new MemberIdentity("n0", 4), 1, true));
+        assertThat(stateMachine.get("duty-0").suspendedReason()).contains("brought down 3");
     }
 
     @Test
-    void anAskOfALifeThatIsOverIsNotAnswered() {
-        answerTo(0.1, ask(new MemberIdentity("n0", 5), 1, true));
-        assertThat(leader.handleRequest(0.2, ask(new MemberIdentity("n0", 4), 9, true))).isEmpty();
+    void aRequestOfAnEarlierIncarnationIsNotAnswered() {
+        responseTo(0.1, request(new MemberIdentity("n0", 5), 1, true));
+        assertThat(leader.handleRequest(0.2, request(new MemberIdentity("n0", 4), 9, true))).isEmpty();
     }
 
     @Test
-    void whatAnOperatorPutSomewhereIsNotTakenFromItToEvenTheLoad() {
+    void aLeaseThatAnOperatorPlacedIsNotMovedToEvenTheLoad() {
         define(3);
         for (int d = 0; d < 3; d++) {
-            ledger.apply(new LeaseCommand.HandOver("duty-" + d, "n3"));
+            stateMachine.apply(new LeaseCommand.Transfer("duty-" + d, "n3"));
         }
         rounds(0, 20, 5);
-        assertThat(ledger.all()).allMatch(s -> member(3).equals(s.holder()));
-        long tokens = ledger.all().stream().mapToLong(LeaseState::token).sum();
+        assertThat(stateMachine.leases()).allMatch(s -> member(3).equals(s.holder()));
+        long tokens = stateMachine.leases().stream().mapToLong(LeaseState::fencingToken).sum();
         rounds(20, 60, 5);
-        assertThat(ledger.all().stream().mapToLong(LeaseState::token).sum()).isEqualTo(tokens);
-        // Said of one that it holds already, it means the same.
-        ledger.apply(new LeaseCommand.HandOver("duty-1", "n3"));
-        assertThat(ledger.get("duty-1").wanted()).isEmpty();
+        assertThat(stateMachine.leases().stream().mapToLong(LeaseState::fencingToken).sum()).isEqualTo(tokens);
+        // A transfer to the member that holds the lease already marks it as placed too.
+        stateMachine.apply(new LeaseCommand.Transfer("duty-1", "n3"));
+        assertThat(stateMachine.get("duty-1").preferredMember()).isEmpty();
     }
 
-    /** Every half second all members ask, and stop what they are told to. */
+    /** Every half second all members poll, and stop what they are told to. */
     private void rounds(int from, int to, int members) {
         for (int round = from; round < to; round++) {
             double now = round * 0.5;
             for (int i = 0; i < members; i++) {
-                LeaseResponse last = answerTo(now, ask(member(i), 2L * round, true));
+                LeaseResponse last = responseTo(now, request(member(i), 2L * round, true));
                 List<LeaseRequest.Stopped> stopped = new ArrayList<>();
-                last.leases().stream().filter(LeaseResponse.Lease::stop)
-                        .forEach(l -> stopped.add(new LeaseRequest.Stopped(l.duty(), l.token(), null)));
+                last.grants().stream().filter(LeaseResponse.Grant::stopRequested)
+                        .forEach(l -> stopped.add(new LeaseRequest.Stopped(l.leaseName(), l.fencingToken(), null)));
                 if (!stopped.isEmpty()) {
-                    answerTo(now, ask(member(i), 2L * round + 1, true, stopped.toArray(LeaseRequest.Stopped[]::new)));
+                    responseTo(now,
+                            request(member(i), 2L * round + 1, true, stopped.toArray(LeaseRequest.Stopped[]::new)));
                 }
             }
             tick(now);
@@ -227,26 +230,26 @@
     }
 
     @Test
-    void threeHundredDutiesAreSpreadWithinTheBoundAndEvenedAsMembersJoin() {
+    void threeHundredLeasesAreSpreadWithinTheBoundAndBalancedAsMembersJoin() {
         define(300);
         rounds(0, 20, 4);
         rounds(20, 120, 12);
         Map<MemberIdentity, Integer> load = new HashMap<>();
-        ledger.all().forEach(s -> load.merge(s.holder(), 1, Integer::sum));
+        stateMachine.leases().forEach(s -> load.merge(s.holder(), 1, Integer::sum));
         assertThat(load).hasSize(12);
         assertThat(load.values()).allMatch(n -> n <= 1.25 * LeasePlacement.bound(300, 12));
-        long moves = ledger.all().stream().mapToLong(LeaseState::token).sum() - 300;
-        assertThat(moves).as("duties that moved when eight joined four").isLessThanOrEqualTo(200);
+        long moves = stateMachine.leases().stream().mapToLong(LeaseState::fencingToken).sum() - 300;
+        assertThat(moves).as("leases that moved when eight members joined four").isLessThanOrEqualTo(200);
     }
 
     @Test
-    void whoLostItLastIsAskedAgainOnlyWhereNobodyElseIsThere() {
-        answerTo(0.1, ask(member(0), 1, true));
+    void theMemberThatLostTheLeaseLastIsGrantedItOnlyWhereNobodyElseIsEligible() {
+        responseTo(0.1, request(member(0), 1, true));
         tick(1.1);
-        answerTo(1.2, ask(member(1), 1, true));
+        responseTo(1.2, request(member(1), 1, true));
         for (double t = 1.3; t < 6; t += 0.4) {
-            answerTo(t, ask(member(1), (long) (t * 100), true));
-            answerTo(t, ask(member(0), (long) (t * 100), true, new LeaseRequest.Stopped("duty-0", 1, "no file")));
+            responseTo(t, request(member(1), (long) (t * 100), true));
+            responseTo(t, request(member(0), (long) (t * 100), true, new LeaseRequest.Stopped("duty-0", 1, "no file")));
             tick(t);
         }
         assertThat(holder(0)).isEqualTo(member(1));
--- a/src/test/java/topazladder/lease/LeaseStateMachineTest.java
+++ b/src/test/java/topazladder/lease/LeaseStateMachineTest.java
@@ -15,124 +15,136 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** The ledger's invariants hold whatever is proposed, in whatever order, however often. */
+/** The invariants hold for any commands, in any order, however often. */
 class LeaseStateMachineTest {
     private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
     private static final LeaseSettings SWEEP = new LeaseSettings("sweep", 2, 3);
 
     @Provide
-    Arbitrary<List<LeaseCommand>> ops() {
-        Arbitrary<String> duties = Arbitraries.of("probe", "sweep", "other");
+    Arbitrary<List<LeaseCommand>> commands() {
+        Arbitrary<String> leaseNames = Arbitraries.of("probe", "sweep", "other");
         Arbitrary<Long> tokens = Arbitraries.longs().between(0, 6);
         Arbitrary<MemberIdentity> members =
                 Combinators.combine(Arbitraries.of("n0", "n1"), Arbitraries.longs().between(1, 3))
                         .as(MemberIdentity::new);
         Arbitrary<LeaseCommand> any = Arbitraries.oneOf(
-                Combinators.combine(duties, members, tokens).as(LeaseCommand.Grant::new),
-                Combinators.combine(duties, tokens).as(LeaseCommand.Release::new),
-                Combinators.combine(duties, tokens).as(LeaseCommand.Expire::new),
-                Combinators.combine(duties, tokens).as(LeaseCommand.Settled::new),
-                Combinators.combine(duties, tokens).as(LeaseCommand.Crashed::new),
-                Combinators.combine(duties, tokens).as((d, t) -> new LeaseCommand.Failed(d, t, "no")),
-                duties.map(d -> new LeaseCommand.Halt(d, "by hand")), duties.map(LeaseCommand.Resume::new),
-                Combinators.combine(duties, Arbitraries.of("", "n0", "n1")).as(LeaseCommand.HandOver::new),
+                Combinators.combine(leaseNames, members, tokens).as(LeaseCommand.Grant::new),
+                Combinators.combine(leaseNames, tokens).as(LeaseCommand.Release::new),
+                Combinators.combine(leaseNames, tokens).as(LeaseCommand.Expire::new),
+                Combinators.combine(leaseNames, tokens).as(LeaseCommand.HolderSettled::new),
+                Combinators.combine(leaseNames, tokens).as(LeaseCommand.HolderCrashed::new),
+                Combinators.combine(leaseNames, tokens)
+                        .as((name, token) -> new LeaseCommand.HolderFailed(name, token, "no")),
+                leaseNames.map(name -> new LeaseCommand.Suspend(name, "by hand")),
+                leaseNames.map(LeaseCommand.Resume::new),
+                Combinators.combine(leaseNames, Arbitraries.of("", "n0", "n1")).as(LeaseCommand.Transfer::new),
                 Arbitraries.of(new LeaseCommand.Define(List.of(PROBE, SWEEP)), new LeaseCommand.Define(List.of(PROBE))),
-                tokens.map(LeaseCommand.RaiseTokens::new));
+                tokens.map(LeaseCommand.RaiseTokenFloor::new));
         return any.list().ofMaxSize(60);
     }
 
     @Property(seed = "20261201", tries = 500)
-    void aTokenIsGrantedOnceAndOnlyGrowsAndNothingIsGrantedWhileHeld(@ForAll("ops") List<LeaseCommand> ops) {
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
+    void aTokenIsGrantedOnceAndOnlyGrowsAndNothingIsGrantedWhileItIsHeld(
+            @ForAll("commands") List<LeaseCommand> commands) {
+        LeaseStateMachine stateMachine = new LeaseStateMachine();
+        stateMachine.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
         Map<String, Long> highest = new HashMap<>();
         Set<String> granted = new HashSet<>();
-        for (LeaseCommand op : ops) {
-            LeaseState before = op instanceof LeaseCommand.Grant g ? ledger.get(g.duty()) : null;
-            LeaseStateMachine.Outcome outcome = ledger.apply(op);
-            if (op instanceof LeaseCommand.Grant g && outcome.done()) {
-                assertThat(before.held()).isFalse();
-                assertThat(before.halted()).isNull();
-                assertThat(granted.add(g.duty() + outcome.token())).as(op + " gives a new token").isTrue();
+        for (LeaseCommand command : commands) {
+            LeaseState before =
+                    command instanceof LeaseCommand.Grant grant ? stateMachine.get(grant.leaseName()) : null;
+            LeaseStateMachine.Outcome outcome = stateMachine.apply(command);
+            if (command instanceof LeaseCommand.Grant grant && outcome.isApplied()) {
+                assertThat(before.isHeld()).isFalse();
+                assertThat(before.suspendedReason()).isNull();
+                assertThat(granted.add(grant.leaseName() + outcome.fencingToken())).as(command + " gives a new token")
+                        .isTrue();
             }
-            for (LeaseState s : ledger.all()) {
-                assertThat(s.token()).isGreaterThanOrEqualTo(highest.getOrDefault(s.terms().name(), 0L));
-                highest.put(s.terms().name(), s.token());
-                assertThat(s.losses()).hasSizeLessThanOrEqualTo(LeaseState.MOST_LOSSES);
+            for (LeaseState state : stateMachine.leases()) {
+                assertThat(state.fencingToken())
+                        .isGreaterThanOrEqualTo(highest.getOrDefault(state.settings().name(), 0L));
+                highest.put(state.settings().name(), state.fencingToken());
+                assertThat(state.losses()).hasSizeLessThanOrEqualTo(LeaseState.MAX_KEPT_LOSSES);
             }
         }
     }
 
     @Property(seed = "20261201", tries = 300)
-    void oneThatBeginsWithACopyGoesOnAsTheOther(@ForAll("ops") List<LeaseCommand> ops,
-            @ForAll("ops") List<LeaseCommand> more) {
-        LeaseStateMachine one = new LeaseStateMachine();
-        one.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
-        ops.forEach(one::apply);
-        LeaseStateMachine other = new LeaseStateMachine();
-        other.replace(one.copy());
-        for (LeaseCommand op : more) {
-            assertThat(other.apply(op)).isEqualTo(one.apply(op));
+    void aReplicaRestoredFromASnapshotGoesOnAsTheOriginal(@ForAll("commands") List<LeaseCommand> commands,
+            @ForAll("commands") List<LeaseCommand> more) {
+        LeaseStateMachine original = new LeaseStateMachine();
+        original.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
+        commands.forEach(original::apply);
+        LeaseStateMachine restored = new LeaseStateMachine();
+        restored.restore(original.snapshot());
+        for (LeaseCommand command : more) {
+            assertThat(restored.apply(command)).isEqualTo(original.apply(command));
         }
-        assertThat(other.copy()).isEqualTo(one.copy());
+        assertThat(restored.snapshot()).isEqualTo(original.snapshot());
     }
 
     @Test
-    void aDutyThatIsTakenOutAndComesBackGoesOnAboveItsOldToken() {
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
-        ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
-        ledger.apply(new LeaseCommand.Release("probe", 1));
-        ledger.apply(new LeaseCommand.Define(List.of(SWEEP)));
-        assertThat(ledger.get("probe")).isNull();
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
+    void aLeaseThatIsRemovedAndDefinedAgainGoesOnAboveItsOldToken() {
+        LeaseStateMachine stateMachine = new LeaseStateMachine();
+        stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
+        stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
+        stateMachine.apply(new LeaseCommand.Release("probe", 1));
+        stateMachine.apply(new LeaseCommand.Define(List.of(SWEEP)));
+        assertThat(stateMachine.get("probe")).isNull();
+        stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
         assertThat(
-                ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), ledger.get("probe").token()))
-                        .token())
+                stateMachine
+                        .apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1),
+                                stateMachine.get("probe").fencingToken()))
+                        .fencingToken())
                                 .isEqualTo(2);
     }
 
     @Test
-    void aDutyThatBringsDownHolderAfterHolderIsHaltedAndSaysSo() {
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
+    void aLeaseThatBringsDownHolderAfterHolderIsSuspendedWithAReason() {
+        LeaseStateMachine stateMachine = new LeaseStateMachine();
+        stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
         for (long i = 0; i < 3; i++) {
-            assertThat(ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n" + i, 1), i)).done())
-                    .isTrue();
-            ledger.apply(new LeaseCommand.Expire("probe", i + 1));
-            assertThat(ledger.get("probe").halted()).isNull(); // one that was cut off is not one that was brought down
-            ledger.apply(new LeaseCommand.Crashed("probe", i + 1));
+            assertThat(
+                    stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n" + i, 1), i)).isApplied())
+                            .isTrue();
+            stateMachine.apply(new LeaseCommand.Expire("probe", i + 1));
+            // A holder that was only cut off was not brought down.
+            assertThat(stateMachine.get("probe").suspendedReason()).isNull();
+            stateMachine.apply(new LeaseCommand.HolderCrashed("probe", i + 1));
         }
-        assertThat(ledger.get("probe").halted()).contains("brought down 3 holders");
-        assertThat(ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 2), 3)).why())
+        assertThat(stateMachine.get("probe").suspendedReason()).contains("brought down 3 holders");
+        assertThat(stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 2), 3)).rejection())
                 .contains("halted");
-        ledger.apply(new LeaseCommand.Resume("probe"));
-        assertThat(ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 2), 3)).done()).isTrue();
+        stateMachine.apply(new LeaseCommand.Resume("probe"));
+        assertThat(stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 2), 3)).isApplied())
+                .isTrue();
     }
 
     @Test
-    void oneThatSettlesBetweenTwoLossesKeepsItGoing() {
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
+    void aHolderThatSettlesBetweenTwoLossesPreventsTheSuspension() {
+        LeaseStateMachine stateMachine = new LeaseStateMachine();
+        stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
         for (long i = 0; i < 6; i++) {
-            ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", i), i));
+            stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", i), i));
             if (i == 2) {
-                ledger.apply(new LeaseCommand.Settled("probe", i + 1));
+                stateMachine.apply(new LeaseCommand.HolderSettled("probe", i + 1));
             }
-            ledger.apply(new LeaseCommand.Expire("probe", i + 1));
-            ledger.apply(new LeaseCommand.Crashed("probe", i + 1));
-            assertThat(ledger.get("probe").halted() != null).isEqualTo(i >= 4);
+            stateMachine.apply(new LeaseCommand.Expire("probe", i + 1));
+            stateMachine.apply(new LeaseCommand.HolderCrashed("probe", i + 1));
+            assertThat(stateMachine.get("probe").suspendedReason() != null).isEqualTo(i >= 4);
         }
     }
 
     @Test
-    void tokensGoOnAboveAllOfBeforeWhereAGroupIsFormedAnew() {
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
-        ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
-        ledger.apply(new LeaseCommand.RaiseTokens(1L << 40));
-        assertThat(ledger.get("probe").held()).isFalse();
-        assertThat(ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n1", 1), 1L << 40)).token())
-                .isEqualTo((1L << 40) + 1);
+    void tokensGoOnAboveTheFloorWhereAGroupIsFormedAnew() {
+        LeaseStateMachine stateMachine = new LeaseStateMachine();
+        stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
+        stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
+        stateMachine.apply(new LeaseCommand.RaiseTokenFloor(1L << 40));
+        assertThat(stateMachine.get("probe").isHeld()).isFalse();
+        assertThat(stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n1", 1), 1L << 40))
+                .fencingToken())
+                        .isEqualTo((1L << 40) + 1);
     }
 }
--- a/src/test/java/topazladder/lease/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseTest.java
@@ -10,103 +10,122 @@
 
 /**
  * The promise that all else hangs on, between one leader and one holder whose clocks run apart: once the leader takes
- * a lease for over, the holder is told no more that it may go on. Answers and asks come late, twice, or not at all.
+ * a lease for expired, the holder is told no more that it may go on. Requests and responses arrive late, twice, or not
+ * at all.
  */
 class LeaseTest {
     private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
     private static final MemberIdentity HERE = new MemberIdentity("n1", 7);
+    private static final double STEP_SECONDS = 0.005;
 
-    private record Late(double at, DoubleConsumer what) {
+    private record Delivery(double at, DoubleConsumer action) {
     }
 
-    /** Seconds of true time from the end as the leader has it to the last moment the holder was told it may go on. */
-    private static double played(long seed, boolean clocksIgnored) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        double leaderRate = chance.nextBoolean() ? 1.05 : 1 + chance.nextDouble(-0.05, 0.05);
-        double holderRate = chance.nextBoolean() ? 0.95 : 1 + chance.nextDouble(-0.05, 0.05);
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        LeaseManager leader = new LeaseManager(ledger) {
-            @Override
-            protected double surelyOver(LeaseSettings terms) {
-                return clocksIgnored ? terms.lease() : super.surelyOver(terms);
-            }
-        };
-        LeaseHolder holder = new LeaseHolder(HERE);
-        ledger.apply(new LeaseCommand.Define(List.of(PROBE)));
-        leader.becomeLeader(0);
-        List<Late> way = new ArrayList<>();
-        double cut = chance.nextDouble(2, 9);
-        double expired = Double.NaN;
-        double lastTold = 0;
-        for (double t = 0; t < 16; t += 0.005) {
-            double atLeader = t * leaderRate;
-            List<LeaseManager.Step> said = new ArrayList<>(leader.tick(atLeader));
-            for (Late l : List.copyOf(way)) {
-                if (l.at() <= t) {
-                    way.remove(l);
-                    l.what().accept(t);
+    /** One leader and one holder over a link that is cut at some moment; all times are true ones. */
+    private static final class Scenario {
+        private final SplittableRandom chance;
+        private final double leaderRate;
+        private final double holderRate;
+        private final double cutAt;
+        private final LeaseStateMachine stateMachine = new LeaseStateMachine();
+        private final LeaseManager leader;
+        private final LeaseHolder holder = new LeaseHolder(HERE);
+        private final List<Delivery> inTransit = new ArrayList<>();
+        private double expiredAt = Double.NaN;
+        private double lastAllowedAt;
+
+        Scenario(long seed, boolean clocksIgnored) {
+            chance = new SplittableRandom(seed);
+            leaderRate = chance.nextBoolean() ? 1.05 : 1 + chance.nextDouble(-0.05, 0.05);
+            holderRate = chance.nextBoolean() ? 0.95 : 1 + chance.nextDouble(-0.05, 0.05);
+            leader = new LeaseManager(stateMachine) {
+                @Override
+                protected double safeExpirySeconds(LeaseSettings settings) {
+                    return clocksIgnored ? settings.durationSeconds() : super.safeExpirySeconds(settings);
                 }
+            };
+            stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
+            leader.becomeLeader(0);
+            cutAt = chance.nextDouble(2, 9);
+        }
+
+        /** Seconds from the expiry as the leader has it to the last moment the holder was told it may go on. */
+        double play() {
+            for (double t = 0; t < 16 && Double.isNaN(expiredAt); t += STEP_SECONDS) {
+                step(t);
             }
-            for (LeaseManager.Step s : said) {
-                if (s instanceof LeaseManager.Step.Propose p && p.op() instanceof LeaseCommand.Expire) {
-                    expired = Double.isNaN(expired) ? t : expired;
-                } else if (s instanceof LeaseManager.Step.Propose p) {
-                    leader.commandApplied(atLeader, p.op(), ledger.apply(p.op()));
+            assertThat(expiredAt).as("the leader ends it at last").isNotNaN();
+            for (double t = expiredAt; t < expiredAt + 4; t += STEP_SECONDS) {
+                look(t);
+            }
+            return lastAllowedAt - expiredAt;
+        }
+
+        private void step(double t) {
+            List<LeaseManager.Step> proposed = new ArrayList<>(leader.tick(t * leaderRate));
+            for (Delivery delivery : List.copyOf(inTransit)) {
+                if (delivery.at() <= t) {
+                    inTransit.remove(delivery);
+                    delivery.action().accept(t);
                 }
             }
-            if (!Double.isNaN(expired)) {
-                break;
+            proposed.forEach(step -> apply(t, ((LeaseManager.Step.Propose) step).command()));
+            if (!Double.isNaN(expiredAt)) {
+                return;
             }
-            List<LeaseHolder.Step> steps = new ArrayList<>(holder.setSteady(t * holderRate, true));
-            for (LeaseHolder.Step s : steps) {
-                if (s instanceof LeaseHolder.Step.Send send && t < cut) {
-                    way.add(new Late(t + chance.nextDouble(0.3), at -> {
-                        for (LeaseManager.Step a : leader.handleRequest(at * leaderRate, send.ask())) {
-                            if (a instanceof LeaseManager.Step.Confirm c) {
-                                answer(leader.leadershipConfirmed(at * leaderRate, c.round()), way, at, chance, holder,
-                                        holderRate);
-                            }
-                        }
-                    }));
+            for (LeaseHolder.Step step : holder.setEligible(t * holderRate, true)) {
+                if (step instanceof LeaseHolder.Step.Send send && t < cutAt) {
+                    inTransit.add(new Delivery(t + chance.nextDouble(0.3), at -> request(at, send.request())));
                 }
             }
-            if (holder.token(t * holderRate, "probe").isPresent()) {
-                lastTold = t;
+            look(t);
+        }
+
+        private void apply(double t, LeaseCommand command) {
+            if (command instanceof LeaseCommand.Expire) {
+                expiredAt = Double.isNaN(expiredAt) ? t : expiredAt;
+            } else {
+                leader.commandApplied(t * leaderRate, command, stateMachine.apply(command));
             }
         }
-        assertThat(expired).as("the leader ends it at last").isNotNaN();
-        for (double t = expired; t < expired + 4; t += 0.005) {
-            if (holder.token(t * holderRate, "probe").isPresent()) {
-                lastTold = t;
+
+        private void request(double at, LeaseRequest request) {
+            for (LeaseManager.Step step : leader.handleRequest(at * leaderRate, request)) {
+                if (step instanceof LeaseManager.Step.ConfirmLeadership confirm) {
+                    leader.leadershipConfirmed(at * leaderRate, confirm.round()).forEach(reply -> respond(at, reply));
+                }
             }
         }
-        return lastTold - expired;
-    }
 
-    private static void answer(List<LeaseManager.Step> steps, List<Late> way, double now, SplittableRandom chance,
-            LeaseHolder holder, double holderRate) {
-        for (LeaseManager.Step r : steps) {
-            if (r instanceof LeaseManager.Step.Reply reply && chance.nextInt(10) > 0) {
+        /** One in ten responses is lost, and of the others one in two arrives twice. */
+        private void respond(double now, LeaseManager.Step step) {
+            if (step instanceof LeaseManager.Step.Reply reply && chance.nextInt(10) > 0) {
                 for (int i = chance.nextInt(2); i >= 0; i--) {
-                    way.add(new Late(now + chance.nextDouble(0.6),
-                            at -> holder.handleResponse(at * holderRate, reply.answer())));
+                    inTransit.add(new Delivery(now + chance.nextDouble(0.6),
+                            at -> holder.handleResponse(at * holderRate, reply.response())));
                 }
             }
         }
+
+        private void look(double t) {
+            if (holder.fencingToken(t * holderRate, "probe").isPresent()) {
+                lastAllowedAt = t;
+            }
+        }
     }
 
     @Test
-    void aLeaseIsOverAtTheHolderBeforeItIsAtTheLeaderHoweverTheirClocksRun() {
+    void aLeaseRunsOutAtTheHolderBeforeItExpiresAtTheLeaderHoweverTheirClocksRun() {
         for (long seed = 1; seed <= 400; seed++) {
-            assertThat(played(seed, false)).as("seed " + seed).isLessThanOrEqualTo(0);
+            assertThat(new Scenario(seed, false).play()).as("seed " + seed).isLessThanOrEqualTo(0);
         }
     }
 
     @Test
-    void withClocksTakenAsEqualItIsNot() {
+    void withClocksTakenAsEqualItDoesNot() {
         int found = 0;
         for (long seed = 1; seed <= 400; seed++) {
-            found += played(seed, true) > 0 ? 1 : 0;
+            found += new Scenario(seed, true).play() > 0 ? 1 : 0;
         }
         assertThat(found).as("seeds of 400 that show it").isGreaterThan(20);
     }
--- a/src/test/java/topazladder/net/codec/HallMessagesTest.java
+++ b/src/test/java/topazladder/net/codec/HallMessagesTest.java
@@ -80,7 +80,7 @@
                         new View.Sight("n3", "", DisruptionController.Look.GONE, 1, null, null, null)))),
                 new Saying.Conducted(5, new View(null, List.of(), "n2", false)),
                 new Saying.Answering(
-                        new LeaseResponse(9, List.of(new LeaseResponse.Lease("probe", 3, 2.5, true)), 1.25)),
+                        new LeaseResponse(9, List.of(new LeaseResponse.Grant("probe", 3, 2.5, true)), 1.25)),
                 new Saying.LeaderIs("n4", "127.0.0.1:4"), new Saying.LeaderIs(""), new Saying.Nudge(),
                 new Saying.AsksToVote(new VoterEndpoint("n1", 77)),
                 new Saying.TakenIn(new VoterEndpoint("n1", 77),
@@ -115,7 +115,7 @@
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(
                 new Saying.Membership(new Gossip.Ping(1, many))))).isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(new Saying.Answering(
-                new LeaseResponse(1, List.of(new LeaseResponse.Lease("probe", 1, -2, false)), 1)))))
+                new LeaseResponse(1, List.of(new LeaseResponse.Grant("probe", 1, -2, false)), 1)))))
                         .isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(new Saying.Answering(
                 new LeaseResponse(1, List.of(), Double.NaN))))).isInstanceOf(MalformedMessageException.class);
--- a/src/test/java/topazladder/net/hall/SqliteStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteStoreTest.java
@@ -52,12 +52,12 @@
     void whatWasFlushedIsThereAgainAndWhatWasNotIsNot() throws IOException {
         try (SqliteStore store = founded()) {
             store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(2).setVotedFor(N1).build());
-            store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n1", -5)),
+            store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n1", -5)),
                     entry(2, new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3)))),
                     entry(3, new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1L << 60), 0))));
             store.flush();
             store.truncateLogEntriesFrom(3);
-            store.persistLogEntries(List.of(entry(3, new LeaseCommand.Halt("probe", "by hand"))));
+            store.persistLogEntries(List.of(entry(3, new LeaseCommand.Suspend("probe", "by hand"))));
             store.flush();
             store.persistLogEntries(List.of(entry(4, new LeaseCommand.Resume("probe"))));
         }
@@ -68,9 +68,9 @@
             assertThat(r.getTermPersistentState().getVotedFor()).isEqualTo(N1);
             assertThat(r.getLocalEndpointPersistentState().isVoting()).isTrue();
             assertThat(r.getLogEntries()).extracting(LogEntry::getOperation).containsExactly(
-                    new LeaseCommand.Lead("n1", -5),
+                    new LeaseCommand.BeginLeadership("n1", -5),
                     new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))),
-                    new LeaseCommand.Halt("probe", "by hand"));
+                    new LeaseCommand.Suspend("probe", "by hand"));
         }
     }
 
@@ -80,18 +80,21 @@
         ledger.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
         ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
         ledger.apply(new LeaseCommand.Expire("probe", 1));
-        ledger.apply(new LeaseCommand.Crashed("probe", 1));
-        ledger.apply(new LeaseCommand.Halt("probe", "by hand"));
+        ledger.apply(new LeaseCommand.HolderCrashed("probe", 1));
+        ledger.apply(new LeaseCommand.Suspend("probe", "by hand"));
         try (SqliteStore store = founded()) {
             store.persistLogEntries(
-                    List.of(entry(1, new LeaseCommand.Lead("n0", 1)), entry(2, new LeaseCommand.Resume("probe"))));
+                    List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1)),
+                            entry(2, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
-                    chunk(2, 0, 1, new ReplicatedState.Copy(ledger.copy(), new DisruptionStateMachine().copy(), null)));
+                    chunk(2, 0, 1,
+                            new ReplicatedState.Copy(ledger.snapshot(), new DisruptionStateMachine().copy(), null)));
             store.flush();
             store.truncateLogEntriesUntil(2);
             store.persistLogEntries(List.of(entry(3, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
-                    chunk(3, 0, 2, new ReplicatedState.Copy(ledger.copy(), new DisruptionStateMachine().copy(), null)));
+                    chunk(3, 0, 2,
+                            new ReplicatedState.Copy(ledger.snapshot(), new DisruptionStateMachine().copy(), null)));
             store.flush();
         }
         try (SqliteStore store = new SqliteStore(folder)) {
@@ -99,7 +102,7 @@
             assertThat(r.getSnapshotEntry().getIndex()).isEqualTo(2);
             assertThat(((List<?>) r.getSnapshotEntry().getOperation())).first()
                     .isInstanceOfSatisfying(SnapshotChunk.class,
-                            c -> assertThat(c.getOperation()).isEqualTo(new ReplicatedState.Copy(ledger.copy(),
+                            c -> assertThat(c.getOperation()).isEqualTo(new ReplicatedState.Copy(ledger.snapshot(),
                                     new DisruptionStateMachine().copy(), null)));
             assertThat(r.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(3L);
         }
@@ -134,7 +137,7 @@
     @Test
     void foundingAnewForgetsWhatWasThere() throws IOException {
         try (SqliteStore store = founded()) {
-            store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n0", 1))));
+            store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1))));
             store.flush();
             store.found(new VoterStore.Founding(N1, List.of(N1), 4));
             assertThat(store.founding().formed()).isEqualTo(4);
