--- a/src/main/java/topazladder/below/Verdicts.java
+++ b/src/main/java/topazladder/below/Verdicts.java
@@ -12,7 +12,7 @@
 import org.slf4j.LoggerFactory;
 import topazladder.disruption.Disruption;
 import topazladder.disruption.Disruption.Phase;
-import topazladder.disruption.Disruption.Why;
+import topazladder.disruption.Disruption.Reason;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionCommand;
 import topazladder.disruption.DisruptionStateMachine;
@@ -136,9 +136,11 @@
         });
         Set<String> lookIll = new HashSet<>(ill);
         // What is out is tried by nobody, and so counts as it was when it went.
-        ledger.all().stream().filter(o -> o.subject().kind() == DisruptionTarget.Kind.BELOW && o.why() == Why.ILL
-                && (o.phase() == Phase.GRANTED || o.phase() == Phase.GONE)).forEach(o -> lookIll.add(
-                        o.subject()
+        ledger.disruptions().stream()
+                .filter(o -> o.target().kind() == DisruptionTarget.Kind.DEPENDENCY && o.reason() == Reason.ILL
+                        && (o.phase() == Phase.GRANTED || o.phase() == Phase.GONE))
+                .forEach(o -> lookIll.add(
+                        o.target()
                                 .name()));
         long strange = heard.values().stream().filter(h -> !h.believed()).count();
         boolean most = tooMany(lookIll.size(), counts.size()) || tooMany((int) strange, heard.size());
@@ -146,9 +148,9 @@
             mostUntil = now + AFTER_MOST;
         }
         // Also of one that nobody speaks of, as behind an election: what was asked for by then has no reason any more.
-        ledger.all().stream().filter(o -> o.subject().kind() == DisruptionTarget.Kind.BELOW)
+        ledger.disruptions().stream().filter(o -> o.target().kind() == DisruptionTarget.Kind.DEPENDENCY)
                 .forEach(o -> counts.putIfAbsent(
-                        o.subject().name(), new Count(0, 0)));
+                        o.target().name(), new Count(0, 0)));
         counts.forEach((server, c) -> decide(now, server, c, ill.contains(server), most, ops));
         avoid(counts, ill, most);
         return ops;
@@ -160,25 +162,25 @@
         double held = now - since.getOrDefault(s, now);
         if (out == null) {
             if (ill && !most && now >= mostUntil && now - illSince.get(server) >= SURE_AFTER) {
-                propose(new DisruptionCommand.Ask(s, Why.ILL, BY + ' ' + server + ' ' + ++asks, BY), s, ops);
+                propose(new DisruptionCommand.Request(s, Reason.ILL, BY + ' ' + server + ' ' + ++asks, BY), s, ops);
             }
             return;
         }
         switch (out.phase()) {
             case ASKED -> {
                 // No reason any more, or one too many: whoever waits in vain would go when it is well again.
-                if (out.why() == Why.ILL && (!ill || most)) {
-                    propose(new DisruptionCommand.Withdraw(s, out.request()), s, ops);
+                if (out.reason() == Reason.ILL && (!ill || most)) {
+                    propose(new DisruptionCommand.Withdraw(s, out.requestId()), s, ops);
                 }
             }
             case GRANTED, GONE -> {
-                if (out.why() == Why.ILL && (held >= Waits.seconds(out.life()) || most)) {
-                    propose(new DisruptionCommand.Rejoins(s), s, ops);
+                if (out.reason() == Reason.ILL && (held >= Waits.seconds(out.incarnation()) || most)) {
+                    propose(new DisruptionCommand.Rejoin(s), s, ops);
                 }
             }
             case RETURNING -> {
                 if (ill && !most && held >= SURE_AFTER) {
-                    propose(new DisruptionCommand.Lost(s, out.life()), s, ops);
+                    propose(new DisruptionCommand.Lost(s, out.incarnation()), s, ops);
                 } else if (held >= Ramp.whole() && 2 * c.well() >= c.tried()) {
                     propose(new DisruptionCommand.Steady(s), s, ops);
                 }
@@ -218,13 +220,13 @@
     /** Since when each is in its phase, by this leader's clock; after an election that is a little later. */
     private void follow(double now, Map<String, Count> counts) {
         Set<DisruptionTarget> there = new HashSet<>();
-        for (Disruption o : ledger.all()) {
-            if (o.subject().kind() == DisruptionTarget.Kind.BELOW) {
-                there.add(o.subject());
-                if (phases.put(o.subject(), o.phase()) != o.phase()) {
-                    since.put(o.subject(), now);
-                    Count c = counts.getOrDefault(o.subject().name(), new Count(0, 0));
-                    LOG.info("{} is {} for {}: found ill by {} and well by {} of {}", o.subject(), o.phase(), o.why(),
+        for (Disruption o : ledger.disruptions()) {
+            if (o.target().kind() == DisruptionTarget.Kind.DEPENDENCY) {
+                there.add(o.target());
+                if (phases.put(o.target(), o.phase()) != o.phase()) {
+                    since.put(o.target(), now);
+                    Count c = counts.getOrDefault(o.target().name(), new Count(0, 0));
+                    LOG.info("{} is {} for {}: found ill by {} and well by {} of {}", o.target(), o.phase(), o.reason(),
                             c.ill(), c.well(), heard.size());
                 }
             }
@@ -239,7 +241,7 @@
         for (String server : servers) {
             DisruptionTarget s = subject(server);
             if (!ledger.capacities().containsKey(s)) {
-                propose(new DisruptionCommand.Known(s, 0), s, ops);
+                propose(new DisruptionCommand.SetCapacity(s, 0), s, ops);
             }
         }
     }
@@ -274,9 +276,9 @@
     private double room() {
         double room = 0;
         for (DisruptionBudget b : ledger.budgets()) {
-            if (b.kind() == DisruptionTarget.Kind.BELOW && b.zone().isEmpty()) {
-                long out = ledger.taken().stream().filter(b::covers).count();
-                room = Math.max(room, b.most() - out);
+            if (b.kind() == DisruptionTarget.Kind.DEPENDENCY && b.zone().isEmpty()) {
+                long out = ledger.targetsUsingBudget().stream().filter(b::covers).count();
+                room = Math.max(room, b.maxUnavailable() - out);
             }
         }
         return room;
@@ -285,11 +287,11 @@
     /** What one instance is told. */
     public List<Word> words(double now, String watcher) {
         List<Word> words = new ArrayList<>();
-        for (Disruption o : ledger.all()) {
-            if (o.subject().kind() == DisruptionTarget.Kind.BELOW && o.takesPlace()) {
+        for (Disruption o : ledger.disruptions()) {
+            if (o.target().kind() == DisruptionTarget.Kind.DEPENDENCY && o.usesBudget()) {
                 // Applied since the last look it is new: by the age of the phase before it would be back all at once.
-                double age = phases.get(o.subject()) == o.phase() ? now - since.get(o.subject()) : 0;
-                words.add(new Word(o.subject().name(), o.phase() == Phase.RETURNING ? Word.Kind.RETURNING
+                double age = phases.get(o.target()) == o.phase() ? now - since.get(o.target()) : 0;
+                words.add(new Word(o.target().name(), o.phase() == Phase.RETURNING ? Word.Kind.RETURNING
                         : Word.Kind.OUT, o.token(), Math.max(0, age)));
             }
         }
@@ -310,7 +312,7 @@
     }
 
     private static DisruptionTarget subject(String server) {
-        return new DisruptionTarget(DisruptionTarget.Kind.BELOW, server, "");
+        return new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, server, "");
     }
 
     private void propose(DisruptionCommand op, DisruptionTarget s, List<DisruptionCommand> ops) {
--- a/src/main/java/topazladder/config/ExtensionSettingsFile.java
+++ b/src/main/java/topazladder/config/ExtensionSettingsFile.java
@@ -147,7 +147,7 @@
                 throw new InvalidSettingsException(at + "name should be a word of its own: '" + b.getName() + "'");
             }
             all.add(new DisruptionBudget(b.getName(),
-                    b.getBelow() ? DisruptionTarget.Kind.BELOW : DisruptionTarget.Kind.INSTANCE, b.getZone(),
+                    b.getBelow() ? DisruptionTarget.Kind.DEPENDENCY : DisruptionTarget.Kind.INSTANCE, b.getZone(),
                     (int) number(at + "most", b.hasMost() ? b.getMost() : 1, 0, 1000),
                     number(at + "share", b.hasShare() ? b.getShare() : 1, 0.001, 1)));
         }
--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -133,7 +133,7 @@
     private final LeaseManager leaseManager;
     private final DisruptionController permits;
     private final Verdicts verdicts;
-    private Map<DisruptionTarget, DisruptionController.Seen> seen = Map.of();
+    private Map<DisruptionTarget, DisruptionController.Observation> seen = Map.of();
     private final VoterSet voters = new VoterSet();
     private final RandomGenerator chance;
     private final VoterStore store;
@@ -301,9 +301,9 @@
     public View view() {
         Release r = agreed.releases().release();
         List<View.Sight> sights = new ArrayList<>();
-        Map<DisruptionTarget, String> blocked = permits.blocked();
-        seen.forEach((s, look) -> sights.add(new View.Sight(s.name(), s.zone(), look.look(), look.life(),
-                agreed.outs().get(s), blocked.get(s), permits.loadReport(s, look.life()))));
+        Map<DisruptionTarget, String> blocked = permits.blockedReasons();
+        seen.forEach((s, look) -> sights.add(new View.Sight(s.name(), s.zone(), look.health(), look.incarnation(),
+                agreed.outs().get(s), blocked.get(s), permits.loadReport(s, look.incarnation()))));
         return new View(r, List.copyOf(sights), here.name(), mostVotersKnow(KNOWS_ADDITIONS));
     }
 
@@ -355,7 +355,7 @@
     }
 
     /** How the instances look from here; of use only while this voter leads. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
+    public void seen(Map<DisruptionTarget, DisruptionController.Observation> looks) {
         seen = Map.copyOf(looks);
         permits.membersObserved(clock.getAsDouble(), seen);
     }
@@ -363,11 +363,11 @@
     /** A member that may go would go now: once it is written down it may. */
     public void going(MemberIdentity from, long token) {
         if (leaseManager.isLeader()) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), token, from.incarnation(), ""), outcome -> {
-                if (outcome.done()) {
+            propose(new DisruptionCommand.Leaving(instance(from.name()), token, from.incarnation(), ""), outcome -> {
+                if (outcome.isApplied()) {
                     Disruption out = agreed.outs().get(instance(from.name()));
                     world.go(from.name(), token, out == null ? ""
-                            : agreed.releases().versionFor(from.name(), out.request()));
+                            : agreed.releases().versionFor(from.name(), out.requestId()));
                 }
             });
         }
@@ -376,9 +376,9 @@
     /** A member was told to leave by somebody else, and does so whatever is said here. */
     public void leaving(MemberIdentity from, String by) {
         Disruption out = agreed.outs().get(instance(from.name()));
-        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.life() == from.incarnation();
+        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.incarnation() == from.incarnation();
         if (leaseManager.isLeader() && !known) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.incarnation(), by), outcome -> {});
+            propose(new DisruptionCommand.Leaving(instance(from.name()), 0, from.incarnation(), by), outcome -> {});
         }
     }
 
@@ -486,20 +486,22 @@
         }
         // Behind them: what is withdrawn is not granted in the same moment.
         permits.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, permits::commandCompleted));
-        leaseManager.setFastPolling(agreed.outs().all().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
-                .map(o -> o.subject().name()).collect(Collectors.toSet()));
+        leaseManager.setFastPolling(
+                agreed.outs().disruptions().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
+                        .map(o -> o.target().name()).collect(Collectors.toSet()));
         // Said again and again, until it has gone: the word may be lost, and so may the one back. Also to one that has
         // said that it goes and is still there: the leader that wrote it down may have ended before it told it so.
         Release release = agreed.releases().release();
         boolean halted = release != null && release.phase() == Release.Phase.HALTED;
-        for (Disruption o : agreed.outs().all()) {
-            DisruptionController.Seen look = seen.get(o.subject());
-            boolean waits = o.phase() == Disruption.Phase.GONE && o.why().waits() && look != null
-                    && look.life() == o.life()
-                    && look.look() != DisruptionController.Look.GONE && !(halted && o.why() == Disruption.Why.RELEASE);
+        for (Disruption o : agreed.outs().disruptions()) {
+            DisruptionController.Observation look = seen.get(o.target());
+            boolean waits = o.phase() == Disruption.Phase.GONE && o.reason().needsGrant() && look != null
+                    && look.incarnation() == o.incarnation()
+                    && look.health() != DisruptionController.Health.GONE
+                    && !(halted && o.reason() == Disruption.Reason.RELEASE);
             if ((o.phase() == Disruption.Phase.GRANTED || waits)
-                    && o.subject().kind() == DisruptionTarget.Kind.INSTANCE) {
-                world.mayGo(o.subject().name(), o.token());
+                    && o.target().kind() == DisruptionTarget.Kind.INSTANCE) {
+                world.mayGo(o.target().name(), o.token());
             }
         }
     }
@@ -584,7 +586,7 @@
                 }
             });
         }
-        replicateOut(new DisruptionCommand.Budgets(terms.budgets())).whenComplete((o, e) -> {
+        replicateOut(new DisruptionCommand.SetBudgets(terms.budgets())).whenComplete((o, e) -> {
             if (e != null) {
                 notDone(e);
             }
--- a/src/main/java/topazladder/consensus/ReplicatedState.java
+++ b/src/main/java/topazladder/consensus/ReplicatedState.java
@@ -20,7 +20,7 @@
     }
 
     /** All of it, to begin another with; there may have been no release. */
-    public record Copy(LeaseStateMachine.Snapshot duties, DisruptionStateMachine.Copy outs, Release release) {
+    public record Copy(LeaseStateMachine.Snapshot duties, DisruptionStateMachine.Snapshot outs, Release release) {
     }
 
     /** @return the outcome of the ledger that the operation is about */
@@ -30,12 +30,12 @@
     }
 
     public Copy copy() {
-        return new Copy(duties.snapshot(), outs.copy(), releases.release());
+        return new Copy(duties.snapshot(), outs.snapshot(), releases.release());
     }
 
     public void replace(Copy other) {
         duties.restore(other.duties());
-        outs.replace(other.outs());
+        outs.restore(other.outs());
         releases.replace(other.release());
     }
 
--- a/src/main/java/topazladder/disruption/Disruption.java
+++ b/src/main/java/topazladder/disruption/Disruption.java
@@ -1,36 +1,46 @@
 package topazladder.disruption;
 
 /**
- * One subject that is out, or wants to be, as the hall has agreed.
+ * One target that is unavailable, or waits to be, as the group has agreed; immutable.
  *
- * @param why it is out
+ * @param reason why it is unavailable
  * @param phase how far it has come
- * @param request by which the asker knows its question again; one that is asked twice is one
- * @param token under which it may be out; 0 while it has only asked
- * @param life of the process that the phase is about; another life of the name is another process
- * @param asked place in the order of asking
- * @param by who asked, for operators
+ * @param requestId by which the requester knows its request again; one that is repeated counts once
+ * @param token under which it may be unavailable, and grows with each grant; 0 while it waits
+ * @param incarnation of the process that the phase is about; for a dependency, how often it has tried to rejoin
+ * @param requestOrder place in the order of requests
+ * @param requestedBy who asked, for operators
  */
-public record Disruption(DisruptionTarget subject, Why why, Phase phase, String request, long token, long life,
-        long asked, String by) {
+public record Disruption(DisruptionTarget target, Reason reason, Phase phase, String requestId, long token,
+        long incarnation, long requestOrder, String requestedBy) {
 
-    /** Why a subject is out. The first three wait for their turn; the others are a fact when they are told. */
-    public enum Why {
-        RELEASE, OPERATOR, ILL,
-        /** It was told to leave by somebody else, and obeys at once. */
+    /**
+     * Why a target is unavailable. The first three wait for a grant; the others are facts when they are reported.
+     * Printed by name, sent and stored by ordinal: names and order stay.
+     */
+    public enum Reason {
+        /** A rollout starts the instance in another version. */
+        RELEASE,
+        /** An operator drains it. */
+        OPERATOR,
+        /** A dependency fails its health checks. */
+        ILL,
+        /** The process was told to end by somebody else, and obeys at once. */
         LEAVING,
         /** Nobody hears it. */
         LOST;
 
-        public boolean waits() {
+        /** Whether the target is only unavailable once the leader has granted it. */
+        public boolean needsGrant() {
             return this == RELEASE || this == OPERATOR || this == ILL;
         }
     }
 
+    /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Phase {
-        /** It waits for its turn, and takes no place. */
+        /** It waits for its turn, and uses no budget. */
         ASKED,
-        /** It may go, and takes a place whether it has gone or not. */
+        /** It may go, and uses the budget whether it has gone or not. */
         GRANTED,
         /** It has gone. */
         GONE,
@@ -38,15 +48,17 @@
         RETURNING
     }
 
-    public boolean takesPlace() {
+    /** Whether it counts against the budgets that cover it. */
+    public boolean usesBudget() {
         return phase != Phase.ASKED;
     }
 
-    Disruption in(Phase next, long of) {
-        return new Disruption(subject, why, next, request, token, of, asked, by);
+    Disruption inPhase(Phase next, long nextIncarnation) {
+        return new Disruption(target, reason, next, requestId, token, nextIncarnation, requestOrder, requestedBy);
     }
 
-    Disruption granted(long under, long of) {
-        return new Disruption(subject, why, Phase.GRANTED, request, under, of, asked, by);
+    Disruption granted(long newToken, long grantedIncarnation) {
+        return new Disruption(target, reason, Phase.GRANTED, requestId, newToken, grantedIncarnation, requestOrder,
+                requestedBy);
     }
 }
--- a/src/main/java/topazladder/disruption/DisruptionBudget.java
+++ b/src/main/java/topazladder/disruption/DisruptionBudget.java
@@ -4,50 +4,63 @@
 import java.util.Map;
 
 /**
- * How much may be out at once by agreement, of one part of what there is.
+ * How much of one part of the cluster may be unavailable at once by agreement: at most {@code maxUnavailable} targets,
+ * and at most {@code maxCapacityShare} of the part's measured capacity. A target without a measured capacity counts as
+ * the mean of the others.
  *
  * @param name for operators
- * @param kind of what it is about
- * @param zone or empty for all zones
- * @param most subjects at once
- * @param share of the measured capacity of that part, over 0 and at most 1
+ * @param kind of the targets that it covers
+ * @param zone that it covers, or empty for all zones
+ * @param maxUnavailable targets at once
+ * @param maxCapacityShare part of the capacity, over 0 and at most 1
  */
-public record DisruptionBudget(String name, DisruptionTarget.Kind kind, String zone, int most, double share) {
+public record DisruptionBudget(String name, DisruptionTarget.Kind kind, String zone, int maxUnavailable,
+        double maxCapacityShare) {
+    /** So that a share that is met exactly is not refused by rounding. */
+    private static final double ROUNDING = 1e-9;
+    private static final int PERCENT = 100;
 
-    public boolean covers(DisruptionTarget s) {
-        return s.kind() == kind && (zone.isEmpty() || zone.equals(s.zone()));
+    /** Whether the budget is about that target. */
+    public boolean covers(DisruptionTarget target) {
+        return target.kind() == kind && (zone.isEmpty() || zone.equals(target.zone()));
     }
 
     /**
-     * Why one more may not go out, or null where it may.
+     * Why one more target may not become unavailable, or null where it may.
      *
-     * @param out subjects that take a place now, of whatever kind
-     * @param capacities of all subjects there are; one that is not measured counts as the mean of the others
+     * @param unavailable targets that use the budget now, of whatever kind
+     * @param capacities of all known targets, payoff a second; 0 for unknown
      */
-    public String refuses(DisruptionTarget one, Collection<DisruptionTarget> out,
+    public String rejection(DisruptionTarget candidate, Collection<DisruptionTarget> unavailable,
             Map<DisruptionTarget, Double> capacities) {
-        if (!covers(one)) {
+        if (!covers(candidate)) {
             return null;
         }
-        long taken = out.stream().filter(s -> covers(s) && !s.equals(one)).count();
-        if (taken + 1 > most) {
-            return name + ": " + taken + " of " + most + " are out";
+        long others = unavailable.stream().filter(target -> isOther(target, candidate)).count();
+        if (others + 1 > maxUnavailable) {
+            return name + ": " + others + " of " + maxUnavailable + " are out";
         }
-        double mean = capacities.entrySet().stream().filter(e -> covers(e.getKey()) && e.getValue() > 0)
+        double mean = capacities.entrySet().stream()
+                .filter(entry -> covers(entry.getKey()) && entry.getValue() > 0)
                 .mapToDouble(Map.Entry::getValue).average().orElse(1);
-        double all = capacities.entrySet().stream().filter(e -> covers(e.getKey()))
-                .mapToDouble(e -> e.getValue() > 0 ? e.getValue() : mean).sum();
-        double gone = out.stream().filter(s -> covers(s) && !s.equals(one))
-                .mapToDouble(s -> of(capacities, s, mean)).sum() + of(capacities, one, mean);
-        if (all > 0 && gone > share * all + 1e-9) {
-            return name + ": with it " + Math.round(100 * gone / all) + "% of the capacity would be out, of "
-                    + Math.round(100 * share) + "%";
+        double total = capacities.entrySet().stream().filter(entry -> covers(entry.getKey()))
+                .mapToDouble(entry -> entry.getValue() > 0 ? entry.getValue() : mean).sum();
+        double missing = unavailable.stream().filter(target -> isOther(target, candidate))
+                .mapToDouble(target -> capacity(capacities, target, mean)).sum()
+                + capacity(capacities, candidate, mean);
+        if (total > 0 && missing > maxCapacityShare * total + ROUNDING) {
+            return name + ": with it " + Math.round(PERCENT * missing / total) + "% of the capacity would be out, of "
+                    + Math.round(PERCENT * maxCapacityShare) + "%";
         }
         return null;
     }
 
-    private static double of(Map<DisruptionTarget, Double> capacities, DisruptionTarget s, double mean) {
-        double c = capacities.getOrDefault(s, 0.0);
-        return c > 0 ? c : mean;
+    private boolean isOther(DisruptionTarget target, DisruptionTarget candidate) {
+        return covers(target) && !target.equals(candidate);
+    }
+
+    private static double capacity(Map<DisruptionTarget, Double> capacities, DisruptionTarget target, double mean) {
+        double measured = capacities.getOrDefault(target, 0.0);
+        return measured > 0 ? measured : mean;
     }
 }
--- a/src/main/java/topazladder/disruption/DisruptionCommand.java
+++ b/src/main/java/topazladder/disruption/DisruptionCommand.java
@@ -2,64 +2,83 @@
 
 import java.util.List;
 
-/** What the hall agrees on about outs, one after another; each may come twice, or late, without harm. */
+/** A command of the replicated log about disruptions; one that is applied twice, or late, does no harm. */
 public sealed interface DisruptionCommand {
 
-    /** The budgets by the settings of whoever leads. A budget that is cut takes nothing back: it only grants less. */
-    record Budgets(List<DisruptionBudget> budgets) implements DisruptionCommand {
+    /** Sets the budgets, by the leader's settings. One that is cut takes nothing back: it only grants less. */
+    record SetBudgets(List<DisruptionBudget> budgets) implements DisruptionCommand {
     }
 
-    /** What a subject can do, as measured; 0 for unknown. It is there from then on. */
-    record Known(DisruptionTarget subject, double capacity) implements DisruptionCommand {
+    /**
+     * Makes a target known, and sets its capacity.
+     *
+     * @param capacityPerSecond payoff that it was measured to serve; 0 for unknown
+     */
+    record SetCapacity(DisruptionTarget target, double capacityPerSecond) implements DisruptionCommand {
     }
 
-    /** It is no part of the hall any more. */
-    record Forgotten(DisruptionTarget subject) implements DisruptionCommand {
+    /** The target is no part of the cluster any more. */
+    record Forget(DisruptionTarget target) implements DisruptionCommand {
     }
 
-    record Ask(DisruptionTarget subject, Disruption.Why why, String request, String by) implements DisruptionCommand {
+    /** Asks for a grant. */
+    record Request(DisruptionTarget target, Disruption.Reason reason, String requestId, String requestedBy)
+            implements
+                DisruptionCommand {
     }
 
     /**
-     * @param request that is granted, so that one asked since is not
-     * @param life of the process that may go
+     * Lets a target go that waits.
+     *
+     * @param requestId that is granted, so that one made since is not
+     * @param incarnation of the process that may go
      */
-    record Grant(DisruptionTarget subject, String request, long life) implements DisruptionCommand {
+    record Grant(DisruptionTarget target, String requestId, long incarnation) implements DisruptionCommand {
     }
 
-    /** It does not want to go any more, or has not gone and stays. */
-    record Withdraw(DisruptionTarget subject, String request) implements DisruptionCommand {
+    /** The target does not want to go any more, or has not gone and stays. */
+    record Withdraw(DisruptionTarget target, String requestId) implements DisruptionCommand {
     }
 
-    /** It goes: under its token by permission, or under 0 because somebody else told it to. */
-    record Leaves(DisruptionTarget subject, long token, long life, String by) implements DisruptionCommand {
+    /**
+     * The target goes.
+     *
+     * @param token of its grant; 0 where somebody else told the process to end
+     */
+    record Leaving(DisruptionTarget target, long token, long incarnation, String requestedBy)
+            implements
+                DisruptionCommand {
     }
 
     /** Nobody hears that process. */
-    record Lost(DisruptionTarget subject, long life) implements DisruptionCommand {
+    record Lost(DisruptionTarget target, long incarnation) implements DisruptionCommand {
     }
 
-    /** It is back under that life, and takes its place until it is steady. */
-    record Returns(DisruptionTarget subject, long life) implements DisruptionCommand {
+    /** The target is back under that incarnation, and uses its budget until it is steady. */
+    record Returning(DisruptionTarget target, long incarnation) implements DisruptionCommand {
     }
 
-    /** It serves as its peers do. */
-    record Steady(DisruptionTarget subject) implements DisruptionCommand {
+    /** The target serves as its peers do. */
+    record Steady(DisruptionTarget target) implements DisruptionCommand {
     }
 
-    /** A service below that is out is used again, little by little. Readable from schema 3 on. */
-    record Rejoins(DisruptionTarget subject) implements DisruptionCommand {
+    /** A dependency that is unavailable is used again, little by little. Readable from schema 3 on. */
+    record Rejoin(DisruptionTarget target) implements DisruptionCommand {
     }
 
-    /** A service below that is out for whatever reason stays out until an operator says otherwise. From schema 3 on. */
-    record Keeps(DisruptionTarget subject, String request, String by) implements DisruptionCommand {
+    /** A dependency that is unavailable stays so until an operator says otherwise. Readable from schema 3 on. */
+    record KeepOut(DisruptionTarget target, String requestId, String requestedBy) implements DisruptionCommand {
     }
 
-    /** An operator says that its place is filled, or that it is not coming back. */
-    record GivenUp(DisruptionTarget subject, String by) implements DisruptionCommand {
+    /** An operator says that the target has been replaced, or does not come back. */
+    record GiveUp(DisruptionTarget target, String requestedBy) implements DisruptionCommand {
     }
 
-    /** Nothing more is granted, for that reason; null to go on. */
-    record Halt(String why) implements DisruptionCommand {
+    /**
+     * Suspends all grants.
+     *
+     * @param reason why nothing is granted; null to resume
+     */
+    record SuspendGrants(String reason) implements DisruptionCommand {
     }
 }
--- a/src/main/java/topazladder/disruption/DisruptionController.java
+++ b/src/main/java/topazladder/disruption/DisruptionController.java
@@ -6,245 +6,275 @@
 import java.util.Map;
 import java.util.TreeMap;
 import topazladder.disruption.Disruption.Phase;
-import topazladder.disruption.Disruption.Why;
+import topazladder.disruption.Disruption.Reason;
 
 /**
- * What the group's leader decides about outs: who is lost, who is back and steady, whose turn it is. What it sees of
- * members is its own and not agreed on; what it makes of it is proposed, and the ledger checks it once more.
+ * The leader's side of the disruptions: decides who is lost, who has returned and is steady, and whose turn it is. What
+ * it observes is its own and not replicated; what it concludes is proposed, and {@link DisruptionStateMachine} checks
+ * it once more.
  *
- * <p>Whoever is suspected, or not steady, counts as out though the ledger does not say so: the hall has to bear it
- * now. When most of the hall looks lost at once nobody is taken for lost, and nobody may go: it is likelier the one
- * who looks.
+ * <p>Rules:
+ *
+ * <ul>
+ * <li>An instance that is suspected or not steady counts as unavailable though the state machine does not say so: the
+ * others have to bear it now.
+ * <li>While more than half of the instances look lost, nobody is taken for lost and nobody may go: the leader itself is
+ * likely cut off.
+ * <li>Targets go in the order in which they asked. The first that has to wait keeps the next free place: those behind
+ * it go only where there is one more.
+ * <li>A new leader grants nothing until it had time to hear of every member.
+ * </ul>
+ *
+ * <p>All calls come on one thread; times are seconds of one clock that never runs backwards.
  */
 public class DisruptionController {
-    /** Part of the instances that may look lost before that says more about this leader than about them. */
-    private static final double MOST_LOST = 0.5;
+    /** By how much a capacity has to change, as a part of itself, before it is recorded anew. */
+    private static final double CAPACITY_CHANGE = 0.2;
+    private static final double MIN_CAPACITY = 1e-9;
 
-    /** How one instance looks from here. */
-    public enum Look { STEADY, UNSTEADY, SUSPECTED, GONE }
-
-    /** @param life of the process that looks so */
-    public record Seen(Look look, long life) {
+    /** How one instance looks to the leader. */
+    public enum Health {
+        /** It serves as it should. */
+        STEADY,
+        /** It is there, and starts, drains or struggles. */
+        UNSTEADY,
+        /** It may be gone. */
+        SUSPECTED,
+        /** Nobody hears it. */
+        GONE
     }
 
-    /** What is older says nothing of how it serves. */
-    private static final double STALE = 30;
-    /** Parts of its peers' middle that one has to be asked for and to honour, to be one of them. */
-    private static final double ASKED_PART = 0.25;
-    private static final double SHARE_PART = 0.9;
-    /** By how much a capacity has to differ before the ledger is told. */
-    private static final double CAPACITY_MOVES = 0.2;
-
-    /** Seconds for which an instance's own word that it is steady counts before the others have told it along. */
-    private static final double WORD = 3;
-
-    private record Said(double at, long life, int schema, LoadReport serving, boolean steady) {
+    /** @param incarnation of the process that looks so */
+    public record Observation(Health health, long incarnation) {
     }
 
-    private final DisruptionStateMachine ledger;
-    private final double lostAfter;
-    private final Map<DisruptionTarget, Seen> seen = new HashMap<>(); // as many as there are members
-    private final Map<DisruptionTarget, Double> goneSince = new HashMap<>();
-    private final Map<DisruptionTarget, DisruptionCommand> pending = new HashMap<>();
-    private final Map<DisruptionTarget, String> blocked = new TreeMap<>();
-    private final Map<DisruptionTarget, Said> said = new HashMap<>(); // of those that are seen
+    private final DisruptionStateMachine stateMachine;
+    private final double lostAfterSeconds;
+    private final InstanceObservations observations = new InstanceObservations();
+    private final LoadReports reports = new LoadReports();
+    private final Map<DisruptionTarget, DisruptionCommand> commandsInFlight = new HashMap<>();
+    private final Map<DisruptionTarget, String> blockedReasons = new TreeMap<>();
     private boolean leading;
-    private double quietUntil;
-
-    /** @param lostAfter seconds for which one must be unheard before its place is written down as lost */
-    public DisruptionController(DisruptionStateMachine ledger, double lostAfter) {
-        this.ledger = ledger;
-        this.lostAfter = lostAfter;
-    }
+    private double mayDecideFrom;
 
     /**
-     * Its time begins: what it sees of the members is not to be trusted yet, so nothing is granted for so many
-     * seconds.
+     * Creates a controller that does not lead yet.
+     *
+     * @param stateMachine replicated; read here, and changed only by commands that are applied
+     * @param lostAfterSeconds for which an instance must be gone before it is recorded as lost
      */
-    public void becomeLeader(double now, double quiet) {
+    public DisruptionController(DisruptionStateMachine stateMachine, double lostAfterSeconds) {
+        this.stateMachine = stateMachine;
+        this.lostAfterSeconds = lostAfterSeconds;
+    }
+
+    // ---- leadership
+
+    /** This voter leads; it decides nothing for so many seconds, as it may not have heard of every member yet. */
+    public void becomeLeader(double now, double quietSeconds) {
         leading = true;
-        goneSince.clear();
-        pending.clear();
-        quietUntil = now + quiet;
+        observations.resetGoneSince();
+        commandsInFlight.clear();
+        mayDecideFrom = now + quietSeconds;
     }
 
-    /** Whether the time is over for which a new leader grants nothing, as it may not have heard of every member yet. */
+    /** Whether this voter has led for long enough to decide. */
     public boolean isSettled(double now) {
-        return leading && now >= quietUntil;
+        return leading && now >= mayDecideFrom;
     }
 
+    /** Another voter leads, or may lead. */
     public void stepDown() {
         leading = false;
     }
 
-    /** How the instances look to this member, from membership and from what they say of themselves. */
-    public void membersObserved(double now, Map<DisruptionTarget, Seen> looks) {
-        seen.clear();
-        seen.putAll(looks);
-        said.keySet().retainAll(looks.keySet());
-        goneSince.keySet().removeIf(s -> !looks.containsKey(s) || looks.get(s).look() != Look.GONE);
-        looks.forEach((s, l) -> {
-            if (l.look() == Look.GONE) {
-                goneSince.putIfAbsent(s, now);
-            }
-        });
+    // ---- what is observed
+
+    /** How all instances look to this member, from membership. */
+    public void membersObserved(double now, Map<DisruptionTarget, Observation> observed) {
+        reports.retainAll(observed.keySet());
+        observations.replace(now, observed);
     }
 
-    /** An operation was applied, or nobody knows whether it was; where it was not it is proposed again. */
-    public void commandCompleted(DisruptionCommand op) {
-        pending.values().removeIf(op::equals);
+    /** What an instance reports of itself. */
+    public void loadReported(double now, DisruptionTarget target, long incarnation, int schema, LoadReport report,
+            boolean steady) {
+        reports.put(now, target, incarnation, schema, report, steady);
+    }
+
+    /** The last report of that incarnation, or null. */
+    public LoadReport loadReport(DisruptionTarget target, long incarnation) {
+        return reports.get(target, incarnation);
+    }
+
+    /** The schema that an instance can read; 0 for one that has reported nothing. */
+    public int schemaOf(String instanceName) {
+        return reports.schemaOf(new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, instanceName, ""));
+    }
+
+    /** An instance's own report that it is steady arrives sooner than the others' gossip about it. */
+    private Observation withOwnClaim(double now, DisruptionTarget target, Observation observed) {
+        return observed.health() == Health.UNSTEADY
+                && reports.claimsSteady(now, target, observed.incarnation())
+                        ? new Observation(Health.STEADY, observed.incarnation()) : observed;
     }
 
-    /** What time and sight bring, to be proposed. */
+    // ---- decisions
+
+    /** A command was applied, or nobody knows whether it was; where it was not it is proposed again. */
+    public void commandCompleted(DisruptionCommand command) {
+        commandsInFlight.values().removeIf(command::equals);
+    }
+
+    /** What is to be proposed by what is observed and what time it is. */
     public List<DisruptionCommand> tick(double now) {
-        List<DisruptionCommand> ops = new ArrayList<>();
-        if (!leading || now < quietUntil) {
-            return ops;
+        List<DisruptionCommand> proposals = new ArrayList<>();
+        if (!isSettled(now)) {
+            return proposals;
         }
-        blocked.clear();
-        boolean blind = blind();
-        seen.forEach((s, l) -> {
-            know(s, ops);
-            follow(now, s, asSaid(now, s, l), blind, ops);
+        blockedReasons.clear();
+        boolean blind = observations.isBlind(stateMachine.targetsUsingBudget());
+        observations.forEach((target, observed) -> {
+            recordCapacity(target, proposals);
+            follow(now, target, withOwnClaim(now, target, observed), blind, proposals);
         });
-        grant(now, blind, ops);
-        return ops;
+        grantWaiting(now, blind, proposals);
+        return proposals;
     }
 
-    private void know(DisruptionTarget s, List<DisruptionCommand> ops) {
-        Double before = ledger.capacities().get(s);
-        double capacity = said.containsKey(s) ? said.get(s).serving().capacity() : 0;
-        if (before == null || capacity > 0 && Math.abs(capacity - before) > CAPACITY_MOVES * Math.max(before, 1e-9)) {
-            propose(new DisruptionCommand.Known(s, capacity), s, ops);
+    private boolean propose(DisruptionCommand command, DisruptionTarget target, List<DisruptionCommand> proposals) {
+        if (commandsInFlight.putIfAbsent(target, command) == null) {
+            proposals.add(command);
+            return true;
         }
+        return false;
     }
 
-    /** Whether more look lost than are known to be out by more than half of all. */
-    private boolean blind() {
-        long lost = seen.entrySet().stream().filter(e -> e.getValue().look() == Look.GONE
-                || e.getValue().look() == Look.SUSPECTED).filter(e -> !ledger.taken().contains(e.getKey())).count();
-        return lost > MOST_LOST * seen.size();
-    }
-
-    private void follow(double now, DisruptionTarget s, Seen l, boolean blind, List<DisruptionCommand> ops) {
-        Disruption out = ledger.get(s);
-        Phase phase = out == null ? null : out.phase();
-        boolean another = out != null && out.life() != l.life();
-        if (l.look() == Look.GONE) {
-            boolean sure = now - goneSince.getOrDefault(s, now) >= lostAfter && !blind;
-            // One on its way back keeps that place: as GONE under the life that it has it would pass for one that has
-            // said that it goes and was not told so yet, and be sent out once more.
-            if (sure && (out == null || phase == Phase.ASKED)) {
-                propose(new DisruptionCommand.Lost(s, l.life()), s, ops);
-            }
-        } else if (l.look() != Look.SUSPECTED) {
-            if ((phase == Phase.GONE || phase == Phase.GRANTED) && (another || out.why() == Why.LOST)) {
-                propose(new DisruptionCommand.Returns(s, l.life()), s, ops);
-            } else if (phase == Phase.RETURNING && another) {
-                propose(new DisruptionCommand.Lost(s, out.life()), s, ops); // and then it returns under its new life
-            } else if (phase == Phase.RETURNING && steady(now, s, l)) {
-                propose(new DisruptionCommand.Steady(s), s, ops);
-            }
+    private void recordCapacity(DisruptionTarget target, List<DisruptionCommand> proposals) {
+        Double recorded = stateMachine.capacities().get(target);
+        double measured = reports.capacityPerSecond(target);
+        if (recorded == null || measured > 0
+                && Math.abs(measured - recorded) > CAPACITY_CHANGE * Math.max(recorded, MIN_CAPACITY)) {
+            propose(new DisruptionCommand.SetCapacity(target, measured), target, proposals);
         }
     }
 
-    /** Its own word that it is steady comes with its ask, and so sooner than by whoever else has heard of it. */
-    private Seen asSaid(double now, DisruptionTarget s, Seen l) {
-        Said own = said.get(s);
-        return l.look() == Look.UNSTEADY && own != null && own.life() == l.life() && own.steady()
-                && now - own.at() < WORD ? new Seen(Look.STEADY, l.life()) : l;
+    private void follow(double now, DisruptionTarget target, Observation observed, boolean blind,
+            List<DisruptionCommand> proposals) {
+        if (observed.health() == Health.GONE) {
+            followGone(now, target, observed, blind, proposals);
+        } else if (observed.health() != Health.SUSPECTED) {
+            followHeard(now, target, observed, proposals);
+        }
     }
 
-    /** By its own word, and by what it serves beside its peers: one that is back and is passed by is not back yet. */
-    protected boolean steady(double now, DisruptionTarget s, Seen l) {
-        return l.look() == Look.STEADY && servesAsItsPeers(now, s, l);
+    /**
+     * An instance that returns and is gone again stays in that phase: as gone under the same incarnation it would pass
+     * for one that has said that it goes and was not told so yet, and be sent out once more.
+     */
+    private void followGone(double now, DisruptionTarget target, Observation observed, boolean blind,
+            List<DisruptionCommand> proposals) {
+        Disruption disruption = stateMachine.get(target);
+        boolean isLost = observations.goneSeconds(now, target) >= lostAfterSeconds && !blind;
+        if (isLost && (disruption == null || disruption.phase() == Phase.ASKED)) {
+            propose(new DisruptionCommand.Lost(target, observed.incarnation()), target, proposals);
+        }
     }
 
-    private boolean servesAsItsPeers(double now, DisruptionTarget s, Seen l) {
-        List<LoadReport> peers = new ArrayList<>();
-        seen.forEach((other, look) -> {
-            Said what = said.get(other);
-            if (!other.equals(s) && look.look() == Look.STEADY && ledger.get(other) == null && what != null
-                    && what.life() == look.life() && now - what.at() < STALE) {
-                peers.add(what.serving());
+    private void followHeard(double now, DisruptionTarget target, Observation observed,
+            List<DisruptionCommand> proposals) {
+        Disruption disruption = stateMachine.get(target);
+        if (disruption == null) {
+            return;
+        }
+        Phase phase = disruption.phase();
+        boolean wasRestarted = disruption.incarnation() != observed.incarnation();
+        if (phase == Phase.GONE || phase == Phase.GRANTED) {
+            if (wasRestarted || disruption.reason() == Reason.LOST) {
+                propose(new DisruptionCommand.Returning(target, observed.incarnation()), target, proposals);
             }
-        });
-        double asked = middle(peers.stream().mapToDouble(LoadReport::asked).sorted().toArray());
-        if (asked <= 0) {
-            return true; // nobody is asked for anything: there is nothing to compare
+        } else if (phase == Phase.RETURNING && wasRestarted) {
+            // Then it returns under its new incarnation.
+            propose(new DisruptionCommand.Lost(target, disruption.incarnation()), target, proposals);
+        } else if (phase == Phase.RETURNING && isSteady(now, target, observed)) {
+            propose(new DisruptionCommand.Steady(target), target, proposals);
         }
-        Said own = said.get(s);
-        return own != null && own.life() == l.life() && now - own.at() < STALE
-                && own.serving().asked() >= ASKED_PART * asked && own.serving().share() >= SHARE_PART * middle(
-                        peers.stream().mapToDouble(LoadReport::share).sorted().toArray());
     }
 
-    private static double middle(double[] sorted) {
-        return sorted.length == 0 ? 0 : sorted[sorted.length / 2];
+    /** By its own report, and by what it serves beside its peers: one that gets no load has not returned yet. */
+    protected boolean isSteady(double now, DisruptionTarget target, Observation observed) {
+        return observed.health() == Health.STEADY && PeerComparison.servesAsItsPeers(
+                reports.getFresh(now, target, observed.incarnation()), peerReports(now, target));
     }
 
-    /** What an instance says of itself. */
-    public void loadReported(double now, DisruptionTarget s, long life, int schema, LoadReport serving,
-            boolean steady) {
-        said.put(s, new Said(now, life, schema, serving, steady));
+    private List<LoadReport> peerReports(double now, DisruptionTarget target) {
+        List<LoadReport> peers = new ArrayList<>();
+        observations.forEach((other, observed) -> {
+            LoadReport report = reports.getFresh(now, other, observed.incarnation());
+            if (!other.equals(target) && observed.health() == Health.STEADY && stateMachine.get(other) == null
+                    && report != null) {
+                peers.add(report);
+            }
+        });
+        return peers;
     }
 
-    /** What it said last in that life, or null. */
-    public LoadReport loadReport(DisruptionTarget s, long life) {
-        Said what = said.get(s);
-        return what != null && what.life() == life ? what.serving() : null;
-    }
+    // ---- grants
 
-    /** The schema that it can read; 0 for one that has said nothing. */
-    public int schemaOf(String name) {
-        Said what = said.get(new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, ""));
-        return what == null ? 0 : what.schema();
+    /** Whether an instance that looks so counts as unavailable, whatever the state machine says. */
+    protected boolean countsAsUnavailable(Observation observed) {
+        return observed.health() != Health.STEADY;
     }
 
-    /** Those that count as out now though the ledger does not say so. */
-    protected boolean countsAsOut(Seen l) {
-        return l.look() != Look.STEADY;
+    private void grantWaiting(double now, boolean blind, List<DisruptionCommand> proposals) {
+        List<DisruptionTarget> unavailable = observedUnavailable(now);
+        boolean isFirstBlocked = true;
+        for (Disruption waiting : stateMachine.waiting()) {
+            DisruptionTarget target = waiting.target();
+            String reason = blockedReason(target, blind, unavailable);
+            if (reason != null) {
+                blockedReasons.put(target, reason);
+                if (isFirstBlocked) {
+                    unavailable.add(target); // keeps the next free place
+                    isFirstBlocked = false;
+                }
+            } else if (proposeGrant(waiting, proposals)) {
+                unavailable.add(target); // until the state machine says so itself
+            }
+        }
     }
 
-    private void grant(double now, boolean blind, List<DisruptionCommand> ops) {
-        List<DisruptionTarget> besides = new ArrayList<>();
-        seen.forEach((s, l) -> {
-            if (countsAsOut(asSaid(now, s, l))) {
-                besides.add(s);
+    private List<DisruptionTarget> observedUnavailable(double now) {
+        List<DisruptionTarget> unavailable = new ArrayList<>();
+        observations.forEach((target, observed) -> {
+            if (countsAsUnavailable(withOwnClaim(now, target, observed))) {
+                unavailable.add(target);
             }
         });
-        boolean first = true;
-        for (Disruption o : ledger.waiting()) {
-            DisruptionTarget s = o.subject();
-            Seen l = seen.get(s);
-            String why = blind ? "most of the hall looks lost from the leader"
-                    : s.kind() == DisruptionTarget.Kind.INSTANCE && (l == null || l.look() == Look.GONE)
-                            ? "it is not heard"
-                            : ledger.refuses(s, besides);
-            if (why != null) {
-                blocked.put(s, why);
-                if (first) {
-                    // Whoever waits longest has the next place that is free: those behind it go only where there is
-                    // one more.
-                    besides.add(s);
-                    first = false;
-                }
-            } else if (propose(new DisruptionCommand.Grant(s, o.request(), l == null ? 0 : l.life()), s, ops)) {
-                besides.add(s); // until the ledger says so itself
-            }
-        }
+        return unavailable;
     }
 
-    private boolean propose(DisruptionCommand op, DisruptionTarget s, List<DisruptionCommand> ops) {
-        if (pending.putIfAbsent(s, op) == null) {
-            ops.add(op);
-            return true;
+    private String blockedReason(DisruptionTarget target, boolean blind, List<DisruptionTarget> unavailable) {
+        if (blind) {
+            return "most of the hall looks lost from the leader";
         }
-        return false;
+        Observation observed = observations.get(target);
+        boolean isGone = observed == null || observed.health() == Health.GONE;
+        if (target.kind() == DisruptionTarget.Kind.INSTANCE && isGone) {
+            return "it is not heard";
+        }
+        return stateMachine.rejection(target, unavailable);
+    }
+
+    private boolean proposeGrant(Disruption waiting, List<DisruptionCommand> proposals) {
+        Observation observed = observations.get(waiting.target());
+        long incarnation = observed == null ? 0 : observed.incarnation();
+        return propose(new DisruptionCommand.Grant(waiting.target(), waiting.requestId(), incarnation),
+                waiting.target(), proposals);
     }
 
-    /** Why each that waits does so; for operators. */
-    public Map<DisruptionTarget, String> blocked() {
-        return Map.copyOf(blocked);
+    /** Why each target that waits does so; for operators. */
+    public Map<DisruptionTarget, String> blockedReasons() {
+        return Map.copyOf(blockedReasons);
     }
 }
--- a/src/main/java/topazladder/disruption/DisruptionStateMachine.java
+++ b/src/main/java/topazladder/disruption/DisruptionStateMachine.java
@@ -6,284 +6,368 @@
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import topazladder.disruption.Disruption.Phase;
-import topazladder.disruption.Disruption.Why;
+import topazladder.disruption.Disruption.Reason;
 
 /**
- * Who is out or about to be, as the hall has agreed: the same operations in the same order give the same ledger at
- * every voter. Invariants: what is granted fits all budgets at the moment of its grant, whoever proposed it; a place
- * that is taken is given back by steadiness, by an operator, or by a withdrawal before it was used, and by nothing
- * else; a token only grows.
+ * The replicated state of the disruptions: the same commands in the same order give the same state at every voter.
+ *
+ * <p>Invariants: a grant fits every budget that covers its target at the moment it is applied, whoever proposed it, and
+ * nothing is granted that no budget covers; a target stops using its budget when it is steady, when an operator gives
+ * it up, or when it withdraws before it went, and in no other way; tokens only grow.
  */
 public class DisruptionStateMachine {
-    private final Map<DisruptionTarget, Disruption> outs = new TreeMap<>(); // no more than there are subjects
+    private final Map<DisruptionTarget, Disruption> disruptions = new TreeMap<>(); // no more than there are targets
     private final Map<DisruptionTarget, Double> capacities = new TreeMap<>();
     private final Map<String, DisruptionBudget> budgets = new LinkedHashMap<>();
-    private long tokens;
-    private long asked;
-    private String halted;
+    private long lastToken;
+    private long lastRequestOrder;
+    private String suspendedReason;
 
-    /** @param why it changed nothing, or null where it did */
-    public record Outcome(long token, String why) {
+    /**
+     * What became of a command.
+     *
+     * @param token of the disruption that the command is about, or the last one granted
+     * @param rejection why the command changed nothing, or null where it was applied
+     */
+    public record Outcome(long token, String rejection) {
+
+        static Outcome applied(long token) {
+            return new Outcome(token, null);
+        }
 
-        public boolean done() {
-            return why == null;
+        /** Whether the command took effect. */
+        public boolean isApplied() {
+            return rejection == null;
         }
     }
 
-    public Outcome apply(DisruptionCommand op) {
-        if (op instanceof DisruptionCommand.Budgets b) {
-            budgets.clear();
-            b.budgets().forEach(each -> budgets.put(each.name(), each));
-        } else if (op instanceof DisruptionCommand.Known k) {
-            capacities.put(k.subject(), k.capacity());
-        } else if (op instanceof DisruptionCommand.Forgotten f) {
-            if (outs.containsKey(f.subject())) {
-                return new Outcome(0, "it takes a place; an operator may give that up");
-            }
-            capacities.remove(f.subject());
-        } else if (op instanceof DisruptionCommand.Ask a) {
-            return ask(a);
-        } else if (op instanceof DisruptionCommand.Grant g) {
-            return grant(g);
-        } else if (op instanceof DisruptionCommand.Withdraw w) {
-            return withdraw(w);
-        } else if (op instanceof DisruptionCommand.Leaves l) {
-            return leaves(l);
-        } else if (op instanceof DisruptionCommand.Lost l) {
-            return lost(l);
-        } else if (op instanceof DisruptionCommand.Returns r) {
-            return returns(r);
-        } else if (op instanceof DisruptionCommand.Steady s) {
-            return steady(s.subject());
-        } else if (op instanceof DisruptionCommand.Rejoins r) {
-            return rejoins(r.subject());
-        } else if (op instanceof DisruptionCommand.Keeps k) {
-            return keeps(k);
-        } else if (op instanceof DisruptionCommand.GivenUp g) {
-            return outs.remove(g.subject()) == null ? new Outcome(0, "it takes no place") : new Outcome(tokens, null);
-        } else if (op instanceof DisruptionCommand.Halt h) {
-            halted = h.why();
+    /**
+     * All of the state, to restore another replica from.
+     *
+     * @param suspendedReason why nothing is granted, or null
+     */
+    public record Snapshot(List<Disruption> disruptions, Map<DisruptionTarget, Double> capacities,
+            List<DisruptionBudget> budgets, long lastToken, long lastRequestOrder, String suspendedReason) {
+    }
+
+    // ---- commands
+
+    /** Applies one command of the log. */
+    public Outcome apply(DisruptionCommand command) {
+        if (command instanceof DisruptionCommand.SetBudgets set) {
+            return handle(set);
+        } else if (command instanceof DisruptionCommand.SetCapacity set) {
+            return handle(set);
+        } else if (command instanceof DisruptionCommand.Forget forget) {
+            return handle(forget);
+        } else if (command instanceof DisruptionCommand.Request request) {
+            return handle(request);
+        } else if (command instanceof DisruptionCommand.Grant grant) {
+            return handle(grant);
+        } else if (command instanceof DisruptionCommand.Withdraw withdraw) {
+            return handle(withdraw);
+        } else if (command instanceof DisruptionCommand.Leaving leaving) {
+            return handle(leaving);
+        } else if (command instanceof DisruptionCommand.Lost lost) {
+            return handle(lost);
+        } else if (command instanceof DisruptionCommand.Returning returning) {
+            return handle(returning);
+        } else if (command instanceof DisruptionCommand.Steady steady) {
+            return handle(steady);
+        } else if (command instanceof DisruptionCommand.Rejoin rejoin) {
+            return handle(rejoin);
+        } else if (command instanceof DisruptionCommand.KeepOut keepOut) {
+            return handle(keepOut);
+        } else if (command instanceof DisruptionCommand.GiveUp giveUp) {
+            return handle(giveUp);
+        } else if (command instanceof DisruptionCommand.SuspendGrants suspend) {
+            return handle(suspend);
+        }
+        throw new IllegalArgumentException("no command about disruptions: " + command);
+    }
+
+    private Outcome handle(DisruptionCommand.SetBudgets command) {
+        budgets.clear();
+        command.budgets().forEach(budget -> budgets.put(budget.name(), budget));
+        return Outcome.applied(lastToken);
+    }
+
+    private Outcome handle(DisruptionCommand.SetCapacity command) {
+        capacities.put(command.target(), command.capacityPerSecond());
+        return Outcome.applied(lastToken);
+    }
+
+    private Outcome handle(DisruptionCommand.Forget command) {
+        if (disruptions.containsKey(command.target())) {
+            return new Outcome(0, "it takes a place; an operator may give that up");
         }
-        return new Outcome(tokens, null);
+        capacities.remove(command.target());
+        return Outcome.applied(lastToken);
     }
 
-    private Outcome ask(DisruptionCommand.Ask a) {
-        Disruption before = outs.get(a.subject());
-        if (before != null && before.request().equals(a.request())) {
-            return new Outcome(before.token(), null); // asked again, as the answer was lost
+    private Outcome handle(DisruptionCommand.Request command) {
+        Disruption earlier = disruptions.get(command.target());
+        if (earlier != null && earlier.requestId().equals(command.requestId())) {
+            return Outcome.applied(earlier.token()); // repeated, as the answer was lost
         }
-        if (before != null && before.phase() == Phase.RETURNING && a.why() == Why.RELEASE && halted == null) {
-            // It holds its place and goes once more under it: a version that never serves as its peers do would keep
-            // its own way back closed.
-            outs.put(a.subject(),
-                    new Disruption(a.subject(), a.why(), Phase.GRANTED, a.request(), ++tokens, before.life(),
-                            before.asked(), a.by()));
-            return new Outcome(tokens, null);
+        if (earlier != null && earlier.phase() == Phase.RETURNING && command.reason() == Reason.RELEASE
+                && suspendedReason == null) {
+            return goOnceMore(earlier, command);
         }
-        if (before != null && before.takesPlace()) {
-            return new Outcome(before.token(), "it is out already: " + words(before));
+        if (earlier != null && earlier.usesBudget()) {
+            return new Outcome(earlier.token(), "it is out already: " + describe(earlier));
         }
-        if (!a.why().waits()) {
-            return new Outcome(0, "nobody asks for that: " + a.why());
+        if (!command.reason().needsGrant()) {
+            return new Outcome(0, "nobody asks for that: " + command.reason());
         }
-        outs.put(a.subject(), new Disruption(a.subject(), a.why(), Phase.ASKED, a.request(), 0, 0,
-                before == null ? ++asked : before.asked(), a.by()));
-        capacities.putIfAbsent(a.subject(), 0.0);
-        return new Outcome(0, null);
+        long requestOrder = earlier == null ? ++lastRequestOrder : earlier.requestOrder();
+        disruptions.put(command.target(), new Disruption(command.target(), command.reason(), Phase.ASKED,
+                command.requestId(), 0, 0, requestOrder, command.requestedBy()));
+        capacities.putIfAbsent(command.target(), 0.0);
+        return Outcome.applied(0);
     }
 
-    private Outcome grant(DisruptionCommand.Grant g) {
-        Disruption out = outs.get(g.subject());
-        if (out == null || out.phase() != Phase.ASKED || !out.request().equals(g.request())) {
-            return new Outcome(out == null ? 0 : out.token(), "it does not wait for that");
-        }
-        String why = refuses(g.subject(), List.of());
-        if (why != null) {
-            return new Outcome(0, why);
-        }
-        outs.put(g.subject(), out.granted(++tokens, g.life()));
-        return new Outcome(tokens, null);
+    /**
+     * An instance that returns may go again for a rollout under the budget that it uses already: a version that never
+     * serves as its peers do would otherwise keep its own rollback closed.
+     */
+    private Outcome goOnceMore(Disruption earlier, DisruptionCommand.Request command) {
+        disruptions.put(command.target(), new Disruption(command.target(), command.reason(), Phase.GRANTED,
+                command.requestId(), ++lastToken, earlier.incarnation(), earlier.requestOrder(),
+                command.requestedBy()));
+        return Outcome.applied(lastToken);
     }
 
-    /** Whether one more may go out, beside what the ledger has and some that it does not know of. */
-    protected String refuses(DisruptionTarget one, Collection<DisruptionTarget> besides) {
-        if (halted != null) {
-            return "halted: " + halted;
+    private Outcome handle(DisruptionCommand.Grant command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (disruption == null || disruption.phase() != Phase.ASKED
+                || !disruption.requestId().equals(command.requestId())) {
+            return new Outcome(tokenOf(disruption), "it does not wait for that");
         }
-        List<DisruptionTarget> out = new ArrayList<>(taken());
-        besides.stream().filter(s -> !out.contains(s)).forEach(out::add);
-        for (DisruptionBudget b : budgets.values()) {
-            String why = b.refuses(one, out, capacities);
-            if (why != null) {
-                return why;
-            }
+        String rejection = rejection(command.target(), List.of());
+        if (rejection != null) {
+            return new Outcome(0, rejection);
         }
-        // Without a budget that covers it nothing goes: a hall whose settings were not read yet is not one without
-        // limits.
-        return budgets.values().stream().anyMatch(b -> b.covers(one)) ? null : "no budget covers it";
+        disruptions.put(command.target(), disruption.granted(++lastToken, command.incarnation()));
+        return Outcome.applied(lastToken);
     }
 
-    private Outcome withdraw(DisruptionCommand.Withdraw w) {
-        Disruption out = outs.get(w.subject());
-        if (out == null || !out.request().equals(w.request())) {
+    private Outcome handle(DisruptionCommand.Withdraw command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (disruption == null || !disruption.requestId().equals(command.requestId())) {
             return new Outcome(0, "it did not ask for that");
         }
-        if (out.phase() != Phase.ASKED && out.phase() != Phase.GRANTED) {
-            return new Outcome(out.token(), "it has gone");
+        if (disruption.phase() != Phase.ASKED && disruption.phase() != Phase.GRANTED) {
+            return new Outcome(disruption.token(), "it has gone");
         }
-        outs.remove(w.subject());
-        return new Outcome(out.token(), null);
+        disruptions.remove(command.target());
+        return Outcome.applied(disruption.token());
     }
 
-    /** It comes back little by little, and has its place until then; its life counts how often it has tried. */
-    private Outcome rejoins(DisruptionTarget s) {
-        Disruption out = outs.get(s);
-        if (out == null || s.kind() != DisruptionTarget.Kind.BELOW || !out.takesPlace()
-                || out.phase() == Phase.RETURNING) {
-            return new Outcome(0, "no service below that is out");
+    /** With a token only while that grant holds; told by somebody else it is recorded whatever the budgets say. */
+    protected Outcome handle(DisruptionCommand.Leaving command) {
+        return command.token() > 0 ? leaveByGrant(command) : leaveUngranted(command);
+    }
+
+    private Outcome leaveByGrant(DisruptionCommand.Leaving command) {
+        Disruption disruption = disruptions.get(command.target());
+        boolean isGranted = disruption != null && disruption.token() == command.token()
+                && disruption.incarnation() == command.incarnation()
+                && (disruption.phase() == Phase.GRANTED || disruption.phase() == Phase.GONE);
+        if (!isGranted) {
+            return new Outcome(tokenOf(disruption), "it has no permission under " + command.token());
         }
-        outs.put(s, out.in(Phase.RETURNING, out.life() + 1));
-        return new Outcome(out.token(), null);
+        disruptions.put(command.target(), disruption.inPhase(Phase.GONE, command.incarnation()));
+        return Outcome.applied(command.token());
     }
 
-    /** It stays out under the place that it has, and comes back by an operator's word alone. */
-    private Outcome keeps(DisruptionCommand.Keeps k) {
-        Disruption out = outs.get(k.subject());
-        if (out == null || k.subject().kind() != DisruptionTarget.Kind.BELOW || !out.takesPlace()) {
-            return new Outcome(0, "no service below that is out");
+    private Outcome leaveUngranted(DisruptionCommand.Leaving command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (disruption != null && disruption.usesBudget()) {
+            disruptions.put(command.target(), disruption.inPhase(Phase.GONE, command.incarnation()));
+            return Outcome.applied(disruption.token());
         }
-        outs.put(k.subject(),
-                new Disruption(k.subject(), Why.OPERATOR, Phase.GRANTED, k.request(), ++tokens, out.life(),
-                        out.asked(), k.by()));
-        return new Outcome(tokens, null);
+        return goUngranted(disruption, command.target(), Reason.LEAVING, command.incarnation(),
+                command.requestedBy());
     }
 
-    /**
-     * By permission only under the token that holds; told by somebody else it is written down whatever the budgets
-     * say.
-     */
-    protected Outcome leaves(DisruptionCommand.Leaves l) {
-        Disruption out = outs.get(l.subject());
-        if (l.token() > 0) {
-            boolean may = out != null && out.token() == l.token() && out.life() == l.life()
-                    && (out.phase() == Phase.GRANTED || out.phase() == Phase.GONE);
-            if (!may) {
-                return new Outcome(out == null ? 0 : out.token(), "it has no permission under " + l.token());
-            }
-            outs.put(l.subject(), out.in(Phase.GONE, l.life()));
-            return new Outcome(l.token(), null);
+    /** One that was granted keeps its grant: it may only be cut off, and still know of it. */
+    private Outcome handle(DisruptionCommand.Lost command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (disruption != null && disruption.phase() == Phase.RETURNING) {
+            disruptions.put(command.target(), disruption.inPhase(Phase.GONE, command.incarnation()));
+            return Outcome.applied(disruption.token());
         }
-        if (out != null && out.takesPlace()) {
-            outs.put(l.subject(), out.in(Phase.GONE, l.life()));
-            return new Outcome(out.token(), null);
+        if (disruption != null && disruption.usesBudget()) {
+            return new Outcome(disruption.token(), "it takes its place already: " + describe(disruption));
         }
-        outs.put(l.subject(),
-                new Disruption(l.subject(), Why.LEAVING, Phase.GONE, out == null ? "" : out.request(), ++tokens,
-                        l.life(), out == null ? ++asked : out.asked(), l.by()));
-        return new Outcome(tokens, null);
+        return goUngranted(disruption, command.target(), Reason.LOST, command.incarnation(), "");
     }
 
-    /** One that may go keeps its permission: it may only be cut off, and still know of it. */
-    private Outcome lost(DisruptionCommand.Lost l) {
-        Disruption out = outs.get(l.subject());
-        if (out != null && out.takesPlace() && out.phase() != Phase.RETURNING) {
-            return new Outcome(out.token(), "it takes its place already: " + words(out));
+    /** @param earlier that waits for a grant, or null */
+    private Outcome goUngranted(Disruption earlier, DisruptionTarget target, Reason reason, long incarnation,
+            String requestedBy) {
+        String requestId = earlier == null ? "" : earlier.requestId();
+        long requestOrder = earlier == null ? ++lastRequestOrder : earlier.requestOrder();
+        disruptions.put(target, new Disruption(target, reason, Phase.GONE, requestId, ++lastToken, incarnation,
+                requestOrder, requestedBy));
+        return Outcome.applied(lastToken);
+    }
+
+    /** Another incarnation was heard; or the same, where it was only lost from sight. */
+    private Outcome handle(DisruptionCommand.Returning command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (disruption == null || disruption.phase() != Phase.GONE && disruption.phase() != Phase.GRANTED) {
+            return new Outcome(tokenOf(disruption), "it is not out");
         }
-        if (out != null && out.phase() == Phase.RETURNING) {
-            outs.put(l.subject(), out.in(Phase.GONE, l.life()));
-            return new Outcome(out.token(), null);
+        if (disruption.incarnation() == command.incarnation() && disruption.reason() != Reason.LOST) {
+            return new Outcome(disruption.token(), "it is the process that went");
         }
-        outs.put(l.subject(),
-                new Disruption(l.subject(), Why.LOST, Phase.GONE, out == null ? "" : out.request(), ++tokens,
-                        l.life(), out == null ? ++asked : out.asked(), ""));
-        return new Outcome(tokens, null);
+        disruptions.put(command.target(), disruption.inPhase(Phase.RETURNING, command.incarnation()));
+        return Outcome.applied(disruption.token());
     }
 
-    /** Another life of it was heard; or the same, where it was only lost from sight. */
-    private Outcome returns(DisruptionCommand.Returns r) {
-        Disruption out = outs.get(r.subject());
-        if (out == null || out.phase() != Phase.GONE && out.phase() != Phase.GRANTED) {
-            return new Outcome(out == null ? 0 : out.token(), "it is not out");
+    private Outcome handle(DisruptionCommand.Steady command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (disruption == null || disruption.phase() != Phase.RETURNING) {
+            return new Outcome(0, "it is not on its way back");
         }
-        if (out.life() == r.life() && out.why() != Why.LOST) {
-            return new Outcome(out.token(), "it is the process that went");
+        disruptions.remove(command.target());
+        return Outcome.applied(disruption.token());
+    }
+
+    /** It uses its budget until it is steady; its incarnation counts how often it has tried. */
+    private Outcome handle(DisruptionCommand.Rejoin command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (!isUnavailableDependency(disruption) || disruption.phase() == Phase.RETURNING) {
+            return new Outcome(0, "no service below that is out");
         }
-        outs.put(r.subject(), out.in(Phase.RETURNING, r.life()));
-        return new Outcome(out.token(), null);
+        disruptions.put(command.target(), disruption.inPhase(Phase.RETURNING, disruption.incarnation() + 1));
+        return Outcome.applied(disruption.token());
     }
 
-    protected Outcome steady(DisruptionTarget s) {
-        Disruption out = outs.get(s);
-        if (out == null || out.phase() != Phase.RETURNING) {
-            return new Outcome(0, "it is not on its way back");
+    /** It goes on to use the budget that it has, and rejoins by an operator's command alone. */
+    private Outcome handle(DisruptionCommand.KeepOut command) {
+        Disruption disruption = disruptions.get(command.target());
+        if (!isUnavailableDependency(disruption)) {
+            return new Outcome(0, "no service below that is out");
         }
-        outs.remove(s);
-        return new Outcome(out.token(), null);
+        disruptions.put(command.target(), new Disruption(command.target(), Reason.OPERATOR, Phase.GRANTED,
+                command.requestId(), ++lastToken, disruption.incarnation(), disruption.requestOrder(),
+                command.requestedBy()));
+        return Outcome.applied(lastToken);
+    }
+
+    private static boolean isUnavailableDependency(Disruption disruption) {
+        return disruption != null && disruption.target().kind() == DisruptionTarget.Kind.DEPENDENCY
+                && disruption.usesBudget();
+    }
+
+    private Outcome handle(DisruptionCommand.GiveUp command) {
+        return disruptions.remove(command.target()) == null ? new Outcome(0, "it takes no place")
+                : Outcome.applied(lastToken);
+    }
+
+    private Outcome handle(DisruptionCommand.SuspendGrants command) {
+        suspendedReason = command.reason();
+        return Outcome.applied(lastToken);
+    }
+
+    private static long tokenOf(Disruption disruption) {
+        return disruption == null ? 0 : disruption.token();
     }
 
-    public Disruption get(DisruptionTarget s) {
-        return outs.get(s);
+    private static String describe(Disruption disruption) {
+        return disruption.phase().name().toLowerCase(Locale.ROOT) + " for "
+                + disruption.reason().name().toLowerCase(Locale.ROOT);
     }
 
-    public Collection<Disruption> all() {
-        return Collections.unmodifiableCollection(outs.values());
+    // ---- budgets
+
+    /**
+     * Why one more target may not become unavailable, or null where it may.
+     *
+     * @param besides targets that count as unavailable beside those that are recorded
+     */
+    protected String rejection(DisruptionTarget candidate, Collection<DisruptionTarget> besides) {
+        if (suspendedReason != null) {
+            return "halted: " + suspendedReason;
+        }
+        List<DisruptionTarget> unavailable = new ArrayList<>(targetsUsingBudget());
+        besides.stream().filter(target -> !unavailable.contains(target)).forEach(unavailable::add);
+        for (DisruptionBudget budget : budgets.values()) {
+            String rejection = budget.rejection(candidate, unavailable, capacities);
+            if (rejection != null) {
+                return rejection;
+            }
+        }
+        // While the settings are not read yet there are no budgets, which must not mean that there are no limits.
+        return budgets.values().stream().anyMatch(budget -> budget.covers(candidate)) ? null : "no budget covers it";
     }
 
-    /** Those that take a place. */
-    public Set<DisruptionTarget> taken() {
-        return outs.values().stream().filter(Disruption::takesPlace).map(Disruption::subject)
+    /** The targets that count against the budgets that cover them. */
+    public Set<DisruptionTarget> targetsUsingBudget() {
+        return disruptions.values().stream().filter(Disruption::usesBudget).map(Disruption::target)
                 .collect(Collectors.toSet());
     }
 
-    /** Those that wait, in the order in which they asked. */
+    // ---- reading
+
+    /** The disruption of that target, or null. */
+    public Disruption get(DisruptionTarget target) {
+        return disruptions.get(target);
+    }
+
+    /** All disruptions, by target. */
+    public Collection<Disruption> disruptions() {
+        return Collections.unmodifiableCollection(disruptions.values());
+    }
+
+    /** Those that wait for a grant, in the order of their requests. */
     public List<Disruption> waiting() {
-        return outs.values().stream().filter(o -> !o.takesPlace()).sorted(Comparator.comparingLong(Disruption::asked))
-                .toList();
+        return disruptions.values().stream().filter(disruption -> !disruption.usesBudget())
+                .sorted(Comparator.comparingLong(Disruption::requestOrder)).toList();
     }
 
+    /** All known targets, with the payoff a second that they were measured to serve; 0 for unknown. */
     public Map<DisruptionTarget, Double> capacities() {
         return Collections.unmodifiableMap(capacities);
     }
 
+    /** The budgets, in the order of the settings. */
     public Collection<DisruptionBudget> budgets() {
         return Collections.unmodifiableCollection(budgets.values());
     }
 
-    public String halted() {
-        return halted;
+    /** Why nothing is granted, or null. */
+    public String suspendedReason() {
+        return suspendedReason;
     }
 
-    static String words(Disruption o) {
-        return o.phase().name().toLowerCase(java.util.Locale.ROOT) + " for " + o.why().name().toLowerCase(
-                java.util.Locale.ROOT);
-    }
-
-    /** All of it, to begin another ledger with. */
-    public record Copy(List<Disruption> outs, Map<DisruptionTarget, Double> capacities, List<DisruptionBudget> budgets,
-            long tokens, long asked,
-            String halted) {
-    }
+    // ---- snapshots
 
-    public Copy copy() {
-        return new Copy(List.copyOf(outs.values()), Map.copyOf(capacities), List.copyOf(budgets.values()), tokens,
-                asked,
-                halted);
+    /** All of the state. */
+    public Snapshot snapshot() {
+        return new Snapshot(List.copyOf(disruptions.values()), Map.copyOf(capacities), List.copyOf(budgets.values()),
+                lastToken, lastRequestOrder, suspendedReason);
     }
 
-    public void replace(Copy c) {
-        outs.clear();
-        c.outs().forEach(o -> outs.put(o.subject(), o));
+    /** Replaces all of the state. */
+    public void restore(Snapshot snapshot) {
+        disruptions.clear();
+        snapshot.disruptions().forEach(disruption -> disruptions.put(disruption.target(), disruption));
         capacities.clear();
-        capacities.putAll(c.capacities());
+        capacities.putAll(snapshot.capacities());
         budgets.clear();
-        c.budgets().forEach(b -> budgets.put(b.name(), b));
-        tokens = c.tokens();
-        asked = c.asked();
-        halted = c.halted();
+        snapshot.budgets().forEach(budget -> budgets.put(budget.name(), budget));
+        lastToken = snapshot.lastToken();
+        lastRequestOrder = snapshot.lastRequestOrder();
+        suspendedReason = snapshot.suspendedReason();
     }
 }
--- a/src/main/java/topazladder/disruption/DisruptionTarget.java
+++ b/src/main/java/topazladder/disruption/DisruptionTarget.java
@@ -3,18 +3,24 @@
 import java.util.Objects;
 
 /**
- * What can be out: an instance of the hall, or a service below. Two of one kind and name are one, whatever is said of
- * their zone.
+ * What can be unavailable: an instance of the cluster, or a dependency. Two of one kind and name are equal, whatever is
+ * said of their zone.
  *
- * @param zone where it stands, or empty
+ * @param zone where it runs, or empty
  */
 public record DisruptionTarget(Kind kind, String name, String zone) implements Comparable<DisruptionTarget> {
 
-    public enum Kind { INSTANCE, BELOW }
+    /** Sent and stored by ordinal: the order stays. */
+    public enum Kind {
+        /** An instance of this cluster. */
+        INSTANCE,
+        /** A server that the instances call. */
+        DEPENDENCY
+    }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof DisruptionTarget s && kind == s.kind && name.equals(s.name);
+        return other instanceof DisruptionTarget target && kind == target.kind && name.equals(target.name);
     }
 
     @Override
@@ -28,8 +34,9 @@
         return byKind != 0 ? byKind : name.compareTo(other.name);
     }
 
+    /** As operators read and write it. */
     @Override
     public String toString() {
-        return (kind == Kind.BELOW ? "below " : "") + name;
+        return (kind == Kind.DEPENDENCY ? "below " : "") + name;
     }
 }
--- a/src/main/java/topazladder/disruption/LoadReport.java
+++ b/src/main/java/topazladder/disruption/LoadReport.java
@@ -1,23 +1,25 @@
 package topazladder.disruption;
 
 /**
- * What an instance did of late, by its own count; said to the group's leader with each ask.
+ * What an instance served lately, by its own count; sent to the leader with each lease request. Payoff is the priority
+ * weight of the requests.
  *
  * @param version it runs, or empty where its settings name none
- * @param span seconds over which the rates are taken; 0 for an instance that has counted nothing yet
- * @param asked payoff a second that was asked of it
- * @param served payoff a second that it served
- * @param failed requests a second that it broke off
- * @param capacity the most payoff a second that it has been seen to honour; 0 for unknown
- * @param megabytes of memory that it holds
+ * @param spanSeconds over which the rates are taken; 0 for an instance that has counted nothing yet
+ * @param offeredPerSecond payoff of the requests that arrived
+ * @param servedPerSecond payoff of the requests that it served
+ * @param failedPerSecond requests that failed
+ * @param capacityPerSecond the most payoff that it has been seen to serve; 0 for unknown
+ * @param memoryMegabytes that the process holds
  */
-public record LoadReport(String version, double span, double asked, double served, double failed, double capacity,
-        double megabytes) {
+public record LoadReport(String version, double spanSeconds, double offeredPerSecond, double servedPerSecond,
+        double failedPerSecond, double capacityPerSecond, double memoryMegabytes) {
 
-    public static final LoadReport NOTHING = new LoadReport("", 0, 0, 0, 0, 0, 0);
+    /** Of an instance that has counted nothing yet. */
+    public static final LoadReport EMPTY = new LoadReport("", 0, 0, 0, 0, 0, 0);
 
-    /** Part of what was asked that was served; 1 where nothing was asked. */
-    public double share() {
-        return asked <= 0 ? 1 : Math.min(1, served / asked);
+    /** Part of the offered payoff that was served; 1 where nothing was offered. */
+    public double servedShare() {
+        return offeredPerSecond <= 0 ? 1 : Math.min(1, servedPerSecond / offeredPerSecond);
     }
 }
--- a/src/main/java/topazladder/disruption/ThroughputMeter.java
+++ b/src/main/java/topazladder/disruption/ThroughputMeter.java
@@ -4,57 +4,66 @@
 import java.util.Deque;
 
 /**
- * Makes rates of an instance's running counts. A capacity is the most that was served in any window; what was seen
- * once is believed less as time goes, since the machine under it may be another's by then.
+ * Makes rates over the last three seconds of an instance's running totals, and estimates its capacity: the most that
+ * was served in any window, halved in each hour in which it is not seen again, as the machine below may have changed.
+ *
+ * <p>{@code capacity = max(capacity * 0.5 ^ (seconds / 3600), served payoff a second)}; a window counts once it spans
+ * at least half its length.
  */
 public final class ThroughputMeter {
-    /** Seconds over which rates are taken: short enough that one that comes back is seen to serve soon. */
-    private static final double WINDOW = 3;
-    /** Seconds in which half of a capacity that is not seen again is forgotten. */
-    private static final double HALF = 3600;
+    /** Short enough that an instance that returns is soon seen to serve. */
+    private static final double WINDOW_SECONDS = 3;
+    private static final double CAPACITY_HALF_LIFE_SECONDS = 3600;
+    private static final int MIN_SAMPLES = 2;
 
     /**
-     * Running counts since the start.
+     * Running totals since the start.
      *
-     * @param asked payoff of all requests read
-     * @param served payoff of those served
+     * @param offered payoff of all requests that were read
+     * @param served payoff of those that were served
      * @param failed requests
      */
-    public record Counted(double asked, double served, long failed) {
+    public record Totals(double offered, double served, long failed) {
     }
 
-    private record Look(double at, Counted counted) {
+    private record Sample(double at, Totals totals) {
     }
 
     private final String version;
-    private final Deque<Look> looks = new ArrayDeque<>(); // those of one window
+    private final Deque<Sample> window = new ArrayDeque<>();
     private double capacity;
     private double capacityAt = Double.NaN;
 
+    /** @param version that the instance runs, or empty */
     public ThroughputMeter(String version) {
         this.version = version;
     }
 
     /** The rates up to now; to be called several times in a window. */
-    public LoadReport look(double now, Counted counted, double megabytes) {
-        looks.add(new Look(now, counted));
-        while (looks.size() > 2 && now - looks.peek().at() > WINDOW) {
-            looks.poll();
+    public LoadReport measure(double now, Totals totals, double memoryMegabytes) {
+        window.add(new Sample(now, totals));
+        while (window.size() > MIN_SAMPLES && now - window.peek().at() > WINDOW_SECONDS) {
+            window.poll();
         }
-        Look first = looks.peek();
+        Sample first = window.peek();
         double span = now - first.at();
         if (span <= 0) {
-            return new LoadReport(version, 0, 0, 0, 0, capacity, megabytes);
+            return new LoadReport(version, 0, 0, 0, 0, capacity, memoryMegabytes);
         }
-        double served = (counted.served() - first.counted().served()) / span;
+        double served = (totals.served() - first.totals().served()) / span;
+        updateCapacity(now, span, served);
+        double offered = (totals.offered() - first.totals().offered()) / span;
+        double failed = (totals.failed() - first.totals().failed()) / span;
+        return new LoadReport(version, span, offered, served, failed, capacity, memoryMegabytes);
+    }
+
+    private void updateCapacity(double now, double span, double served) {
         if (!Double.isNaN(capacityAt)) {
-            capacity *= Math.pow(0.5, Math.max(0, now - capacityAt) / HALF);
+            capacity *= Math.pow(0.5, Math.max(0, now - capacityAt) / CAPACITY_HALF_LIFE_SECONDS);
         }
         capacityAt = now;
-        if (span >= WINDOW / 2) {
+        if (span >= WINDOW_SECONDS / 2) {
             capacity = Math.max(capacity, served);
         }
-        return new LoadReport(version, span, (counted.asked() - first.counted().asked()) / span, served,
-                (counted.failed() - first.counted().failed()) / span, capacity, megabytes);
     }
 }
--- a/src/main/java/topazladder/emulator/hall/Fleet.java
+++ b/src/main/java/topazladder/emulator/hall/Fleet.java
@@ -51,8 +51,8 @@
             return since;
         }
 
-        ThroughputMeter.Counted counted() {
-            return new ThroughputMeter.Counted(asked, served, (long) failed);
+        ThroughputMeter.Totals counted() {
+            return new ThroughputMeter.Totals(asked, served, (long) failed);
         }
     }
 
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -183,7 +183,7 @@
         chance = new SplittableRandom(schedule.seed() ^ 0x5eed);
         links = new Links(chance.split());
         nodes = new Node[setup.members()];
-        outs = new OutCount(setup.members(), setup.budgets().isEmpty() ? 0 : setup.budgets().get(0).most(),
+        outs = new OutCount(setup.members(), setup.budgets().isEmpty() ? 0 : setup.budgets().get(0).maxUnavailable(),
                 UNSEEN);
         for (int i = 0; i < setup.voters(); i++) {
             voters.add(name(i));
@@ -217,8 +217,8 @@
         for (Node n : nodes) {
             if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
                 n.voter.replica()
-                        .propose(new DisruptionCommand.Ask(n.voter.replica().instance(name(who)),
-                                Disruption.Why.OPERATOR, "operator",
+                        .propose(new DisruptionCommand.Request(n.voter.replica().instance(name(who)),
+                                Disruption.Reason.OPERATOR, "operator",
                                 "an operator"), o -> {});
             }
         }
@@ -314,9 +314,9 @@
     public int going() {
         ConsensusReplica replica = leading();
         if (replica != null) {
-            for (Disruption o : replica.outs().all()) {
-                if (o.why() == Disruption.Why.RELEASE && o.phase() != Disruption.Phase.ASKED) {
-                    return byName.get(o.subject().name()).index;
+            for (Disruption o : replica.outs().disruptions()) {
+                if (o.reason() == Disruption.Reason.RELEASE && o.phase() != Disruption.Phase.ASKED) {
+                    return byName.get(o.target().name()).index;
                 }
             }
         }
@@ -345,7 +345,8 @@
         }
         StringBuilder all = new StringBuilder(r.phase() + " " + r.back() + ' ' + r.wave());
         r.places().forEach(p -> all.append(' ').append(p.name()).append(p.stage()).append(p.attempt()));
-        replica.outs().all().forEach(o -> all.append(' ').append(o.subject()).append(o.phase()).append(o.token()));
+        replica.outs().disruptions()
+                .forEach(o -> all.append(' ').append(o.target()).append(o.phase()).append(o.token()));
         return all.toString();
     }
 
@@ -377,7 +378,7 @@
         setup.roll().fleet().step(now, serving);
         for (Node n : nodes) {
             if (serving[n.index] != null) {
-                n.member.serving(n.meter.look(now, n.serving.counted(), setup.roll().fleet().megabytes(now,
+                n.member.serving(n.meter.measure(now, n.serving.counted(), setup.roll().fleet().megabytes(now,
                         n.serving)));
             }
         }
--- a/src/main/java/topazladder/emulator/hall/PermitModel.java
+++ b/src/main/java/topazladder/emulator/hall/PermitModel.java
@@ -8,8 +8,8 @@
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionCommand;
 import topazladder.disruption.DisruptionController;
-import topazladder.disruption.DisruptionController.Look;
-import topazladder.disruption.DisruptionController.Seen;
+import topazladder.disruption.DisruptionController.Health;
+import topazladder.disruption.DisruptionController.Observation;
 import topazladder.disruption.DisruptionStateMachine;
 import topazladder.disruption.DisruptionTarget;
 import topazladder.search.Mail;
@@ -86,13 +86,13 @@
         way = new Mail<>(bounds.losses(), true);
         leaders[0] = new Leader();
         leaders[1] = new Leader();
-        log.add(new DisruptionCommand.Budgets(
+        log.add(new DisruptionCommand.SetBudgets(
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", BUDGET, 1))));
         for (int m = 0; m < MEMBERS; m++) {
             states[m] = State.WARM;
             lives[m] = 1;
-            log.add(new DisruptionCommand.Known(subject(m), 1));
-            log.add(new DisruptionCommand.Ask(subject(m), Disruption.Why.OPERATOR, "operator", "me"));
+            log.add(new DisruptionCommand.SetCapacity(subject(m), 1));
+            log.add(new DisruptionCommand.Request(subject(m), Disruption.Reason.OPERATOR, "operator", "me"));
         }
         lead(0);
     }
@@ -110,10 +110,10 @@
     }
 
     private void see(int l) {
-        Map<DisruptionTarget, Seen> looks = new HashMap<>();
+        Map<DisruptionTarget, Observation> looks = new HashMap<>();
         for (int m = 0; m < MEMBERS; m++) {
-            looks.put(subject(m), new Seen(states[m] == State.DOWN ? Look.GONE : states[m] == State.COLD
-                    ? Look.UNSTEADY : Look.STEADY, lives[m]));
+            looks.put(subject(m), new Observation(states[m] == State.DOWN ? Health.GONE : states[m] == State.COLD
+                    ? Health.UNSTEADY : Health.STEADY, lives[m]));
         }
         leaders[l].permits.membersObserved(now, looks);
     }
@@ -191,8 +191,8 @@
                     }
                     leader.permits.commandCompleted(op);
                 }
-                for (Disruption o : leader.ledger.all()) {
-                    Way word = new Way.MayGo(Integer.parseInt(o.subject().name().substring(1)), o.token());
+                for (Disruption o : leader.ledger.disruptions()) {
+                    Way word = new Way.MayGo(Integer.parseInt(o.target().name().substring(1)), o.token());
                     if (o.phase() == Disruption.Phase.GRANTED && !way.has(word::equals)) {
                         way.add(word);
                     }
@@ -209,8 +209,8 @@
                 way.add(new Way.Going(m.to(), lives[m.to()], m.token(), current));
             }
         } else if (w instanceof Way.Going g && g.to() == current) {
-            log.add(new DisruptionCommand.Leaves(subject(g.from()), g.token(), g.life(), ""));
-            if (leaders[current].apply().done()) {
+            log.add(new DisruptionCommand.Leaving(subject(g.from()), g.token(), g.life(), ""));
+            if (leaders[current].apply().isApplied()) {
                 way.add(new Way.Go(g.from(), g.life(), g.token()));
             }
         } else if (w instanceof Way.Go g && states[g.to()] != State.DOWN && lives[g.to()] == g.life()) {
--- a/src/main/java/topazladder/emulator/hall/PlanModel.java
+++ b/src/main/java/topazladder/emulator/hall/PlanModel.java
@@ -5,7 +5,7 @@
 import topazladder.disruption.Disruption;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionCommand;
-import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.DisruptionStateMachine;
 import topazladder.disruption.DisruptionTarget;
 import topazladder.disruption.LoadReport;
@@ -76,7 +76,7 @@
         outs = Planted.outs(plant);
         releases = Planted.releases(plant, duties, outs, b -> broken = b);
         duties.apply(new LeaseCommand.Define(List.of(new LeaseSettings(DUTY, 2, 9))));
-        outs.apply(new DisruptionCommand.Budgets(
+        outs.apply(new DisruptionCommand.SetBudgets(
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", bounds.budget(), 1))));
         List<Place> places = new ArrayList<>();
         for (int m = 0; m < MEMBERS; m++) {
@@ -84,7 +84,7 @@
             versions[m] = "A";
             next[m] = "A";
             lives[m] = 1;
-            outs.apply(new DisruptionCommand.Known(subject(m), 1));
+            outs.apply(new DisruptionCommand.SetCapacity(subject(m), 1));
             places.add(new Place("n" + m, "", m < 2, 0, Place.Stage.LEFT, 0));
         }
         releases.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), new Plan("b", "A", "B", List.of(new Plan.Wave("",
@@ -110,7 +110,8 @@
     private void show(int conductor) {
         List<View.Sight> sights = new ArrayList<>();
         for (int m = 0; m < MEMBERS; m++) {
-            Look look = states[m] == State.DOWN ? Look.GONE : states[m] == State.COLD ? Look.UNSTEADY : Look.STEADY;
+            Health look =
+                    states[m] == State.DOWN ? Health.GONE : states[m] == State.COLD ? Health.UNSTEADY : Health.STEADY;
             sights.add(new View.Sight("n" + m, "", look, lives[m], outs.get(subject(m)), null,
                     states[m] == State.DOWN ? null : new LoadReport(versions[m], 3, 0, 0, 0, 1, 1)));
         }
@@ -200,17 +201,17 @@
             return;
         }
         switch (out.phase()) {
-            case ASKED -> outs.apply(new DisruptionCommand.Grant(subject(m), out.request(), lives[m]));
+            case ASKED -> outs.apply(new DisruptionCommand.Grant(subject(m), out.requestId(), lives[m]));
             case GRANTED -> {
-                if (outs.apply(new DisruptionCommand.Leaves(subject(m), out.token(), lives[m], "")).done()) {
-                    goes(m, releases.versionFor("n" + m, out.request()));
+                if (outs.apply(new DisruptionCommand.Leaving(subject(m), out.token(), lives[m], "")).isApplied()) {
+                    goes(m, releases.versionFor("n" + m, out.requestId()));
                 }
             }
             case GONE -> {
                 states[m] = State.COLD;
                 versions[m] = next[m];
                 lives[m]++;
-                outs.apply(new DisruptionCommand.Returns(subject(m), lives[m]));
+                outs.apply(new DisruptionCommand.Returning(subject(m), lives[m]));
             }
             default -> {
                 states[m] = State.SERVES;
--- a/src/main/java/topazladder/emulator/hall/Planted.java
+++ b/src/main/java/topazladder/emulator/hall/Planted.java
@@ -170,7 +170,7 @@
             @Override
             protected boolean isMoved(Release r, View.Sight s) {
                 return plant == Plant.TAKES_ANY_RETURN_FOR_MOVED
-                        ? s.out() == null && s.look() != DisruptionController.Look.GONE
+                        ? s.out() == null && s.look() != DisruptionController.Health.GONE
                                 && r.place(s.name()).attempt() > 0 || super.isMoved(r, s)
                         : super.isMoved(r, s);
             }
@@ -224,23 +224,23 @@
     static DisruptionStateMachine outs(Plant plant) {
         return new DisruptionStateMachine() {
             @Override
-            public Outcome apply(DisruptionCommand op) {
-                if (plant == Plant.FREES_THE_LOST && op instanceof DisruptionCommand.Lost l) {
-                    return super.apply(new DisruptionCommand.GivenUp(l.subject(), ""));
+            public Outcome apply(DisruptionCommand command) {
+                if (plant == Plant.FREES_THE_LOST && command instanceof DisruptionCommand.Lost lost) {
+                    return super.apply(new DisruptionCommand.GiveUp(lost.target(), ""));
                 }
-                return super.apply(op);
+                return super.apply(command);
             }
 
             @Override
-            protected String refuses(DisruptionTarget one, Collection<DisruptionTarget> besides) {
-                return plant == Plant.NO_BUDGET_BELOW && one.kind() == DisruptionTarget.Kind.BELOW ? null
-                        : super.refuses(one, besides);
+            protected String rejection(DisruptionTarget candidate, Collection<DisruptionTarget> besides) {
+                return plant == Plant.NO_BUDGET_BELOW && candidate.kind() == DisruptionTarget.Kind.DEPENDENCY ? null
+                        : super.rejection(candidate, besides);
             }
 
             @Override
-            protected Outcome leaves(DisruptionCommand.Leaves l) {
-                return plant == Plant.ANY_PERMISSION_COUNTS && l.token() > 0 ? new Outcome(l.token(), null)
-                        : super.leaves(l);
+            protected Outcome handle(DisruptionCommand.Leaving leaving) {
+                return plant == Plant.ANY_PERMISSION_COUNTS && leaving.token() > 0
+                        ? new Outcome(leaving.token(), null) : super.handle(leaving);
             }
         };
     }
@@ -248,14 +248,15 @@
     static DisruptionController permits(Plant plant, DisruptionStateMachine ledger, double lostAfter) {
         return new DisruptionController(ledger, lostAfter) {
             @Override
-            protected boolean countsAsOut(Seen l) {
+            protected boolean countsAsUnavailable(Observation observed) {
                 return plant != Plant.COUNTS_THE_COLD_AS_THERE
-                        && !(plant == Plant.FREES_THE_LOST && l.look() == Look.GONE) && super.countsAsOut(l);
+                        && !(plant == Plant.FREES_THE_LOST && observed.health() == Health.GONE)
+                        && super.countsAsUnavailable(observed);
             }
 
             @Override
-            protected boolean steady(double now, DisruptionTarget s, Seen l) {
-                return plant == Plant.COUNTS_THE_COLD_AS_THERE || super.steady(now, s, l);
+            protected boolean isSteady(double now, DisruptionTarget target, Observation observed) {
+                return plant == Plant.COUNTS_THE_COLD_AS_THERE || super.isSteady(now, target, observed);
             }
         };
     }
@@ -281,7 +282,7 @@
             public List<DisruptionCommand> tick(double now) {
                 List<DisruptionCommand> ops = super.tick(now);
                 return plant != Plant.NEVER_TRIED_AGAIN ? ops
-                        : ops.stream().filter(o -> !(o instanceof DisruptionCommand.Rejoins)).toList();
+                        : ops.stream().filter(o -> !(o instanceof DisruptionCommand.Rejoin)).toList();
             }
         };
     }
--- a/src/main/java/topazladder/experiment/BelowsExperiment.java
+++ b/src/main/java/topazladder/experiment/BelowsExperiment.java
@@ -52,7 +52,8 @@
         double end = Math.max(drawn.length(), servers.end()) + QUIET;
         Schedule s = new Schedule(seed, members, drawn.voters(), drawn.clocks(), drawn.faults(), end - drawn.length());
         HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", budget, 1))).calling(servers);
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", budget, 1)))
+                        .calling(servers);
         return new Played(servers, new HallWorld(s, setup, plant).play());
     }
 
@@ -173,7 +174,7 @@
                 List.of(), 0);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(members, s.voters(), 1, 2, 0.2,
                 new Membership.Terms(0.3, 3, 3600),
-                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1)))
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", 1, 1)))
                         .calling(servers),
                 Plant.NONE).open();
         world.time().runUntil(DAY + 20);
--- a/src/main/java/topazladder/hall/MemberNode.java
+++ b/src/main/java/topazladder/hall/MemberNode.java
@@ -81,7 +81,7 @@
     private double wellSince;
     private boolean over;
     private long wake;
-    private LoadReport serving = LoadReport.NOTHING;
+    private LoadReport serving = LoadReport.EMPTY;
     private double answeredAt = Double.NEGATIVE_INFINITY;
     private Use below; // null where this instance calls no servers below, or only one
     private double lastNews = Double.NEGATIVE_INFINITY;
@@ -321,18 +321,18 @@
     }
 
     /** How the instances look from this one; a leader goes by it. */
-    public Map<DisruptionTarget, DisruptionController.Seen> looks() {
-        Map<DisruptionTarget, DisruptionController.Seen> looks = new HashMap<>();
+    public Map<DisruptionTarget, DisruptionController.Observation> looks() {
+        Map<DisruptionTarget, DisruptionController.Observation> looks = new HashMap<>();
         for (Standing s : membership.others()) {
-            looks.put(subject(s), new DisruptionController.Seen(!s.there() ? DisruptionController.Look.GONE
-                    : s.state() == Standing.State.SUSPECTED ? DisruptionController.Look.SUSPECTED
-                            : s.steady() ? DisruptionController.Look.STEADY : DisruptionController.Look.UNSTEADY,
+            looks.put(subject(s), new DisruptionController.Observation(!s.there() ? DisruptionController.Health.GONE
+                    : s.state() == Standing.State.SUSPECTED ? DisruptionController.Health.SUSPECTED
+                            : s.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY,
                     s.life()));
         }
         Standing self = membership.self();
         looks.put(subject(self),
-                new DisruptionController.Seen(
-                        self.steady() ? DisruptionController.Look.STEADY : DisruptionController.Look.UNSTEADY,
+                new DisruptionController.Observation(
+                        self.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY,
                         self.life()));
         return looks;
     }
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -83,7 +83,7 @@
     }
 
     private String refusalBy(View.Sight member) {
-        if (member.look() == DisruptionController.Look.GONE) {
+        if (member.look() == DisruptionController.Health.GONE) {
             return member.name() + " is not there; give it up first, or start it";
         }
         String runs = member.serving() == null ? "" : member.serving().version();
@@ -92,7 +92,7 @@
         }
         DisruptionTarget subject = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.zone());
         List<DisruptionBudget> covering = replica.outs().budgets().stream().filter(b -> b.covers(subject)).toList();
-        boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.most() == 0);
+        boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.maxUnavailable() == 0);
         return mayGo ? null : "no budget lets " + member.name() + " go";
     }
 
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -270,7 +270,7 @@
     }
 
     /** How the instances look from this member. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
+    public void seen(Map<DisruptionTarget, DisruptionController.Observation> looks) {
         if (replica != null && phase == Phase.SEATED) {
             replica.seen(looks);
         }
--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -151,9 +151,9 @@
         vertx.setTimer(Math.max(1, Math.round(notice * 1000)), id -> leave());
     }
 
-    private ThroughputMeter.Counted counted() {
+    private ThroughputMeter.Totals counted() {
         double[] payoff = dispatcher.payoff();
-        return new ThroughputMeter.Counted(payoff[0], payoff[1], counters.of(Count.FAILED));
+        return new ThroughputMeter.Totals(payoff[0], payoff[1], counters.of(Count.FAILED));
     }
 
     /** What a part has to settle holds the stop back as an open connection does. */
--- a/src/main/java/topazladder/net/codec/ReleaseMessages.java
+++ b/src/main/java/topazladder/net/codec/ReleaseMessages.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.LoadReport;
 import topazladder.hall.proto.PlaceMessage;
 import topazladder.hall.proto.PlanMessage;
@@ -139,9 +139,10 @@
     // ---- what is said
 
     static ServingMessage serving(LoadReport s) {
-        return ServingMessage.newBuilder().setVersion(s.version()).setSpan(s.span()).setAsked(s.asked())
-                .setHonoured(s.served()).setBrokenOff(s.failed()).setCapacity(s.capacity())
-                .setMegabytes(s.megabytes()).build();
+        return ServingMessage.newBuilder().setVersion(s.version()).setSpan(s.spanSeconds())
+                .setAsked(s.offeredPerSecond())
+                .setHonoured(s.servedPerSecond()).setBrokenOff(s.failedPerSecond()).setCapacity(s.capacityPerSecond())
+                .setMegabytes(s.memoryMegabytes()).build();
     }
 
     static LoadReport serving(ServingMessage m) {
@@ -178,7 +179,7 @@
         List<View.Sight> sights = new ArrayList<>();
         for (SightMessage m : all) {
             sights.add(new View.Sight(GroupMessages.name(m.getName()), m.getZone(),
-                    OutMessages.one(Look.values(), m.getLook()), m.getLife(),
+                    OutMessages.one(Health.values(), m.getLook()), m.getLife(),
                     m.hasOut() ? OutMessages.out(m.getOut()) : null, m.getWaits().isEmpty() ? null : m.getWaits(),
                     m.hasServing() ? serving(m.getServing()) : null));
         }
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -86,7 +86,7 @@
     private final Counters counters;
     private final DependencyCircuitBreaker reach;
     private final DoubleConsumer drain;
-    private final Supplier<ThroughputMeter.Counted> counted;
+    private final Supplier<ThroughputMeter.Totals> counted;
     private final ThroughputMeter meter;
     private final String name;
     private final HallClock clock;
@@ -128,7 +128,7 @@
      * @param index where the service below is now
      */
     public HallNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, Supplier<Phase> phase, Counters counters,
-            Supplier<List<byte[]>> keys, DoubleConsumer drain, Supplier<ThroughputMeter.Counted> counted,
+            Supplier<List<byte[]>> keys, DoubleConsumer drain, Supplier<ThroughputMeter.Totals> counted,
             Function<ClusterSettings.Consume, LeasedTask> queue, Supplier<Address> index,
             DependencyCircuitBreaker reach) {
         this.vertx = vertx;
@@ -271,11 +271,11 @@
     public void open() {
         member.open();
         repeat(WELL_MS, () -> member.well(phase.get() == Phase.SERVING && !leaving));
-        repeat(LOOK_MS, () -> member.serving(meter.look(monotonic(), counted.get(), megabytes())));
+        repeat(LOOK_MS, () -> member.serving(meter.measure(monotonic(), counted.get(), megabytes())));
         if (thread != null) {
             thread.execute(this::openVoter);
             repeat(LOOK_MS, () -> {
-                Map<DisruptionTarget, DisruptionController.Seen> looks = member.looks();
+                Map<DisruptionTarget, DisruptionController.Observation> looks = member.looks();
                 thread.execute(() -> withVoter(v -> v.seen(looks)));
             });
         }
@@ -484,26 +484,28 @@
         if (c.kind().ordinal() > Command.Kind.OUTS.ordinal()) {
             boolean below = c.text().startsWith(BELOW);
             DisruptionTarget s =
-                    below ? new DisruptionTarget(DisruptionTarget.Kind.BELOW, c.text().substring(BELOW.length()), "")
+                    below ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, c.text().substring(BELOW.length()),
+                            "")
                             : replica.instance(c.text());
             Disruption out = replica.outs().get(s);
-            boolean isOut = below && out != null && out.takesPlace();
+            boolean isOut = below && out != null && out.usesBudget();
             DisruptionCommand op = switch (c.kind()) {
-                case DRAIN -> isOut ? new DisruptionCommand.Keeps(s, "operator", "an operator")
-                        : new DisruptionCommand.Ask(s, Disruption.Why.OPERATOR, "operator", "an operator");
-                case UNDRAIN -> isOut ? new DisruptionCommand.Rejoins(s)
-                        : new DisruptionCommand.Withdraw(s, out == null ? "" : out.request());
-                case GIVE_UP -> new DisruptionCommand.GivenUp(s, "an operator");
-                case HOLD_DRAINS -> new DisruptionCommand.Halt(c.text().isEmpty() ? "by an operator" : c.text());
-                default -> new DisruptionCommand.Halt(null);
+                case DRAIN -> isOut ? new DisruptionCommand.KeepOut(s, "operator", "an operator")
+                        : new DisruptionCommand.Request(s, Disruption.Reason.OPERATOR, "operator", "an operator");
+                case UNDRAIN -> isOut ? new DisruptionCommand.Rejoin(s)
+                        : new DisruptionCommand.Withdraw(s, out == null ? "" : out.requestId());
+                case GIVE_UP -> new DisruptionCommand.GiveUp(s, "an operator");
+                case HOLD_DRAINS -> new DisruptionCommand.SuspendGrants(
+                        c.text().isEmpty() ? "by an operator" : c.text());
+                default -> new DisruptionCommand.SuspendGrants(null);
             };
-            if (op instanceof DisruptionCommand.Ask && !replica.outs().capacities().containsKey(s)) {
+            if (op instanceof DisruptionCommand.Request && !replica.outs().capacities().containsKey(s)) {
                 then.accept(new Saying.Told(o.number(), false, "there is no "
                         + (below ? c.text() + ", or nobody has called it yet" : "member " + c.text())));
                 return;
             }
-            replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
-                    outcome.done() ? "done" : outcome.why())));
+            replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
+                    outcome.isApplied() ? "done" : outcome.rejection())));
             return;
         }
         LeaseCommand op = switch (c.kind()) {
@@ -518,19 +520,22 @@
 
     private static JsonObject outs(ConsensusReplica replica) {
         JsonArray all = new JsonArray();
-        for (Disruption o : replica.outs().all()) {
-            all.add(new JsonObject().put("name", o.subject().toString()).put("zone", o.subject().zone())
-                    .put("why", o.why().name()).put("phase", o.phase().name()).put("token", o.token())
-                    .put("asked", o.asked()).put("by", o.by())
+        for (Disruption o : replica.outs().disruptions()) {
+            all.add(new JsonObject().put("name", o.target().toString()).put("zone", o.target().zone())
+                    .put("why", o.reason().name()).put("phase", o.phase().name()).put("token", o.token())
+                    .put("asked", o.requestOrder()).put("by", o.requestedBy())
                     .put("waits",
-                            o.phase() == Disruption.Phase.ASKED ? replica.permits().blocked().get(o.subject()) : null));
+                            o.phase() == Disruption.Phase.ASKED ? replica.permits().blockedReasons().get(o.target())
+                                    : null));
         }
         JsonArray budgets = new JsonArray();
         for (DisruptionBudget b : replica.outs().budgets()) {
-            budgets.add(new JsonObject().put("name", b.name()).put("most", b.most()).put("share", b.share())
-                    .put("zone", b.zone()).put("out", replica.outs().taken().stream().filter(b::covers).count()));
+            budgets.add(new JsonObject().put("name", b.name()).put("most", b.maxUnavailable())
+                    .put("share", b.maxCapacityShare())
+                    .put("zone", b.zone())
+                    .put("out", replica.outs().targetsUsingBudget().stream().filter(b::covers).count()));
         }
-        return new JsonObject().put("leader", replica.here().name()).put("halted", replica.outs().halted())
+        return new JsonObject().put("leader", replica.here().name()).put("halted", replica.outs().suspendedReason())
                 .put("outs", all).put("budgets", budgets);
     }
 
--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import topazladder.disruption.Disruption;
-import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.LoadReport;
 import topazladder.release.Place.Stage;
 import topazladder.release.Release.Phase;
@@ -110,7 +110,7 @@
             }
             left++;
             if (p.stage() == Stage.ASKED) {
-                if (s != null && s.out() == null && s.look() == Look.STEADY && s.serving() != null) {
+                if (s != null && s.out() == null && s.look() == Health.STEADY && s.serving() != null) {
                     ops.add(new ReleaseOp.Missed(leave, r.id(), r.started(), p.name()));
                 }
             } else if (p.attempt() < r.plan().tries() && s != null && mayBeAsked(r, s)
@@ -140,7 +140,7 @@
     private static List<ReleaseOp> additions(Release r, View v, ReleaseOp.By by) {
         List<ReleaseOp> ops = new ArrayList<>();
         for (Sight s : v.takesAdditions() ? v.members() : List.<Sight>of()) {
-            boolean says = s.look() != Look.GONE && s.serving() != null && !s.serving().version().isEmpty();
+            boolean says = s.look() != Health.GONE && s.serving() != null && !s.serving().version().isEmpty();
             if (says && r.place(s.name()) == null && !s.serving().version().equals(r.target())) {
                 ops.add(new ReleaseOp.AddPlace(by, r.id(), r.started(), s.name(), s.zone(), false));
             }
@@ -158,7 +158,7 @@
         for (Place p : r.places()) {
             Sight s = p.stage() == Stage.ASKED ? v.of(p.name()) : null;
             if (s != null) {
-                boolean goes = s.out() != null && s.out().takesPlace();
+                boolean goes = s.out() != null && s.out().usesBudget();
                 out += goes ? 1 : 0;
                 waiting += goes ? 0 : 1;
             }
@@ -209,12 +209,13 @@
         for (Sight s : v.members()) {
             LoadReport served = s.serving();
             // Whoever drains or warms is no measure of its version.
-            if (served != null && served.span() > 0 && served.asked() > 0 && s.out() == null
-                    && s.look() == Look.STEADY) {
+            if (served != null && served.spanSeconds() > 0 && served.offeredPerSecond() > 0 && s.out() == null
+                    && s.look() == Health.STEADY) {
                 boolean b = served.version().equals(r.plan().to());
                 if (b || served.version().equals(r.plan().from())) {
-                    looks.add(new Judge.Look(s.name(), s.zone(), b, served.share(),
-                            served.failed() / Math.max(1e-9, served.asked()), served.megabytes()));
+                    looks.add(new Judge.Look(s.name(), s.zone(), b, served.servedShare(),
+                            served.failedPerSecond() / Math.max(1e-9, served.offeredPerSecond()),
+                            served.memoryMegabytes()));
                 }
             }
         }
@@ -230,15 +231,15 @@
         for (Place p : r.places()) {
             Sight s = v.of(p.name());
             // Also one that went before the release was turned, and has not come back since.
-            boolean away = s == null ? p.stage() == Stage.ASKED : s.out() != null && s.out().takesPlace()
+            boolean away = s == null ? p.stage() == Stage.ASKED : s.out() != null && s.out().usesBudget()
                     && s.out().phase() != Disruption.Phase.GRANTED
-                    && (p.stage() == Stage.ASKED || s.out().why() == Disruption.Why.RELEASE);
+                    && (p.stage() == Stage.ASKED || s.out().reason() == Disruption.Reason.RELEASE);
             if (!away) {
                 awaySince.remove(p.name());
             } else {
                 awaySince.putIfAbsent(p.name(), now);
             }
-            if (s != null && s.look() != Look.GONE) {
+            if (s != null && s.look() != Health.GONE) {
                 Long before = lives.put(p.name(), s.life());
                 if (before != null && before != s.life() && p.stage() == Stage.ASKED) {
                     ended.merge(p.name(), 1, Integer::sum);
@@ -264,8 +265,8 @@
                 return p.name() + " does not come back as " + r.target() + ", after " + p.attempt() + " times";
             }
         }
-        long others = v.members().stream().filter(s -> s.out() != null && s.out().takesPlace()
-                && s.out().why() != Disruption.Why.RELEASE).count();
+        long others = v.members().stream().filter(s -> s.out() != null && s.out().usesBudget()
+                && s.out().reason() != Disruption.Reason.RELEASE).count();
         if (others > r.plan().mostOut()) {
             return others + " are out for other reasons";
         }
--- a/src/main/java/topazladder/release/ReleaseLedger.java
+++ b/src/main/java/topazladder/release/ReleaseLedger.java
@@ -110,7 +110,7 @@
             return "its wave has not begun";
         }
         Disruption out = outs.get(subject(p));
-        if (out != null && out.takesPlace() && !(release.back() && out.phase() == Disruption.Phase.RETURNING)) {
+        if (out != null && out.usesBudget() && !(release.back() && out.phase() == Disruption.Phase.RETURNING)) {
             return "it is out already";
         }
         return p.votes() && release.places().stream().anyMatch(o -> o.votes() && o.stage() == Stage.ASKED)
@@ -124,8 +124,9 @@
                     s.places(), List.of()).told(at, "starts: " + s.plan().from() + " to " + s.plan().to());
         } else if (op instanceof ReleaseOp.Ask a) {
             Place p = release.place(a.place()).at(Stage.ASKED, a.attempt());
-            outs.apply(new DisruptionCommand.Ask(subject(p), Disruption.Why.RELEASE, release.request(p), "release "
-                    + release.plan().name()));
+            outs.apply(
+                    new DisruptionCommand.Request(subject(p), Disruption.Reason.RELEASE, release.request(p), "release "
+                            + release.plan().name()));
             release = release.with(p).told(at, p.name() + " is asked for");
         } else if (op instanceof ReleaseOp.Missed m) {
             Place p = release.place(m.place());
@@ -156,8 +157,8 @@
         for (Place p : release.places()) {
             Disruption out = outs.get(subject(p));
             if (p.stage() == Stage.ASKED && (out == null
-                    || out.request().equals(release.request(p)) && out.why() == Disruption.Why.RELEASE
-                            && outs.apply(new DisruptionCommand.Withdraw(subject(p), out.request())).done())) {
+                    || out.requestId().equals(release.request(p)) && out.reason() == Disruption.Reason.RELEASE
+                            && outs.apply(new DisruptionCommand.Withdraw(subject(p), out.requestId())).isApplied())) {
                 release = release.with(p.at(Stage.LEFT, p.attempt()));
             }
         }
@@ -166,7 +167,7 @@
     /** Whoever was asked for and is not out any more, but was not moved either, may be asked for again. */
     public boolean cameBack(Place p) {
         Disruption out = outs.get(subject(p));
-        return p.stage() == Stage.ASKED && (out == null || !out.request().equals(release.request(p)));
+        return p.stage() == Stage.ASKED && (out == null || !out.requestId().equals(release.request(p)));
     }
 
     private static DisruptionTarget subject(Place p) {
--- a/src/main/java/topazladder/release/View.java
+++ b/src/main/java/topazladder/release/View.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import topazladder.disruption.Disruption;
-import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.LoadReport;
 
 /**
@@ -26,12 +26,12 @@
      * @param waits why it is not let go, or null
      * @param serving what it said last; null where it said nothing in this life
      */
-    public record Sight(String name, String zone, Look look, long life, Disruption out, String waits,
+    public record Sight(String name, String zone, Health look, long life, Disruption out, String waits,
             LoadReport serving) {
 
         /** Whether it serves as it should, in that version. */
         boolean runs(String version) {
-            return look == Look.STEADY && out == null && serving != null && version.equals(serving.version());
+            return look == Health.STEADY && out == null && serving != null && version.equals(serving.version());
         }
     }
 
--- a/src/main/java/topazladder/rig/HollowMembers.java
+++ b/src/main/java/topazladder/rig/HollowMembers.java
@@ -62,7 +62,7 @@
         private void start() {
             Counters counters = new Counters();
             node = new HallNode(vertx, terms, own, () -> Phase.SERVING, counters, () -> List.of(key),
-                    notice -> restart(Math.round(notice * 1000)), () -> new ThroughputMeter.Counted(0, 0, 0),
+                    notice -> restart(Math.round(notice * 1000)), () -> new ThroughputMeter.Totals(0, 0, 0),
                     queue -> null,
                     () -> null, new DependencyCircuitBreaker(new SplittableRandom(1)));
             server = new PeerServer(vertx, new Learning(new Origin(terms.name(), 1, CORES, 1, 0),
--- a/src/test/java/topazladder/below/VerdictsTest.java
+++ b/src/test/java/topazladder/below/VerdictsTest.java
@@ -24,8 +24,8 @@
 
     @BeforeEach
     void setUp() {
-        ledger.apply(new DisruptionCommand.Budgets(
-                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1))));
+        ledger.apply(new DisruptionCommand.SetBudgets(
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", 1, 1))));
         verdicts.lead(now);
         permits.becomeLeader(now, 0);
         now += Verdicts.AFTER_MOST;
@@ -57,7 +57,7 @@
     }
 
     private Disruption out(String server) {
-        return ledger.get(new DisruptionTarget(DisruptionTarget.Kind.BELOW, server, ""));
+        return ledger.get(new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, server, ""));
     }
 
     @Test
@@ -115,8 +115,8 @@
 
     @Test
     void whatManyAvoidAddsUpToNoMoreThanTheBudget() {
-        ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "d", ""),
-                Disruption.Why.OPERATOR, "operator", "me"));
+        ledger.apply(new DisruptionCommand.Request(new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "d", ""),
+                Disruption.Reason.OPERATOR, "operator", "me"));
         pass(2, List.of(Set.of("a"), Set.of("b"), Set.of(), Set.of(), Set.of()));
         assertThat(out("d").phase()).isEqualTo(Disruption.Phase.GRANTED);
         assertThat(verdicts.words(now, "n0")).extracting(Word::kind).containsExactly(Word.Kind.OUT);
@@ -144,7 +144,7 @@
         pass(2, all(Set.of("a")));
         pass(1, all(Set.of("a", "b")));
         assertThat(out("b").phase()).isEqualTo(Disruption.Phase.ASKED);
-        assertThat(ledger.taken()).hasSize(1);
+        assertThat(ledger.targetsUsingBudget()).hasSize(1);
         pass(1, all(Set.of("a")));
         assertThat(out("b")).as("well again while it waits").isNull();
     }
@@ -152,12 +152,12 @@
     @Test
     void anOperatorKeepsOneOutThatWasIllAndBringsItBack() {
         pass(2, all(Set.of("a")));
-        DisruptionTarget a = new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", "");
-        assertThat(ledger.apply(new DisruptionCommand.Keeps(a, "operator", "me")).done()).isTrue();
+        DisruptionTarget a = new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", "");
+        assertThat(ledger.apply(new DisruptionCommand.KeepOut(a, "operator", "me")).isApplied()).isTrue();
         pass(60, all(Set.of()));
         assertThat(out("a").phase()).as("by the operator's word alone").isEqualTo(Disruption.Phase.GRANTED);
-        assertThat(ledger.apply(new DisruptionCommand.Rejoins(a)).done()).isTrue();
-        assertThat(ledger.apply(new DisruptionCommand.Rejoins(a)).done()).as("said twice").isFalse();
+        assertThat(ledger.apply(new DisruptionCommand.Rejoin(a)).isApplied()).isTrue();
+        assertThat(ledger.apply(new DisruptionCommand.Rejoin(a)).isApplied()).as("said twice").isFalse();
         assertThat(out("a").phase()).isEqualTo(Disruption.Phase.RETURNING);
         pass(Ramp.whole() + 1, all(Set.of()));
         assertThat(out("a")).isNull();
@@ -168,7 +168,7 @@
     void oneThatRejoinedSinceTheLastLookIsToldAsNew() {
         pass(2, all(Set.of("a")));
         now += 1;
-        ledger.apply(new DisruptionCommand.Rejoins(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", "")));
+        ledger.apply(new DisruptionCommand.Rejoin(new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", "")));
         assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
             assertThat(w.kind()).isEqualTo(Word.Kind.RETURNING);
             assertThat(w.age()).isZero();
@@ -178,8 +178,8 @@
     /** Behind an election nobody has said anything yet; a place must not be taken for what was so long ago. */
     @Test
     void whatWasAskedForUnderAnotherLeaderIsWithdrawnUnlessItIsStillSo() {
-        ledger.apply(new DisruptionCommand.Ask(new DisruptionTarget(DisruptionTarget.Kind.BELOW, "a", ""),
-                Disruption.Why.ILL, "symptoms a 1", "symptoms"));
+        ledger.apply(new DisruptionCommand.Request(new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", ""),
+                Disruption.Reason.ILL, "symptoms a 1", "symptoms"));
         pass(0.25, List.of());
         assertThat(out("a")).isNull();
     }
@@ -187,9 +187,9 @@
     @Test
     void rejoiningAndKeepingAreForServersBelowAlone() {
         DisruptionTarget n = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n1", "");
-        ledger.apply(new DisruptionCommand.Leaves(n, 0, 7, "a signal"));
-        assertThat(ledger.apply(new DisruptionCommand.Rejoins(n)).done()).isFalse();
-        assertThat(ledger.apply(new DisruptionCommand.Keeps(n, "operator", "me")).done()).isFalse();
+        ledger.apply(new DisruptionCommand.Leaving(n, 0, 7, "a signal"));
+        assertThat(ledger.apply(new DisruptionCommand.Rejoin(n)).isApplied()).isFalse();
+        assertThat(ledger.apply(new DisruptionCommand.KeepOut(n, "operator", "me")).isApplied()).isFalse();
     }
 
     @Test
--- a/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
@@ -23,7 +23,7 @@
     private static HallWorld world(Servers servers, Fault... faults) {
         Schedule s = new Schedule(1, MEMBERS, 3, Collections.nCopies(MEMBERS, 1.0), List.of(faults), 0);
         return new HallWorld(s, new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
-                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.BELOW, "", 1, 1))).calling(servers),
+                List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", 1, 1))).calling(servers),
                 Plant.NONE).open();
     }
 
--- a/src/test/java/topazladder/net/hall/SqliteStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteStoreTest.java
@@ -88,13 +88,15 @@
                             entry(2, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
                     chunk(2, 0, 1,
-                            new ReplicatedState.Copy(ledger.snapshot(), new DisruptionStateMachine().copy(), null)));
+                            new ReplicatedState.Copy(ledger.snapshot(), new DisruptionStateMachine().snapshot(),
+                                    null)));
             store.flush();
             store.truncateLogEntriesUntil(2);
             store.persistLogEntries(List.of(entry(3, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
                     chunk(3, 0, 2,
-                            new ReplicatedState.Copy(ledger.snapshot(), new DisruptionStateMachine().copy(), null)));
+                            new ReplicatedState.Copy(ledger.snapshot(), new DisruptionStateMachine().snapshot(),
+                                    null)));
             store.flush();
         }
         try (SqliteStore store = new SqliteStore(folder)) {
@@ -103,7 +105,7 @@
             assertThat(((List<?>) r.getSnapshotEntry().getOperation())).first()
                     .isInstanceOfSatisfying(SnapshotChunk.class,
                             c -> assertThat(c.getOperation()).isEqualTo(new ReplicatedState.Copy(ledger.snapshot(),
-                                    new DisruptionStateMachine().copy(), null)));
+                                    new DisruptionStateMachine().snapshot(), null)));
             assertThat(r.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(3L);
         }
     }
--- a/src/test/java/topazladder/release/ConductorTest.java
+++ b/src/test/java/topazladder/release/ConductorTest.java
@@ -11,7 +11,7 @@
 import topazladder.disruption.Disruption;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionCommand;
-import topazladder.disruption.DisruptionController.Look;
+import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.DisruptionStateMachine;
 import topazladder.disruption.DisruptionTarget;
 import topazladder.disruption.LoadReport;
@@ -33,7 +33,7 @@
     private final ReleaseLedger ledger = new ReleaseLedger(duties, outs);
     private final Map<String, String> versions = new TreeMap<>();
     private final Map<String, Long> lives = new TreeMap<>();
-    private final Map<String, Look> looks = new TreeMap<>();
+    private final Map<String, Health> looks = new TreeMap<>();
     private double now;
     private Conductor conductor;
 
@@ -44,12 +44,12 @@
     @BeforeEach
     void setUp() {
         duties.apply(new LeaseCommand.Define(List.of(new LeaseSettings("release", 2, 3))));
-        outs.apply(new DisruptionCommand.Budgets(
+        outs.apply(new DisruptionCommand.SetBudgets(
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", 2, 1))));
         for (int i = 0; i < 5; i++) {
             versions.put("n" + i, "A");
             lives.put("n" + i, 1L);
-            looks.put("n" + i, Look.STEADY);
+            looks.put("n" + i, Health.STEADY);
         }
         conducts("n3", 0);
         start(PLAN);
@@ -83,22 +83,22 @@
         now += 1;
         List<ReleaseOp> ops = conductor.next(now, 0, view());
         ops.forEach(ledger::apply);
-        outs.waiting().forEach(o -> outs.apply(new DisruptionCommand.Grant(o.subject(), o.request(),
-                lives.get(o.subject().name()))));
+        outs.waiting().forEach(o -> outs.apply(new DisruptionCommand.Grant(o.target(), o.requestId(),
+                lives.get(o.target().name()))));
         return ops;
     }
 
     private List<String> gone() {
-        return outs.taken().stream().map(DisruptionTarget::name).sorted().toList();
+        return outs.targetsUsingBudget().stream().map(DisruptionTarget::name).sorted().toList();
     }
 
     /** It goes, and is back as that version, steady or not yet. */
     private void comesBack(String name, String as, boolean steady) {
         Disruption out = outs.get(instance(name));
-        outs.apply(new DisruptionCommand.Leaves(instance(name), out.token(), lives.get(name), ""));
+        outs.apply(new DisruptionCommand.Leaving(instance(name), out.token(), lives.get(name), ""));
         lives.merge(name, 1L, Long::sum);
         versions.put(name, as);
-        outs.apply(new DisruptionCommand.Returns(instance(name), lives.get(name)));
+        outs.apply(new DisruptionCommand.Returning(instance(name), lives.get(name)));
         if (steady) {
             outs.apply(new DisruptionCommand.Steady(instance(name)));
         }
@@ -139,7 +139,7 @@
         steps(2);
         versions.put("n9", "A");
         lives.put("n9", 1L);
-        looks.put("n9", Look.STEADY);
+        looks.put("n9", Health.STEADY);
         for (int i = 0; i < 80 && ledger.release().phase() != Phase.DONE; i++) {
             step();
             gone().forEach(n -> comesBack(n, "B", true));
@@ -166,7 +166,7 @@
     void nobodyIsAddedWhereMostVotersCanNotReadIt() {
         versions.put("n9", "A");
         lives.put("n9", 1L);
-        looks.put("n9", Look.STEADY);
+        looks.put("n9", Health.STEADY);
         View all = view();
         View old = new View(all.release(), all.members(), "", false);
         assertThat(conductor.next(1, 0, old)).noneMatch(ReleaseOp.AddPlace.class::isInstance);
@@ -207,8 +207,8 @@
     @Test
     void oneThatDoesNotComeBackHaltsItAndItsPlaceStaysTaken() {
         steps(2);
-        outs.apply(new DisruptionCommand.Leaves(instance("n4"), outs.get(instance("n4")).token(), 1, ""));
-        looks.put("n4", Look.GONE);
+        outs.apply(new DisruptionCommand.Leaving(instance("n4"), outs.get(instance("n4")).token(), 1, ""));
+        looks.put("n4", Health.GONE);
         steps(29);
         assertThat(ledger.release().phase()).isEqualTo(Phase.RUNNING);
         steps(5);
@@ -231,7 +231,7 @@
     @Test
     void tooManyOutForOtherReasonsHaltIt() {
         step();
-        outs.apply(new DisruptionCommand.Leaves(instance("n0"), 0, 1, "a signal"));
+        outs.apply(new DisruptionCommand.Leaving(instance("n0"), 0, 1, "a signal"));
         outs.apply(new DisruptionCommand.Lost(instance("n1"), 1));
         steps(2);
         assertThat(ledger.release().why()).contains("2 are out for other reasons");
@@ -267,12 +267,12 @@
     void oneThatIsNeverSteadyAsBGoesBackUnderThePlaceThatItHolds() {
         steps(2);
         comesBack("n4", "B", false);
-        looks.put("n4", Look.UNSTEADY);
+        looks.put("n4", Health.UNSTEADY);
         ledger.apply(new ReleaseOp.Back(ReleaseOp.By.operator(0), 1));
         steps(2);
         assertThat(outs.get(instance("n4")).phase()).isEqualTo(Disruption.Phase.GRANTED);
         comesBack("n4", "A", true);
-        looks.put("n4", Look.STEADY);
+        looks.put("n4", Health.STEADY);
         steps(4);
         assertThat(ledger.release().phase()).isEqualTo(Phase.DONE);
     }
@@ -281,10 +281,10 @@
     @Test
     void whatRunsTheTargetIsNotAskedToGoForIt() {
         ledger.apply(new ReleaseOp.Back(ReleaseOp.By.operator(0), 1));
-        looks.put("n1", Look.UNSTEADY);
+        looks.put("n1", Health.UNSTEADY);
         steps(3);
         assertThat(gone()).isEmpty();
-        looks.put("n1", Look.STEADY);
+        looks.put("n1", Health.STEADY);
         steps(3);
         assertThat(ledger.release().phase()).isEqualTo(Phase.DONE);
     }
