--- a/src/main/java/topazladder/config/ClusterSection.java
+++ b/src/main/java/topazladder/config/ClusterSection.java
@@ -171,7 +171,7 @@
             }
             budgets.add(new DisruptionBudget(
                     budget.getName(),
-                    budget.getBelow() ? DisruptionTarget.Kind.BELOW : DisruptionTarget.Kind.INSTANCE,
+                    budget.getBelow() ? DisruptionTarget.Kind.DEPENDENCY : DisruptionTarget.Kind.INSTANCE,
                     budget.getZone(),
                     (int) SettingsChecks.inRange(key + "most", budget.hasMost() ? budget.getMost() : 1, 0, 1000),
                     SettingsChecks.inRange(key + "share", budget.hasShare() ? budget.getShare() : 1, 0.001, 1)));
--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -133,7 +133,7 @@
     private final LeaseManager leaseManager;
     private final DisruptionController permits;
     private final Verdicts verdicts;
-    private Map<DisruptionTarget, DisruptionController.Seen> seen = Map.of();
+    private Map<DisruptionTarget, DisruptionController.Observation> seen = Map.of();
     private final VoterSet voters = new VoterSet();
     private final RandomGenerator chance;
     private final VoterStore store;
@@ -295,16 +295,16 @@
 
     /** What a member did of late, and what it can read. */
     public void says(MemberIdentity from, int schema, LoadReport serving, boolean steady) {
-        permits.loadReported(clock.getAsDouble(), instance(from.name()), from.life(), schema, serving, steady);
+        permits.loadReported(clock.getAsDouble(), instance(from.name()), from.incarnation(), schema, serving, steady);
     }
 
     /** All that a conductor goes by. */
     public View view() {
         Release r = agreed.releases().release();
         List<View.Sight> sights = new ArrayList<>();
-        Map<DisruptionTarget, String> blocked = permits.blocked();
-        seen.forEach((s, look) -> sights.add(new View.Sight(s.name(), s.zone(), look.look(), look.life(),
-                agreed.outs().get(s), blocked.get(s), permits.loadReport(s, look.life()))));
+        Map<DisruptionTarget, String> blocked = permits.blockedReasons();
+        seen.forEach((s, look) -> sights.add(new View.Sight(s.name(), s.zone(), look.health(), look.incarnation(),
+                agreed.outs().get(s), blocked.get(s), permits.loadReport(s, look.incarnation()))));
         return new View(r, List.copyOf(sights), here.name(), mostVotersKnow(KNOWS_ADDITIONS));
     }
 
@@ -356,7 +356,7 @@
     }
 
     /** How the instances look from here; of use only while this voter leads. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
+    public void seen(Map<DisruptionTarget, DisruptionController.Observation> looks) {
         seen = Map.copyOf(looks);
         permits.membersObserved(clock.getAsDouble(), seen);
     }
@@ -364,11 +364,11 @@
     /** A member that may go would go now: once it is written down it may. */
     public void going(MemberIdentity from, long token) {
         if (leaseManager.isLeader()) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), token, from.life(), ""), outcome -> {
-                if (outcome.done()) {
+            propose(new DisruptionCommand.Leaving(instance(from.name()), token, from.incarnation(), ""), outcome -> {
+                if (outcome.isApplied()) {
                     Disruption out = agreed.outs().get(instance(from.name()));
                     world.go(from.name(), token, out == null ? ""
-                            : agreed.releases().versionFor(from.name(), out.request()));
+                            : agreed.releases().versionFor(from.name(), out.requestId()));
                 }
             });
         }
@@ -377,9 +377,9 @@
     /** A member was told to leave by somebody else, and does so whatever is said here. */
     public void leaving(MemberIdentity from, String by) {
         Disruption out = agreed.outs().get(instance(from.name()));
-        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.life() == from.life();
+        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.incarnation() == from.incarnation();
         if (leaseManager.isLeader() && !known) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.life(), by), outcome -> {});
+            propose(new DisruptionCommand.Leaving(instance(from.name()), 0, from.incarnation(), by), outcome -> {});
         }
     }
 
@@ -487,20 +487,22 @@
         }
         // Behind them: what is withdrawn is not granted in the same moment.
         permits.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, permits::commandCompleted));
-        leaseManager.wakeUp(agreed.outs().all().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
-                .map(o -> o.subject().name()).collect(Collectors.toSet()));
+        leaseManager.setFastPolling(
+                agreed.outs().disruptions().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
+                        .map(o -> o.target().name()).collect(Collectors.toSet()));
         // Said again and again, until it has gone: the word may be lost, and so may the one back. Also to one that has
         // said that it goes and is still there: the leader that wrote it down may have ended before it told it so.
         Release release = agreed.releases().release();
         boolean halted = release != null && release.phase() == Release.Phase.HALTED;
-        for (Disruption o : agreed.outs().all()) {
-            DisruptionController.Seen look = seen.get(o.subject());
-            boolean waits = o.phase() == Disruption.Phase.GONE && o.why().waits() && look != null
-                    && look.life() == o.life()
-                    && look.look() != DisruptionController.Look.GONE && !(halted && o.why() == Disruption.Why.RELEASE);
+        for (Disruption o : agreed.outs().disruptions()) {
+            DisruptionController.Observation look = seen.get(o.target());
+            boolean waits = o.phase() == Disruption.Phase.GONE && o.reason().needsGrant() && look != null
+                    && look.incarnation() == o.incarnation()
+                    && look.health() != DisruptionController.Health.GONE
+                    && !(halted && o.reason() == Disruption.Reason.RELEASE);
             if ((o.phase() == Disruption.Phase.GRANTED || waits)
-                    && o.subject().kind() == DisruptionTarget.Kind.INSTANCE) {
-                world.mayGo(o.subject().name(), o.token());
+                    && o.target().kind() == DisruptionTarget.Kind.INSTANCE) {
+                world.mayGo(o.target().name(), o.token());
             }
         }
     }
@@ -537,13 +539,13 @@
     private void carryOut(List<Step> steps) {
         for (Step step : steps) {
             if (step instanceof Step.Propose p) {
-                replicate(p.op()).whenComplete((outcome, e) -> {
+                replicate(p.command()).whenComplete((outcome, e) -> {
                     if (e != null) {
                         notDone(e);
-                        leaseManager.commandFailed(p.op());
+                        leaseManager.commandFailed(p.command());
                     }
                 });
-            } else if (step instanceof Step.Confirm c) {
+            } else if (step instanceof Step.ConfirmLeadership c) {
                 node.<Object>query(new Confirm(), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
                         .whenComplete((o, e) -> {
                             if (e != null) {
@@ -553,9 +555,9 @@
                                     : leaseManager.leadershipUnconfirmed(c.round()));
                         });
             } else if (step instanceof Step.Reply r) {
-                world.reply(r.to(), r.answer());
-            } else if (step instanceof Step.Nudge n) {
-                world.nudge(n.to());
+                world.reply(r.member(), r.response());
+            } else if (step instanceof Step.WakeUp n) {
+                world.nudge(n.member());
             }
         }
     }
@@ -576,7 +578,7 @@
         long formed = store.founding().formed();
         if (formed > 0) {
             // Of the group before nobody knows how far it went; so far above it, it never came.
-            first.add(new LeaseCommand.RaiseTokens(formed << FORMED_BITS));
+            first.add(new LeaseCommand.RaiseTokenFloor(formed << FORMED_BITS));
         }
         for (LeaseCommand op : first) {
             replicate(op).whenComplete((o, e) -> {
@@ -585,7 +587,7 @@
                 }
             });
         }
-        replicateOut(new DisruptionCommand.Budgets(terms.budgets())).whenComplete((o, e) -> {
+        replicateOut(new DisruptionCommand.SetBudgets(terms.budgets())).whenComplete((o, e) -> {
             if (e != null) {
                 notDone(e);
             }
@@ -736,7 +738,7 @@
             }
             Outcome outcome = (Outcome) done;
             double now = clock.getAsDouble();
-            if (op instanceof LeaseCommand.Lead lead) {
+            if (op instanceof LeaseCommand.BeginLeadership lead) {
                 if (lead.nonce() == ownNonce && lead.leader().equals(here.toString())) {
                     LOG.info("{} leads the group in term {}", here, node.getTerm().getTerm());
                     leaseManager.becomeLeader(now);
@@ -769,7 +771,7 @@
         @Override
         public Object getNewTermOperation() {
             ownNonce = chance.nextLong();
-            return new LeaseCommand.Lead(here.toString(), ownNonce);
+            return new LeaseCommand.BeginLeadership(here.toString(), ownNonce);
         }
     }
 }
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -76,14 +76,14 @@
         if (2 * unread.size() >= replica.voting().size()) {
             return "the voters " + unread + " can't read releases; start them in a version that can";
         }
-        if (replica.ledger().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
+        if (replica.ledger().leases().stream().noneMatch(d -> d.settings().name().equals(CONDUCTING_LEASE))) {
             return "no duty named release conducts here";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
     }
 
     private String refusalBy(View.Sight member) {
-        if (member.look() == DisruptionController.Look.GONE) {
+        if (member.look() == DisruptionController.Health.GONE) {
             return member.name() + " is not there; give it up first, or start it";
         }
         String runs = member.serving() == null ? "" : member.serving().version();
@@ -92,12 +92,13 @@
         }
         DisruptionTarget subject = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.zone());
         List<DisruptionBudget> covering = replica.outs().budgets().stream().filter(b -> b.covers(subject)).toList();
-        boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.most() == 0);
+        boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.maxUnavailable() == 0);
         return mayGo ? null : "no budget lets " + member.name() + " go";
     }
 
     private String conductor() {
-        return replica.ledger().all().stream().filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
+        return replica.ledger().leases().stream()
+                .filter(d -> d.isHeld() && d.settings().name().equals(CONDUCTING_LEASE))
                 .map(d -> d.holder().name()).findFirst().orElse("");
     }
 }
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -213,8 +213,8 @@
             replica.handle(c.message());
         } else if (what instanceof Saying.Asking a) {
             if (replica.leading()) {
-                replica.says(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
-                verdicts.says(clock.getAsDouble(), a.ask().from().name(), a.below());
+                replica.says(a.ask().member(), a.schema(), a.serving(), a.ask().eligible());
+                verdicts.says(clock.getAsDouble(), a.ask().member().name(), a.below());
                 replica.ask(a.ask());
             } else {
                 elsewhere(from);
@@ -270,7 +270,7 @@
     }
 
     /** How the instances look from this member. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
+    public void seen(Map<DisruptionTarget, DisruptionController.Observation> looks) {
         if (replica != null && phase == Phase.SEATED) {
             replica.seen(looks);
         }
--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -159,9 +159,9 @@
         vertx.setTimer(timerMillis(noticeSeconds), id -> leave());
     }
 
-    private ThroughputMeter.Counted counted() {
+    private ThroughputMeter.Totals counted() {
         ServedValue value = dispatcher.servedValue();
-        return new ThroughputMeter.Counted(value.offered(), value.served(), counters.get(Count.FAILED));
+        return new ThroughputMeter.Totals(value.offered(), value.served(), counters.get(Count.FAILED));
     }
 
     /**
--- a/src/test/java/topazladder/net/codec/HallMessagesTest.java
+++ b/src/test/java/topazladder/net/codec/HallMessagesTest.java
@@ -63,7 +63,7 @@
                 new Saying.Asking(new LeaseRequest(new MemberIdentity("n1", 5), 9, true, List.of(), List.of()),
                         "127.0.0.1:4200",
                         HallMessages.SCHEMA,
-                        LoadReport.NOTHING,
+                        LoadReport.EMPTY,
                         List.of(new Report("i1", Look.ILL, 4.5, 4), new Report("i2", Look.UNTRIED, 0,
                                 0))),
                 new Saying.Belows(7, List.of(new Word("i1", Word.Kind.RETURNING, 9, 2.5), new Word("i2",
@@ -71,16 +71,16 @@
                 new Saying.Go(9, "B"),
                 new Saying.Conduct(new MemberIdentity("n1", 5), 4, STEPS, "wave 1: 2 left"),
                 new Saying.Conducted(4, new View(RELEASE, List.of(
-                        new View.Sight("n2", "east", DisruptionController.Look.STEADY, 7,
+                        new View.Sight("n2", "east", DisruptionController.Health.STEADY, 7,
                                 new Disruption(new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n2", "east"),
-                                        Disruption.Why.RELEASE, Disruption.Phase.GONE, "r",
+                                        Disruption.Reason.RELEASE, Disruption.Phase.GONE, "r",
                                         3,
                                         7, 2, "release x"),
                                 "hall: 1 of 1 are out", new LoadReport("A", 3, 10, 10, 0, 12, 40)),
-                        new View.Sight("n3", "", DisruptionController.Look.GONE, 1, null, null, null)))),
+                        new View.Sight("n3", "", DisruptionController.Health.GONE, 1, null, null, null)))),
                 new Saying.Conducted(5, new View(null, List.of(), "n2", false)),
                 new Saying.Answering(
-                        new LeaseResponse(9, List.of(new LeaseResponse.Lease("probe", 3, 2.5, true)), 1.25)),
+                        new LeaseResponse(9, List.of(new LeaseResponse.Grant("probe", 3, 2.5, true)), 1.25)),
                 new Saying.LeaderIs("n4", "127.0.0.1:4"), new Saying.LeaderIs(""), new Saying.Nudge(),
                 new Saying.AsksToVote(new VoterEndpoint("n1", 77)),
                 new Saying.TakenIn(new VoterEndpoint("n1", 77),
@@ -115,7 +115,7 @@
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(
                 new Saying.Membership(new Gossip.Ping(1, many))))).isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(new Saying.Answering(
-                new LeaseResponse(1, List.of(new LeaseResponse.Lease("probe", 1, -2, false)), 1)))))
+                new LeaseResponse(1, List.of(new LeaseResponse.Grant("probe", 1, -2, false)), 1)))))
                         .isInstanceOf(MalformedMessageException.class);
         assertThatThrownBy(() -> HallMessages.saying(HallMessages.bytes(new Saying.Answering(
                 new LeaseResponse(1, List.of(), Double.NaN))))).isInstanceOf(MalformedMessageException.class);
