--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -1,646 +1,355 @@
 package topazladder.consensus;
 
-import io.microraft.MembershipChangeMode;
 import io.microraft.QueryPolicy;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
 import io.microraft.RaftNodeStatus;
 import io.microraft.exception.IndeterminateStateException;
-import io.microraft.model.RaftModelFactory;
-import io.microraft.model.impl.DefaultRaftModelFactory;
-import io.microraft.model.log.LogEntry;
-import io.microraft.model.log.RaftGroupMembersView;
-import io.microraft.model.log.SnapshotChunk;
-import io.microraft.model.message.AppendEntriesFailureResponse;
 import io.microraft.model.message.AppendEntriesRequest;
-import io.microraft.model.message.AppendEntriesSuccessResponse;
 import io.microraft.model.message.InstallSnapshotRequest;
-import io.microraft.model.message.InstallSnapshotResponse;
-import io.microraft.model.message.PreVoteResponse;
 import io.microraft.model.message.RaftMessage;
-import io.microraft.model.message.VoteResponse;
-import io.microraft.model.persistence.RaftEndpointPersistentState;
-import io.microraft.model.persistence.RaftTermPersistentState;
-import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
-import io.microraft.report.RaftGroupMembers;
 import io.microraft.report.RaftNodeReport;
 import io.microraft.report.RaftTerm;
-import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
-import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Objects;
 import java.util.Optional;
 import java.util.Random;
-import java.util.Set;
-import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
-import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
 import java.util.random.RandomGenerator;
-import java.util.stream.Collectors;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.below.Verdicts;
-import topazladder.disruption.Disruption;
-import topazladder.disruption.DisruptionBudget;
-import topazladder.disruption.DisruptionCommand;
-import topazladder.disruption.DisruptionController;
-import topazladder.disruption.DisruptionStateMachine;
-import topazladder.disruption.DisruptionTarget;
-import topazladder.disruption.LoadReport;
-import topazladder.lease.LeaseCommand;
-import topazladder.lease.LeaseManager;
-import topazladder.lease.LeaseManager.Step;
-import topazladder.lease.LeaseRequest;
-import topazladder.lease.LeaseResponse;
-import topazladder.lease.LeaseSettings;
-import topazladder.lease.LeaseStateMachine;
-import topazladder.lease.LeaseStateMachine.Outcome;
-import topazladder.lease.MemberIdentity;
-import topazladder.release.Release;
-import topazladder.release.ReleaseLedger;
-import topazladder.release.ReleaseOp;
-import topazladder.release.View;
 import topazladder.service.Timers;
 
 /**
- * One voter's replica in the group: the library's consensus below, the duties' ledger and its lease manager above.
- * Executor, transport, clock, chance and store are handed in, so that the same objects run in virtual time. All calls
- * come on the one thread that the timers run on; it is not the requests' thread, as the store may block.
+ * One voter's replica of the group's log: hosts registered state machines over the MicroRaft library, and runs the
+ * registered leader services while this voter leads. It knows no domain; each brings its commands, its state, its part
+ * of the snapshot ({@link ReplicatedStateMachine}) and its leader's side ({@link LeaderService}).
+ *
+ * <p>Executor, transport, clock, randomness and store are handed in, so that the same objects run in virtual time. All
+ * calls come on the one thread that the timers run on; it is not the requests' thread, as the store may block.
  */
-public final class ConsensusReplica {
+public final class ConsensusReplica implements ReplicatedLog {
     private static final Logger LOG = LoggerFactory.getLogger(ConsensusReplica.class);
 
-    /** What the replica needs of the world. */
-    public interface World {
+    /** What the replica needs of its surroundings. */
+    public interface Environment {
 
-        /** To another voter, which may not get it. */
+        /** Sends to another voter, which may not get it. */
         void send(VoterEndpoint to, RaftMessage message);
 
-        void reply(MemberIdentity to, LeaseResponse answer);
-
-        void nudge(MemberIdentity to);
-
-        /** It may go under that token, and says so before it does. */
-        void mayGo(String member, long token);
-
-        /** It goes now, and comes back as that version; empty for as it is. */
-        void go(String member, long token, String version);
+        /** The replica can't go on, as its store failed. A new one may go on from what the store has. */
+        void failed(Throwable cause);
+    }
 
-        /** The replica can't go on: its store failed. Who restarts the process has it read what was kept. */
-        void failed(Throwable why);
+    /** How far the replica is; it says and writes nothing once it has failed or is closed. */
+    private enum Phase {
+        RUNNING, RESTARTING_NODE, FAILED, CLOSED
     }
 
-    /**
-     * What an installation sets for its group.
-     *
-     * @param voters names of those that should vote; 3, 5 or 7
-     * @param heartbeat seconds between the leader's heartbeats
-     * @param budgets of what may be out at once
-     */
-    public record Terms(Collection<String> voters, double heartbeat, List<LeaseSettings> duties,
-            List<DisruptionBudget> budgets) {
-    }
-
-    private static final String GROUP = "hall";
-    private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    /** Tokens of one forming of the group; more than are ever granted. */
-    private static final int FORMED_BITS = 40;
-    /** Parts of a heartbeat between two looks at the lease manager's time. */
-    private static final double TICK = 0.5;
-    /** Heartbeats without a word after which a leader is given up that the library should have given up at five. */
-    private static final double SILENCE = 8;
-    /** Heartbeats for which a new leader looks round before it grants anybody leave. */
-    private static final double SIGHT = 20;
-    /** The schema from which on a voter can read what is agreed about services below. */
-    private static final int KNOWS_BELOW = 3;
-    /** The schema from which on a voter can read that a release takes in one more instance. */
-    private static final int KNOWS_ADDITIONS = 4;
+    private static final String GROUP_ID_PREFIX = "hall";
+    private static final double HEARTBEATS_PER_TICK = 0.5;
 
+    private final VoterStore store;
     private final VoterEndpoint here;
-    private Terms terms;
-    private final RaftTiming pace;
+    private final double tickSeconds;
+    private final RaftTiming timing;
     private final Timers timers;
     private final DoubleSupplier clock;
-    private final World world;
-    private final ReplicatedState agreed;
-    private final LeaseManager leaseManager;
-    private final DisruptionController permits;
-    private final Verdicts verdicts;
-    private Map<DisruptionTarget, DisruptionController.Seen> seen = Map.of();
-    private final VoterSet voters = new VoterSet();
-    private final RandomGenerator chance;
-    private final VoterStore store;
+    private final RandomGenerator random;
+    private final Environment environment;
+    private final StateMachineRegistry machines;
+    private final TermStart.Codec termStarts;
+    private final List<LeaderService> services = new ArrayList<>();
+    private final LeaderSilenceDetector silence = new LeaderSilenceDetector(HEARTBEATS_PER_TICK);
+    private final VoterReconfiguration reconfiguration;
+    private Collection<String> wantedVoters;
     private RaftNode node;
     private RaftNodeReport report;
-    private int silent;
-    private boolean standing;
-    private long ownNonce;
-    private boolean changing;
-    private boolean over;
-    private boolean closing;
-
-    public ConsensusReplica(VoterStore store, Terms terms, Timers timers, DoubleSupplier clock, RandomGenerator chance,
-            World world, ReplicatedState agreed, LeaseManager leaseManager, DisruptionController permits,
-            Verdicts verdicts) {
+    private Phase phase = Phase.RUNNING;
+    private boolean leading;
+    private long ownTermNonce;
+
+    /**
+     * Makes a replica of what the store has; it does nothing before {@link #start}.
+     *
+     * @param store of a founded voter
+     * @param wantedVoters names of those that should vote; 3, 5 or 7
+     * @param heartbeatSeconds between the leader's heartbeats
+     */
+    public ConsensusReplica(VoterStore store, Collection<String> wantedVoters, double heartbeatSeconds, Timers timers,
+            DoubleSupplier clock, RandomGenerator random, Environment environment, StateMachineRegistry machines,
+            TermStart.Codec termStarts) {
         VoterStore.Founding founding = store.founding();
-        here = founding.here();
-        this.terms = terms;
+        this.store = store;
+        this.here = founding.here();
+        this.wantedVoters = wantedVoters;
+        this.tickSeconds = HEARTBEATS_PER_TICK * heartbeatSeconds;
+        this.timing = new RaftTiming(heartbeatSeconds);
         this.timers = timers;
         this.clock = clock;
-        this.chance = chance;
-        this.world = world;
-        this.agreed = agreed;
-        this.leaseManager = leaseManager;
-        this.permits = permits;
-        this.verdicts = verdicts;
-        this.store = store;
-        pace = new RaftTiming(terms.heartbeat());
-        node = seated(founding);
-    }
-
-    private RaftNode seated(VoterStore.Founding founding) {
-        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP + founding.formed())
-                .setConfig(pace.config()).setExecutor(pace.executor(timers)).setClock(pace.clock(clock))
-                .setRandom(new Random(chance.nextLong())).setTransport(new Voice()).setStateMachine(new Machine())
-                .setStore(new Watched(store)).setRaftNodeReportListener(this::reported);
+        this.random = random;
+        this.environment = environment;
+        this.machines = machines;
+        this.termStarts = termStarts;
+        this.reconfiguration = new VoterReconfiguration(here, timing, clock);
+        this.node = newNode(founding);
+    }
+
+    /** Registers what is done at the leader; services are called, and propose, in the order of registration. */
+    public void register(LeaderService service) {
+        services.add(service);
+    }
+
+    private RaftNode newNode(VoterStore.Founding founding) {
+        FailStopStore failStopStore = new FailStopStore(store, () -> phase == Phase.FAILED, this::fail);
+        RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
+                .setGroupId(GROUP_ID_PREFIX + founding.groupGeneration())
+                .setConfig(timing.config())
+                .setExecutor(timing.executor(timers))
+                .setClock(timing.clock(clock))
+                .setRandom(new Random(random.nextLong()))
+                .setTransport(new EnvironmentTransport())
+                .setStateMachine(new RaftStateMachine(machines, new LogListener()))
+                .setStore(failStopStore)
+                .setRaftNodeReportListener(latest -> report = latest);
         RestoredRaftState restored = store.restored();
         if (restored == null) {
-            builder.setLocalEndpoint(here).setInitialGroupMembers(List.copyOf(founding.first()));
+            builder.setLocalEndpoint(here).setInitialGroupMembers(List.copyOf(founding.initialVoters()));
         } else {
             builder.setRestoredState(restored);
         }
         return builder.build();
     }
 
-    public VoterEndpoint here() {
-        return here;
-    }
-
+    /** Begins to take part in elections and in the log. */
     public void start() {
-        begin();
-        timers.in(TICK * terms.heartbeat(), this::tick);
+        startNode();
+        timers.in(tickSeconds, this::tick);
     }
 
-    private void begin() {
-        silent = 0;
-        node.start().whenComplete((done, e) -> {
-            if (e != null) {
-                fail(e);
+    private void startNode() {
+        silence.reset();
+        node.start().whenComplete((done, failure) -> {
+            if (failure != null) {
+                fail(failure);
             }
         });
     }
 
-    /**
-     * A voter of the library that was started again, and found its leader in the term that it left, never takes that
-     * leader for dead: with all followers started again under one leader, its end is the group's. So where a leader is
-     * believed in and says nothing for longer than the library should bear, the voter takes its replica anew from what
-     * it kept, which is a restart without the process's.
-     */
-    private void noticeSilence() {
-        if (standing) {
-            return;
-        }
-        VoterEndpoint leader = leader();
-        silent = leader == null || leader.equals(here) ? 0 : silent + 1;
-        if (silent * TICK > SILENCE) {
-            LOG.info("{} has heard nothing of {} and takes its seat anew", here, leader);
-            resign("it takes its seat anew");
-            silent = 0;
-            standing = true;
-            // Only once the old one does nothing any more: a vote that it still gave would be forgotten.
-            node.terminate().whenComplete((o, e) -> {
-                standing = false;
-                if (!over) {
-                    agreed.clear();
-                    report = null;
-                    node = seated(store.founding());
-                    begin();
-                }
-            });
-        }
-    }
-
-    /** The process ends in order. */
+    /** Ends the replica in order; the store may be closed once the callback is run. */
     public void close(Runnable done) {
-        over = true;
-        closing = true;
-        leaseManager.stepDown();
-        node.terminate().whenComplete((o, e) -> done.run());
+        phase = Phase.CLOSED;
+        stepDownServices();
+        node.terminate().whenComplete((result, failure) -> done.run());
     }
 
+    /** Takes a message of another voter. One of another group, or of an earlier term, is dropped. */
     public void handle(RaftMessage message) {
-        if (!over && !standing && message.getGroupId().equals(node.getGroupId()) && !outdated(message, term())) {
-            if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
-                silent = message.getTerm() >= term() ? 0 : silent;
-            }
-            node.handle(message);
-            // A refusal bears the term that was asked for, or the refuser's own where that is higher still.
-            if (message instanceof PreVoteResponse r && !r.isGranted() && r.getTerm() > term() + 1) {
-                node.handle(termOf(r));
-            }
+        if (phase != Phase.RUNNING || !message.getGroupId().equals(node.getGroupId())
+                || StaleTerms.isStaleResponse(message, term())) {
+            return;
         }
-    }
-
-    /**
-     * The term of one that refused a pre-vote, in a message of which the library reads the term. It passes over that
-     * of a refusal itself: a voter that campaigned alone into high terms, with a short log, and one with the longer
-     * log in a lower term then refuse each other for ever. This asks for the refuser's sake for a vote that no voter
-     * with a log can give.
-     */
-    private static RaftMessage termOf(PreVoteResponse r) {
-        return MODEL.createVoteRequestBuilder().setGroupId(r.getGroupId()).setSender(r.getSender()).setTerm(r.getTerm())
-                .setLastLogTerm(0).setLastLogIndex(0).setSticky(true).build();
-    }
-
-    /**
-     * Whether it answers what this voter asked in a term before. The library looks at an answer's term only where it is
-     * higher: one that was long on its way would count for a leader that has led before and leads again, as a
-     * follower's word that it holds entries which it may have dropped since, or that it heard a question not yet asked.
-     */
-    static boolean outdated(RaftMessage message, int term) {
-        return message.getTerm() < term && (message instanceof AppendEntriesSuccessResponse
-                || message instanceof AppendEntriesFailureResponse || message instanceof InstallSnapshotResponse
-                || message instanceof VoteResponse || message instanceof PreVoteResponse);
-    }
-
-    /** Who leads as far as is known here; null while nobody does. */
-    public VoterEndpoint leader() {
-        RaftTerm term = node.getTerm();
-        return term.getLeaderEndpoint() == null ? null : (VoterEndpoint) term.getLeaderEndpoint();
-    }
-
-    public boolean leading() {
-        return leaseManager.isLeader();
-    }
-
-    public LeaseStateMachine ledger() {
-        return agreed.duties();
-    }
-
-    public DisruptionStateMachine outs() {
-        return agreed.outs();
-    }
-
-    public ReleaseLedger releases() {
-        return agreed.releases();
-    }
-
-    /** What a member did of late, and what it can read. */
-    public void says(MemberIdentity from, int schema, LoadReport serving, boolean steady) {
-        permits.loadReported(clock.getAsDouble(), instance(from.name()), from.life(), schema, serving, steady);
-    }
-
-    /** All that a conductor goes by. */
-    public View view() {
-        Release r = agreed.releases().release();
-        List<View.Sight> sights = new ArrayList<>();
-        Map<DisruptionTarget, String> blocked = permits.blocked();
-        seen.forEach((s, look) -> sights.add(new View.Sight(s.name(), s.zone(), look.look(), look.life(),
-                agreed.outs().get(s), blocked.get(s), permits.loadReport(s, look.life()))));
-        return new View(r, List.copyOf(sights), here.name(), mostVotersKnow(KNOWS_ADDITIONS));
-    }
-
-    /** Whether this voter has led for long enough to have heard of every member. */
-    public boolean settled() {
-        return leading() && permits.isSettled(clock.getAsDouble());
-    }
-
-    /**
-     * A voter that can't read an operation stands still until it is of a later version, which must never be most of
-     * them.
-     */
-    private boolean mostVotersKnow(int schema) {
-        Collection<VoterEndpoint> voting = voting();
-        return 2 * voting.stream().filter(v -> permits.schemaOf(v.name()) >= schema).count() > voting.size();
-    }
-
-    /** What the conductor would have agreed on, in its order; then it is shown what came of it. */
-    public void conduct(List<ReleaseOp> ops, Consumer<View> then) {
-        CompletableFuture<?>[] all = ops.stream().map(this::completed).filter(Objects::nonNull)
-                .map(op -> node.replicate(op)).toArray(CompletableFuture[]::new);
-        CompletableFuture.allOf(all).whenComplete((done, e) -> {
-            if (e != null) {
-                notDone(e); // it asks anew, of whoever leads by then
-            } else {
-                then.accept(view());
-            }
-        });
-    }
-
-    /** With what only the leader knows; null for one that most voters could not read. */
-    private ReleaseOp completed(ReleaseOp op) {
-        if (!(op instanceof ReleaseOp.AddPlace addition)) {
-            return op;
+        boolean fromLeader = message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest;
+        if (fromLeader && message.getTerm() >= term()) {
+            silence.reset();
+        }
+        node.handle(message);
+        if (StaleTerms.tellsLaterTerm(message, term())) {
+            node.handle(StaleTerms.termOnly(message));
         }
-        boolean votes = voting().stream().anyMatch(v -> v.name().equals(addition.place()));
-        return mostVotersKnow(KNOWS_ADDITIONS) ? addition.withVotes(votes) : null;
-    }
-
-    /** An operator's word on a release. */
-    public void propose(ReleaseOp op, Consumer<ReleaseLedger.Outcome> then) {
-        node.<ReleaseLedger.Outcome>replicate(op).thenApply(o -> o.getResult())
-                .whenComplete((outcome, e) -> then.accept(e == null ? outcome
-                        : new ReleaseLedger.Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
-    }
-
-    public DisruptionController permits() {
-        return permits;
     }
 
-    /** How the instances look from here; of use only while this voter leads. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
-        seen = Map.copyOf(looks);
-        permits.membersObserved(clock.getAsDouble(), seen);
-    }
+    // ---- leadership
 
-    /** A member that may go would go now: once it is written down it may. */
-    public void going(MemberIdentity from, long token) {
-        if (leaseManager.isLeader()) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), token, from.life(), ""), outcome -> {
-                if (outcome.done()) {
-                    Disruption out = agreed.outs().get(instance(from.name()));
-                    world.go(from.name(), token, out == null ? ""
-                            : agreed.releases().versionFor(from.name(), out.request()));
-                }
-            });
+    private void tick() {
+        if (isOver()) {
+            return;
+        }
+        if (phase == Phase.RUNNING && RaftNodeStatus.isTerminal(node.getStatus())) {
+            fail(new IllegalStateException("the raft node has terminated by itself"));
+            return;
         }
+        if (leading) {
+            tickAsLeader();
+        }
+        if (phase == Phase.RUNNING) {
+            noticeSilence();
+        }
+        timers.in(tickSeconds, this::tick);
     }
 
-    /** A member was told to leave by somebody else, and does so whatever is said here. */
-    public void leaving(MemberIdentity from, String by) {
-        Disruption out = agreed.outs().get(instance(from.name()));
-        boolean known = out != null && out.phase() == Disruption.Phase.GONE && out.life() == from.life();
-        if (leaseManager.isLeader() && !known) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.life(), by), outcome -> {});
+    private void tickAsLeader() {
+        if (!isLeaderOfTerm()) {
+            stepDown("other-voter-may-lead");
+            return;
+        }
+        services.forEach(service -> service.tick(clock.getAsDouble()));
+        if (report != null) {
+            reconfiguration.tick(node, report, wantedVoters);
         }
     }
 
-    /** The subject of that name, with its zone where it was seen. */
-    public DisruptionTarget instance(String name) {
-        DisruptionTarget s = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
-        return seen.keySet().stream().filter(s::equals).findFirst().orElse(s);
+    /** Restarts the raft node from the store, as a restart of the process would, where the leader says nothing. */
+    private void noticeSilence() {
+        VoterEndpoint leader = leader();
+        boolean follower = leader != null && !leader.equals(here);
+        if (!silence.tick(follower)) {
+            return;
+        }
+        LOG.info("raft node restarted reason=leader-silent endpoint={} leader={}", here, leader);
+        stepDown("leader-silent");
+        silence.reset();
+        phase = Phase.RESTARTING_NODE;
+        // Only once the old node does nothing any more: a vote that it still gave would be forgotten.
+        node.terminate().whenComplete((done, failure) -> {
+            if (phase == Phase.RESTARTING_NODE) {
+                phase = Phase.RUNNING;
+                machines.clear();
+                report = null;
+                node = newNode(store.founding());
+                startNode();
+            }
+        });
     }
 
-    /** The same as {@link #propose} about outs. */
-    public void propose(DisruptionCommand op, Consumer<DisruptionStateMachine.Outcome> then) {
-        if (!leaseManager.isLeader()) {
-            then.accept(new DisruptionStateMachine.Outcome(0, "this voter does not lead"));
+    private void termStarted(TermStart start) {
+        if (start.nonce() != ownTermNonce || !start.leader().equals(here.toString())) {
+            stepDown("other-voter-leads");
             return;
         }
-        replicateOut(op).whenComplete((outcome, e) -> then.accept(e == null ? outcome
-                : new DisruptionStateMachine.Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
+        LOG.info("leader elected endpoint={} term={}", here, term());
+        leading = true;
+        services.forEach(service -> service.becomeLeader(clock.getAsDouble()));
+        runLater(this::proposeSettings);
     }
 
-    private CompletableFuture<DisruptionStateMachine.Outcome> replicateOut(DisruptionCommand op) {
-        return node.<DisruptionStateMachine.Outcome>replicate(op).thenApply(o -> o.getResult());
+    private void stepDown(String reason) {
+        if (leading) {
+            LOG.info("leader stepped down endpoint={} reason={}", here, reason);
+            stepDownServices();
+        }
     }
 
-    public LeaseManager leaseManager() {
-        return leaseManager;
+    private void stepDownServices() {
+        leading = false;
+        services.forEach(LeaderService::stepDown);
     }
 
-    /** For operators: the voters, the term and who leads. */
-    public Collection<VoterEndpoint> voting() {
-        return endpoints(node.getCommittedMembers().getVotingMembers());
+    private void fail(Throwable cause) {
+        if (!isOver()) {
+            phase = Phase.FAILED;
+            stepDownServices();
+            LOG.warn("replica failed endpoint={} error={}", here, cause.toString());
+            environment.failed(cause);
+        }
     }
 
-    public int term() {
-        return node.getTerm().getTerm();
+    private boolean isOver() {
+        return phase == Phase.FAILED || phase == Phase.CLOSED;
     }
 
-    /** Entries of the log that are committed; 0 before the library has reported. */
-    public long committed() {
-        return report == null ? 0 : report.getLog().getCommitIndex();
+    private boolean isLeaderOfTerm() {
+        return here.equals(node.getTerm().getLeaderEndpoint());
     }
 
-    public RaftNodeStatus status() {
-        return node.getStatus();
-    }
+    // ---- settings
 
-    /** Other voters or duties by the settings, which were read anew. */
-    public void replace(Terms next) {
-        terms = new Terms(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
-        if (leaseManager.isLeader()) {
-            define();
+    /** The settings were read anew, those of the leader services before. */
+    public void settingsChanged(Collection<String> newWantedVoters) {
+        wantedVoters = newWantedVoters;
+        if (leading) {
+            proposeSettings();
         }
     }
 
-    /** A member asks; it is answered by {@link World#reply} if this voter leads and a majority says so. */
-    public void ask(LeaseRequest ask) {
-        carryOut(leaseManager.handleRequest(clock.getAsDouble(), ask));
-    }
-
-    /** Somebody with an empty folder would vote again. */
-    public void asksToVote(VoterEndpoint who) {
-        if (leaseManager.isLeader()) {
-            voters.asked(clock.getAsDouble(), who, terms.voters());
+    private void proposeSettings() {
+        long groupGeneration = store.founding().groupGeneration();
+        for (LeaderService service : services) {
+            service.settingsCommands(groupGeneration)
+                    .forEach(command -> propose(command, completed -> {}));
         }
     }
 
-    /** An operator's wish; told what became of it, or why nobody knows. */
-    public void propose(LeaseCommand op, Consumer<Outcome> then) {
-        if (!leaseManager.isLeader()) {
-            then.accept(new Outcome(0, "this voter does not lead"));
-            return;
+    /** Somebody whose folder was empty asks to be added as a voter. */
+    public void joinRequested(VoterEndpoint endpoint) {
+        if (leading) {
+            reconfiguration.joinRequested(endpoint, wantedVoters);
         }
-        replicate(op).whenComplete((outcome, e) -> then.accept(e == null ? outcome
-                : new Outcome(0, "nobody knows whether it was done: " + e.getMessage())));
     }
 
-    private CompletableFuture<Outcome> replicate(LeaseCommand op) {
-        return node.<Outcome>replicate(op).thenApply(o -> o.getResult());
-    }
-
-    private void tick() {
-        if (over) {
-            return;
-        }
-        if (!standing && RaftNodeStatus.isTerminal(node.getStatus())) {
-            fail(new IllegalStateException("the group's library has ended"));
-            return;
-        }
-        if (leaseManager.isLeader()) {
-            RaftTerm term = node.getTerm();
-            if (!here.equals(term.getLeaderEndpoint())) {
-                resign("another voter may lead");
-            } else {
-                carryOut(leaseManager.tick(clock.getAsDouble()));
-                permit();
-                changeVoters();
-            }
-        }
-        noticeSilence();
-        timers.in(TICK * terms.heartbeat(), this::tick);
-    }
+    // ---- the log
 
-    private void permit() {
-        if (mostVotersKnow(KNOWS_BELOW)) {
-            verdicts.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, verdicts::over));
-        }
-        // Behind them: what is withdrawn is not granted in the same moment.
-        permits.tick(clock.getAsDouble()).forEach(op -> replicateOut(op, permits::commandCompleted));
-        leaseManager.wakeUp(agreed.outs().all().stream().filter(o -> o.phase() == Disruption.Phase.RETURNING)
-                .map(o -> o.subject().name()).collect(Collectors.toSet()));
-        // Said again and again, until it has gone: the word may be lost, and so may the one back. Also to one that has
-        // said that it goes and is still there: the leader that wrote it down may have ended before it told it so.
-        Release release = agreed.releases().release();
-        boolean halted = release != null && release.phase() == Release.Phase.HALTED;
-        for (Disruption o : agreed.outs().all()) {
-            DisruptionController.Seen look = seen.get(o.subject());
-            boolean waits = o.phase() == Disruption.Phase.GONE && o.why().waits() && look != null
-                    && look.life() == o.life()
-                    && look.look() != DisruptionController.Look.GONE && !(halted && o.why() == Disruption.Why.RELEASE);
-            if ((o.phase() == Disruption.Phase.GRANTED || waits)
-                    && o.subject().kind() == DisruptionTarget.Kind.INSTANCE) {
-                world.mayGo(o.subject().name(), o.token());
-            }
-        }
+    @Override
+    public <T> CompletableFuture<T> replicate(Object command) {
+        return node.<T>replicate(command).thenApply(ordered -> ordered.getResult());
     }
 
-    private void replicateOut(DisruptionCommand op, Consumer<DisruptionCommand> over) {
-        replicateOut(op).whenComplete((outcome, e) -> {
-            if (e != null) {
-                notDone(e);
-            }
-            over.accept(op);
-        });
+    @Override
+    public CompletableFuture<?> confirmLeadership() {
+        return node.<Object>query(new RaftStateMachine.LeadershipQuery(), QueryPolicy.LINEARIZABLE, Optional.empty(),
+                Optional.empty());
     }
 
-    private void resign(String why) {
-        if (leaseManager.isLeader()) {
-            LOG.info("{} does not lead the group any more: {}", here, why);
-            leaseManager.stepDown();
-            permits.stepDown();
-            verdicts.resign();
+    @Override
+    public void replicationFailed(Throwable failure) {
+        Throwable cause = failure.getCause() == null ? failure : failure.getCause();
+        // An indeterminate result says nothing about who leads.
+        if (!(cause instanceof IndeterminateStateException) && !isLeaderOfTerm()) {
+            stepDown(cause.getClass().getSimpleName());
         }
     }
 
-    private void fail(Throwable why) {
-        if (!over) {
-            over = true;
-            leaseManager.stepDown();
-            permits.stepDown();
-            verdicts.resign();
-            LOG.warn("{} has no seat any more: {}", here, why.toString());
-            world.failed(why);
-        }
+    @Override
+    public void runLater(Runnable task) {
+        timers.in(0, task);
     }
 
-    private void carryOut(List<Step> steps) {
-        for (Step step : steps) {
-            if (step instanceof Step.Propose p) {
-                replicate(p.op()).whenComplete((outcome, e) -> {
-                    if (e != null) {
-                        notDone(e);
-                        leaseManager.commandFailed(p.op());
-                    }
-                });
-            } else if (step instanceof Step.Confirm c) {
-                node.<Object>query(new Confirm(), QueryPolicy.LINEARIZABLE, Optional.empty(), Optional.empty())
-                        .whenComplete((o, e) -> {
-                            if (e != null) {
-                                notDone(e);
-                            }
-                            carryOut(e == null ? leaseManager.leadershipConfirmed(clock.getAsDouble(), c.round())
-                                    : leaseManager.leadershipUnconfirmed(c.round()));
-                        });
-            } else if (step instanceof Step.Reply r) {
-                world.reply(r.to(), r.answer());
-            } else if (step instanceof Step.Nudge n) {
-                world.nudge(n.to());
-            }
-        }
+    @Override
+    public double now() {
+        return clock.getAsDouble();
     }
 
-    /** Asked of a majority; it says nothing but that this led when it was asked. */
-    private record Confirm() {
+    // ---- as seen from here
+
+    @Override
+    public boolean isLeader() {
+        return leading;
     }
 
-    private void notDone(Throwable e) {
-        Throwable cause = e.getCause() == null ? e : e.getCause();
-        if (!(cause instanceof IndeterminateStateException) && !here.equals(node.getTerm().getLeaderEndpoint())) {
-            resign(cause.getClass().getSimpleName());
-        }
+    /** This voter's identity. */
+    public VoterEndpoint here() {
+        return here;
     }
 
-    private void define() {
-        List<LeaseCommand> first = new ArrayList<>(List.of(new LeaseCommand.Define(terms.duties())));
-        long formed = store.founding().formed();
-        if (formed > 0) {
-            // Of the group before nobody knows how far it went; so far above it, it never came.
-            first.add(new LeaseCommand.RaiseTokens(formed << FORMED_BITS));
-        }
-        for (LeaseCommand op : first) {
-            replicate(op).whenComplete((o, e) -> {
-                if (e != null) {
-                    notDone(e);
-                }
-            });
-        }
-        replicateOut(new DisruptionCommand.Budgets(terms.budgets())).whenComplete((o, e) -> {
-            if (e != null) {
-                notDone(e);
-            }
-        });
+    /** Who leads as far as is known here; null while nobody does. */
+    public VoterEndpoint leader() {
+        RaftTerm term = node.getTerm();
+        return term.getLeaderEndpoint() == null ? null : (VoterEndpoint) term.getLeaderEndpoint();
     }
 
-    private void changeVoters() {
-        RaftGroupMembers members = node.getCommittedMembers();
-        if (changing || report == null || members.getLogIndex() != node.getEffectiveMembers().getLogIndex()) {
-            return;
-        }
-        double now = clock.getAsDouble();
-        Collection<VoterEndpoint> voting = endpoints(members.getVotingMembers());
-        Optional<VoterSet.Change> next = voters.next(now, voting, terms.voters(), heard(voting));
-        if (next.isEmpty()) {
-            return;
-        }
-        changing = true;
-        VoterSet.Change change = next.get();
-        LOG.info("{} {} the voters", change.endpoint(), change.in() ? "is taken in among" : "is taken out of");
-        node.changeMembership(change.endpoint(), change.in() ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER
-                : MembershipChangeMode.REMOVE_MEMBER, members.getLogIndex()).whenComplete((o, e) -> {
-                    changing = false;
-                    if (e != null) {
-                        LOG.info("{}: the change did not come through: {}", change.endpoint(), e.toString());
-                    }
-                });
-    }
-
-    private Collection<VoterEndpoint> heard(Collection<VoterEndpoint> voting) {
-        Set<VoterEndpoint> heard = new HashSet<>(Set.of(here));
-        long oldest = pace.clock(clock).millis() - pace.config().getLeaderHeartbeatTimeoutSecs() * 1000;
-        report.getHeartbeatTimestamps().forEach((e, at) -> {
-            if (at >= oldest) {
-                heard.add((VoterEndpoint) e);
-            }
-        });
-        heard.retainAll(voting);
-        return heard;
+    @Override
+    public Collection<VoterEndpoint> voting() {
+        return VoterReconfiguration.endpoints(node.getCommittedMembers().getVotingMembers());
     }
 
-    private static Collection<VoterEndpoint> endpoints(Collection<RaftEndpoint> all) {
-        Set<VoterEndpoint> set = new TreeSet<>((a, b) -> a.toString().compareTo(b.toString()));
-        all.forEach(e -> set.add((VoterEndpoint) e));
-        return set;
+    public int term() {
+        return node.getTerm().getTerm();
     }
 
-    private void reported(RaftNodeReport r) {
-        report = r;
+    /** The commit index: entries of the log that are committed; 0 before the library has reported. */
+    public long commitIndex() {
+        return report == null ? 0 : report.getLog().getCommitIndex();
     }
 
-    private final class Voice implements Transport {
+    private final class EnvironmentTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
-            if (!over) {
-                world.send((VoterEndpoint) to, message);
+            if (!isOver()) {
+                environment.send((VoterEndpoint) to, message);
             }
         }
 
@@ -650,125 +359,21 @@
         }
     }
 
-    /**
-     * A store that failed once is not trusted again: the library goes on with what it has in memory, and would answer
-     * for it.
-     */
-    private final class Watched implements RaftStore {
-        private final RaftStore store;
-
-        Watched(RaftStore store) {
-            this.store = store;
-        }
-
-        private interface Write {
-            void run() throws IOException;
-        }
-
-        private void write(Write what) throws IOException {
-            if (over && !closing) {
-                throw new IOException("the store has failed before");
-            }
-            try {
-                what.run();
-            } catch (IOException | RuntimeException e) {
-                fail(e);
-                throw e;
-            }
-        }
-
-        @Override
-        public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
-            write(() -> store.persistAndFlushLocalEndpoint(endpoint));
-        }
-
-        @Override
-        public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-            write(() -> store.persistAndFlushInitialGroupMembers(members));
-        }
-
-        @Override
-        public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-            write(() -> store.persistAndFlushTerm(term));
-        }
-
-        @Override
-        public void persistLogEntries(List<LogEntry> entries) throws IOException {
-            write(() -> store.persistLogEntries(entries));
-        }
-
+    private final class LogListener implements RaftStateMachine.Listener {
         @Override
-        public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-            write(() -> store.persistSnapshotChunk(chunk));
-        }
-
-        @Override
-        public void truncateLogEntriesFrom(long index) throws IOException {
-            write(() -> store.truncateLogEntriesFrom(index));
-        }
-
-        @Override
-        public void truncateLogEntriesUntil(long index) throws IOException {
-            write(() -> store.truncateLogEntriesUntil(index));
-        }
-
-        @Override
-        public void deleteSnapshotChunks(long index, int count) throws IOException {
-            write(() -> store.deleteSnapshotChunks(index, count));
-        }
-
-        @Override
-        public void flush() throws IOException {
-            write(store::flush);
-        }
-    }
-
-    private final class Machine implements StateMachine {
-        @Override
-        public Object runOperation(long index, Object operation) {
-            if (operation instanceof Confirm) {
-                return Boolean.TRUE;
-            }
-            Object done = agreed.apply(operation);
-            if (!(operation instanceof LeaseCommand op)) {
-                return done;
-            }
-            Outcome outcome = (Outcome) done;
-            double now = clock.getAsDouble();
-            if (op instanceof LeaseCommand.Lead lead) {
-                if (lead.nonce() == ownNonce && lead.leader().equals(here.toString())) {
-                    LOG.info("{} leads the group in term {}", here, node.getTerm().getTerm());
-                    leaseManager.becomeLeader(now);
-                    permits.becomeLeader(now, SIGHT * terms.heartbeat());
-                    verdicts.lead(now);
-                    timers.in(0, ConsensusReplica.this::define);
-                } else {
-                    resign(lead.leader() + " leads");
-                }
+        public void commandApplied(Object command, Object outcome) {
+            Optional<TermStart> start = termStarts.fromCommand(command);
+            if (start.isPresent()) {
+                termStarted(start.get());
             } else {
-                // Not from within: the library is in the middle of its own step.
-                List<Step> steps = leaseManager.commandApplied(now, op, outcome);
-                if (!steps.isEmpty()) {
-                    timers.in(0, () -> carryOut(steps));
-                }
+                services.forEach(service -> service.commandApplied(clock.getAsDouble(), command, outcome));
             }
-            return outcome;
-        }
-
-        @Override
-        public void takeSnapshot(long index, Consumer<Object> chunks) {
-            chunks.accept(agreed.copy());
-        }
-
-        @Override
-        public void installSnapshot(long index, List<Object> chunks) {
-            agreed.replace((ReplicatedState.Copy) chunks.get(0));
         }
 
         @Override
-        public Object getNewTermOperation() {
-            ownNonce = chance.nextLong();
-            return new LeaseCommand.Lead(here.toString(), ownNonce);
+        public Object newTermCommand() {
+            ownTermNonce = random.nextLong();
+            return termStarts.toCommand(new TermStart(here.toString(), ownTermNonce));
         }
     }
 }
--- a/src/main/java/topazladder/consensus/InMemoryVoterStore.java
+++ b/src/main/java/topazladder/consensus/InMemoryVoterStore.java
@@ -15,47 +15,55 @@
  */
 public class InMemoryVoterStore implements VoterStore {
     private Founding founding;
-    private PersistedRaftState kept = new PersistedRaftState();
-    private PersistedRaftState now = new PersistedRaftState();
+    private PersistedRaftState flushed = new PersistedRaftState();
+    private PersistedRaftState written = new PersistedRaftState();
     private long writes;
-    private long failsAt = Long.MAX_VALUE;
-    private Runnable voted = () -> {};
+    private long firstFailingWrite = Long.MAX_VALUE;
+    private Runnable voteListener = () -> {};
 
-    /** So many writes come through, and then none until there is {@link #room}. */
-    public void full(long writesFromNow) {
-        failsAt = writes + writesFromNow;
+    /** The disk is full after so many more writes, until {@link #allowWrites}. */
+    public void failWritesAfter(long writesFromNow) {
+        firstFailingWrite = writes + writesFromNow;
     }
 
-    public void room() {
-        failsAt = Long.MAX_VALUE;
+    /** The disk has room again. */
+    public void allowWrites() {
+        firstFailingWrite = Long.MAX_VALUE;
     }
 
-    /** Power is gone: what was not flushed never was. */
+    /** The power fails: what was not flushed is lost. */
     public void crash() {
-        now = kept.copy();
+        written = flushed.copy();
     }
 
-    /** The folder is lost. */
+    /** The voter's folder is lost. */
     public void wipe() {
         founding = null;
-        kept = new PersistedRaftState();
-        now = new PersistedRaftState();
+        flushed = new PersistedRaftState();
+        written = new PersistedRaftState();
     }
 
-    protected final void forgetTerm() {
-        kept.term(null);
-        now.term(null);
+    /** Runs it behind each vote that is flushed, before its answer leaves. */
+    public void onVote(Runnable listener) {
+        voteListener = listener;
     }
 
-    protected final void forgetEntries(int latest) {
-        for (int i = 0; i < latest; i++) {
-            kept.dropLast();
+    /** Loses term and vote, which a store must never do. */
+    protected final void forgetTermAndVote() {
+        flushed.setTermAndVote(null);
+        written.setTermAndVote(null);
+    }
+
+    /** Loses the latest entries, flushed or not, which a store must never do. */
+    protected final void forgetLatestEntries(int count) {
+        for (int i = 0; i < count; i++) {
+            flushed.removeLastEntry();
         }
-        now = kept.copy();
+        written = flushed.copy();
     }
 
-    private void write() throws IOException {
-        if (++writes >= failsAt) {
+    private void countWrite() throws IOException {
+        if (++writes >= firstFailingWrite) {
             throw new IOException("no space is left");
         }
     }
@@ -66,86 +74,81 @@
     }
 
     @Override
-    public void found(Founding f) throws IOException {
-        write();
-        founding = f;
-        now = new PersistedRaftState();
-        kept = now.copy();
+    public void found(Founding newFounding) throws IOException {
+        countWrite();
+        founding = newFounding;
+        written = new PersistedRaftState();
+        flushed = written.copy();
     }
 
     @Override
     public RestoredRaftState restored() {
-        now = kept.copy();
-        return kept.restored();
+        written = flushed.copy();
+        return flushed.restored();
     }
 
     @Override
     public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState endpoint) throws IOException {
-        write();
-        now.endpoint(endpoint);
-        kept = now.copy();
+        countWrite();
+        written.setEndpoint(endpoint);
+        flushed = written.copy();
     }
 
     @Override
     public void persistAndFlushInitialGroupMembers(RaftGroupMembersView members) throws IOException {
-        write();
-        now.members(members);
-        kept = now.copy();
+        countWrite();
+        written.setInitialMembers(members);
+        flushed = written.copy();
     }
 
     @Override
     public void persistAndFlushTerm(RaftTermPersistentState term) throws IOException {
-        write();
-        now.term(term);
-        kept = now.copy();
+        countWrite();
+        written.setTermAndVote(term);
+        flushed = written.copy();
         if (term.getVotedFor() != null) {
-            voted.run();
+            voteListener.run();
         }
     }
 
-    /** Told behind each vote that is kept, before its answer leaves. */
-    public void whenVoted(Runnable what) {
-        voted = what;
-    }
-
     @Override
     public void persistLogEntries(List<LogEntry> entries) throws IOException {
-        write();
-        entries.forEach(now::entry);
+        countWrite();
+        entries.forEach(written::putEntry);
     }
 
     @Override
     public void persistSnapshotChunk(SnapshotChunk chunk) throws IOException {
-        write();
-        now.chunk(chunk);
+        countWrite();
+        written.putChunk(chunk);
     }
 
     @Override
     public void truncateLogEntriesFrom(long index) throws IOException {
-        write();
-        now.dropFrom(index);
+        countWrite();
+        written.truncateEntriesFrom(index);
     }
 
     @Override
     public void truncateLogEntriesUntil(long index) throws IOException {
-        write();
-        now.dropUntil(index);
+        countWrite();
+        written.truncateEntriesUntil(index);
     }
 
     @Override
     public void deleteSnapshotChunks(long index, int count) throws IOException {
-        write();
-        now.dropChunks(index);
+        countWrite();
+        written.removeChunks(index);
     }
 
     @Override
     public void flush() throws IOException {
-        write();
-        kept = now.copy();
+        countWrite();
+        flushed = written.copy();
     }
 
     @Override
     public void close() {
-        // nothing is held
+        // holds nothing open
     }
 }
--- a/src/main/java/topazladder/consensus/PersistedRaftState.java
+++ b/src/main/java/topazladder/consensus/PersistedRaftState.java
@@ -12,94 +12,113 @@
 import io.microraft.persistence.RestoredRaftState;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.TreeMap;
 
-/** What a voter has to know again after a restart, as the library hands it over piece by piece. */
+/**
+ * Raft's persistent state: current term, vote, log and snapshots, and the configuration that the group began with
+ * (Raft dissertation, figure 3.1). The library hands it over piece by piece. Invariant: what is restored is the latest
+ * complete snapshot and the entries that follow it without a gap.
+ */
 public final class PersistedRaftState {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
+    private static final RaftTermPersistentState NO_TERM =
+            MODEL.createRaftTermPersistentStateBuilder().setTerm(0).setVotedFor(null).build();
 
     private RaftEndpointPersistentState endpoint;
-    private RaftGroupMembersView members;
-    private RaftTermPersistentState term;
-    private final TreeMap<Long, LogEntry> entries = new TreeMap<>(); // cut at each snapshot
-    private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>(); // of two snapshots at most
+    private RaftGroupMembersView initialMembers;
+    private RaftTermPersistentState termAndVote;
+    private final TreeMap<Long, LogEntry> entries = new TreeMap<>(); // by index; truncated at each snapshot
+    /** By index of the snapshot and number of the chunk; of two snapshots at most. */
+    private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
     PersistedRaftState copy() {
-        PersistedRaftState r = new PersistedRaftState();
-        r.endpoint = endpoint;
-        r.members = members;
-        r.term = term;
-        r.entries.putAll(entries);
-        chunks.forEach((at, all) -> r.chunks.put(at, new TreeMap<>(all)));
-        return r;
+        PersistedRaftState copy = new PersistedRaftState();
+        copy.endpoint = endpoint;
+        copy.initialMembers = initialMembers;
+        copy.termAndVote = termAndVote;
+        copy.entries.putAll(entries);
+        chunks.forEach((index, ofSnapshot) -> copy.chunks.put(index, new TreeMap<>(ofSnapshot)));
+        return copy;
     }
 
-    public void endpoint(RaftEndpointPersistentState e) {
-        endpoint = e;
+    void setEndpoint(RaftEndpointPersistentState newEndpoint) {
+        endpoint = newEndpoint;
     }
 
-    public void endpoint(RaftEndpoint here, boolean voting) {
+    /** The voter's own identity, and whether it votes. */
+    public void setEndpoint(RaftEndpoint here, boolean voting) {
         endpoint = MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(here).setVoting(voting).build();
     }
 
-    public void members(RaftGroupMembersView m) {
-        members = m;
+    public void setInitialMembers(RaftGroupMembersView members) {
+        initialMembers = members;
     }
 
-    /** @param t null forgets it */
-    public void term(RaftTermPersistentState t) {
-        term = t;
+    /** The current term and the vote in it; null forgets both. */
+    public void setTermAndVote(RaftTermPersistentState newTermAndVote) {
+        termAndVote = newTermAndVote;
     }
 
-    public void entry(LogEntry entry) {
+    /** Adds an entry, or replaces the one of its index. */
+    public void putEntry(LogEntry entry) {
         entries.put(entry.getIndex(), entry);
     }
 
-    void dropFrom(long index) {
+    void truncateEntriesFrom(long index) {
         entries.tailMap(index, true).clear();
     }
 
-    void dropUntil(long index) {
+    void truncateEntriesUntil(long index) {
         entries.headMap(index, true).clear();
     }
 
-    void dropChunks(long index) {
-        chunks.remove(index);
+    void removeLastEntry() {
+        entries.pollLastEntry();
     }
 
-    void dropLast() {
-        entries.pollLastEntry();
+    /** Adds a chunk of a snapshot, or replaces the one of its number. */
+    public void putChunk(SnapshotChunk chunk) {
+        chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
     }
 
-    public void chunk(SnapshotChunk chunk) {
-        chunks.computeIfAbsent(chunk.getIndex(), at -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
+    void removeChunks(long index) {
+        chunks.remove(index);
     }
 
-    /** The latest snapshot of which all chunks are there, and what follows it without a gap. */
+    /** What a raft node begins with again; null where none has begun yet. */
     public RestoredRaftState restored() {
-        if (endpoint == null || members == null) {
+        if (endpoint == null || initialMembers == null) {
             return null;
         }
-        SnapshotEntry snapshot = null;
-        for (TreeMap<Integer, SnapshotChunk> all : chunks.descendingMap().values()) {
-            SnapshotChunk first = all.firstEntry().getValue();
-            if (all.size() == first.getSnapshotChunkCount()) {
-                snapshot = MODEL.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
-                        .setSnapshotChunks(new ArrayList<>(all.values()))
+        SnapshotEntry snapshot = latestCompleteSnapshot();
+        long firstIndex = snapshot == null ? 1 : snapshot.getIndex() + 1;
+        return new RestoredRaftState(endpoint, initialMembers, termAndVote == null ? NO_TERM : termAndVote, snapshot,
+                entriesWithoutGapFrom(firstIndex));
+    }
+
+    private SnapshotEntry latestCompleteSnapshot() {
+        for (TreeMap<Integer, SnapshotChunk> ofSnapshot : chunks.descendingMap().values()) {
+            SnapshotChunk first = ofSnapshot.firstEntry().getValue();
+            if (ofSnapshot.size() == first.getSnapshotChunkCount()) {
+                return MODEL.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
+                        .setSnapshotChunks(new ArrayList<>(ofSnapshot.values()))
                         .setGroupMembersView(first.getGroupMembersView()).build();
-                break;
             }
         }
-        List<LogEntry> after = new ArrayList<>();
-        long next = snapshot == null ? 1 : snapshot.getIndex() + 1;
-        for (LogEntry e : entries.tailMap(next).values()) {
-            if (e.getIndex() != next++) {
+        return null;
+    }
+
+    private List<LogEntry> entriesWithoutGapFrom(long firstIndex) {
+        List<LogEntry> following = new ArrayList<>();
+        long expectedIndex = firstIndex;
+        for (Map.Entry<Long, LogEntry> entry : entries.tailMap(firstIndex).entrySet()) {
+            if (entry.getKey() != expectedIndex) {
                 break;
             }
-            after.add(e);
+            following.add(entry.getValue());
+            expectedIndex++;
         }
-        RaftTermPersistentState t = term != null ? term
-                : MODEL.createRaftTermPersistentStateBuilder().setTerm(0).setVotedFor(null).build();
-        return new RestoredRaftState(endpoint, members, t, snapshot, after);
+        return following;
     }
 }
--- a/src/main/java/topazladder/consensus/RaftTiming.java
+++ b/src/main/java/topazladder/consensus/RaftTiming.java
@@ -11,38 +11,43 @@
 import topazladder.service.Timers;
 
 /**
- * How fast the group's time runs. The library counts its heartbeats in whole seconds, which is too slow for a hall
- * whose leases are of seconds: its clock and its timers are handed in so many times as fast.
+ * Raft's timeouts. The library counts heartbeats in whole seconds, which is too slow for leases of seconds, so its
+ * clock and its executor run faster: library time = time * {@link #LIBRARY_HEARTBEAT_SECONDS} / heartbeat. Invariant:
+ * heartbeat and leader election timeout are in the ratio that Raft's availability asks for, broadcast time well below
+ * the election timeout (Raft dissertation, section 3.9).
  */
-public final class RaftTiming {
-    /** By the library's time: 1 s between heartbeats, 5 s without one until an election, 1 s for one election. */
-    private static final int HEARTBEAT_S = 1;
-    private static final int PATIENCE_S = 5;
-    private static final int ELECTION_MS = 1000;
+final class RaftTiming {
+    /** By the library's time, as all its other settings. */
+    private static final int LIBRARY_HEARTBEAT_SECONDS = 1;
+    /** Without a heartbeat for as long, a follower takes its leader for dead. */
+    private static final int LIBRARY_HEARTBEAT_TIMEOUT_SECONDS = 5;
+    /** After as long a candidate without a majority begins another election, with a random part added. */
+    private static final int LIBRARY_ELECTION_TIMEOUT_MILLIS = 1000;
     /** Entries in one message: what is sent must fit the link's bound. */
-    private static final int BATCH = 64;
-    private static final int COMMITS_TO_SNAPSHOT = 512;
-    private static final int MOST_PENDING = 4096;
+    private static final int MAX_APPENDED_ENTRIES = 64;
+    private static final int COMMITS_PER_SNAPSHOT = 512;
+    private static final int MAX_UNCOMMITTED_ENTRIES = 4096;
 
-    private final double factor;
+    private final double libraryTimeFactor;
 
-    /** @param heartbeat seconds between a leader's heartbeats */
-    public RaftTiming(double heartbeat) {
-        factor = HEARTBEAT_S / heartbeat;
+    /** For a leader that sends its heartbeats so many seconds apart. */
+    RaftTiming(double heartbeatSeconds) {
+        libraryTimeFactor = LIBRARY_HEARTBEAT_SECONDS / heartbeatSeconds;
     }
 
     RaftConfig config() {
-        return RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(HEARTBEAT_S)
-                .setLeaderHeartbeatTimeoutSecs(PATIENCE_S).setLeaderElectionTimeoutMillis(ELECTION_MS)
-                .setAppendEntriesRequestBatchSize(BATCH).setCommitCountToTakeSnapshot(COMMITS_TO_SNAPSHOT)
-                .setMaxPendingLogEntryCount(MOST_PENDING).setRaftNodeReportPublishPeriodSecs(PATIENCE_S).build();
-    }
-
-    /** Seconds until a group that lost its leader has another, at the longest without a split vote. */
-    public double failover() {
-        return (PATIENCE_S + 2 * ELECTION_MS / 1000.0) / factor;
+        return RaftConfig.newBuilder()
+                .setLeaderHeartbeatPeriodSecs(LIBRARY_HEARTBEAT_SECONDS)
+                .setLeaderHeartbeatTimeoutSecs(LIBRARY_HEARTBEAT_TIMEOUT_SECONDS)
+                .setLeaderElectionTimeoutMillis(LIBRARY_ELECTION_TIMEOUT_MILLIS)
+                .setAppendEntriesRequestBatchSize(MAX_APPENDED_ENTRIES)
+                .setCommitCountToTakeSnapshot(COMMITS_PER_SNAPSHOT)
+                .setMaxPendingLogEntryCount(MAX_UNCOMMITTED_ENTRIES)
+                .setRaftNodeReportPublishPeriodSecs(LIBRARY_HEARTBEAT_TIMEOUT_SECONDS)
+                .build();
     }
 
+    /** The library's clock, from one that counts seconds. */
     Clock clock(DoubleSupplier seconds) {
         return new Clock() {
             @Override
@@ -62,11 +67,12 @@
 
             @Override
             public long millis() {
-                return Math.round(seconds.getAsDouble() * factor * 1000);
+                return Math.round(seconds.getAsDouble() * libraryTimeFactor * 1000);
             }
         };
     }
 
+    /** The library's executor, on the one thread of the timers. */
     RaftNodeExecutor executor(Timers timers) {
         return new RaftNodeExecutor() {
             @Override
@@ -81,7 +87,7 @@
 
             @Override
             public void schedule(Runnable task, long delay, TimeUnit unit) {
-                timers.in(unit.toNanos(delay) / 1e9 / factor, task);
+                timers.in(unit.toNanos(delay) / 1e9 / libraryTimeFactor, task);
             }
         };
     }
--- a/src/main/java/topazladder/consensus/VoterEndpoint.java
+++ b/src/main/java/topazladder/consensus/VoterEndpoint.java
@@ -3,29 +3,36 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter as the group knows it. The birth differs between the folders that a voter of one name had: one that lost
- * its folder has forgotten how it voted, and must never vote as who it was.
+ * A voter as the group knows it. The birth differs between the folders that a voter of one name had: one that lost its
+ * folder has forgotten its term and vote, and must never vote as who it was (Raft dissertation, section 3.8).
  *
+ * @param name of the member
  * @param birth 0 for those that the group was founded with
  */
 public record VoterEndpoint(String name, long birth) implements RaftEndpoint {
-    private static final char BETWEEN = ':';
+    private static final char SEPARATOR = ':';
 
     @Override
     public Object getId() {
         return toString();
     }
 
+    /**
+     * Reads what {@link #toString} wrote.
+     *
+     * @throws IllegalArgumentException where it is not of the form {@code name:birth}
+     */
     public static VoterEndpoint of(String id) {
-        int at = id.lastIndexOf(BETWEEN);
-        if (at < 1) {
-            throw new IllegalArgumentException("no voter: " + id);
+        int separatorAt = id.lastIndexOf(SEPARATOR);
+        if (separatorAt < 1) {
+            throw new IllegalArgumentException("not a voter as name:birth: " + id);
         }
-        return new VoterEndpoint(id.substring(0, at), Long.parseLong(id.substring(at + 1), Character.MAX_RADIX));
+        String birth = id.substring(separatorAt + 1);
+        return new VoterEndpoint(id.substring(0, separatorAt), Long.parseLong(birth, Character.MAX_RADIX));
     }
 
     @Override
     public String toString() {
-        return name + BETWEEN + Long.toString(birth, Character.MAX_RADIX);
+        return name + SEPARATOR + Long.toString(birth, Character.MAX_RADIX);
     }
 }
--- a/src/main/java/topazladder/consensus/VoterStore.java
+++ b/src/main/java/topazladder/consensus/VoterStore.java
@@ -9,19 +9,27 @@
 public interface VoterStore extends RaftStore, AutoCloseable {
 
     /**
-     * As whom the voter of this folder votes.
+     * As whom the voter of this store votes.
      *
-     * @param formed how often the group was formed anew by hand; only voters of one forming talk to each other
+     * @param here its identity
+     * @param initialVoters that the group was formed with
+     * @param groupGeneration how often the group was formed anew by hand; only voters of one generation talk to each
+     *     other
      */
-    record Founding(VoterEndpoint here, List<VoterEndpoint> first, long formed) {
+    record Founding(VoterEndpoint here, List<VoterEndpoint> initialVoters, long groupGeneration) {
     }
 
-    /** Null where the folder is empty: then it must not vote before the group has taken it in. */
+    /** Null where the store is empty: then its owner must not vote before the group has added it. */
     Founding founding();
 
+    /**
+     * Begins the store anew, without term, vote and log.
+     *
+     * @throws IOException where it can't be written
+     */
     void found(Founding founding) throws IOException;
 
-    /** What was flushed; what was not is dropped. Null where nothing was written by the group yet. */
+    /** What was flushed; what was not is dropped. Null where the group has written nothing yet. */
     RestoredRaftState restored();
 
     @Override
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -20,9 +20,7 @@
 import java.util.function.UnaryOperator;
 import topazladder.below.How;
 import topazladder.below.Use;
-import topazladder.consensus.ConsensusReplica;
 import topazladder.consensus.InMemoryVoterStore;
-import topazladder.consensus.ReplicatedState;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.consensus.VoterStore;
 import topazladder.disruption.Disruption;
@@ -49,6 +47,8 @@
 import topazladder.release.Plan;
 import topazladder.release.Release;
 import topazladder.release.ReleaseOp;
+import topazladder.replication.ClusterReplica;
+import topazladder.replication.ClusterState;
 import topazladder.service.Timers;
 
 /**
@@ -216,8 +216,8 @@
     public void askOut(int who) {
         for (Node n : nodes) {
             if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
-                n.voter.replica()
-                        .propose(new DisruptionCommand.Ask(n.voter.replica().instance(name(who)),
+                n.voter.replica().disruptions()
+                        .propose(new DisruptionCommand.Ask(n.voter.replica().disruptions().instance(name(who)),
                                 Disruption.Why.OPERATOR, "operator",
                                 "an operator"), o -> {});
             }
@@ -225,13 +225,13 @@
     }
 
     /** An operator's word to whoever leads; false where nobody does. */
-    public boolean order(Function<ConsensusReplica, ReleaseOp> what) {
+    public boolean order(Function<ClusterReplica, ReleaseOp> what) {
         for (Node n : nodes) {
             if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
                 ReleaseOp op = what.apply(n.voter.replica());
                 if (op != null) {
                     happened("an operator says " + op.getClass().getSimpleName());
-                    n.voter.replica().propose(op, o -> happened(op.getClass().getSimpleName() + ": "
+                    n.voter.replica().rollouts().propose(op, o -> happened(op.getClass().getSimpleName() + ": "
                             + (o.done() ? "done" : o.why())));
                 }
                 return op != null;
@@ -262,7 +262,8 @@
     public Release release() {
         Release best = null;
         for (Node n : nodes) {
-            Release r = n.voter == null || n.voter.replica() == null ? null : n.voter.replica().releases().release();
+            Release r = n.voter == null || n.voter.replica() == null ? null
+                    : n.voter.replica().state().rollouts().release();
             if (r != null && (best == null || r.id() > best.id() || r.id() == best.id()
                     && r.history().size() > best.history().size())) {
                 best = r;
@@ -312,9 +313,9 @@
 
     /** One that has leave to go, or has gone by it and is not back; -1 for none. */
     public int going() {
-        ConsensusReplica replica = leading();
+        ClusterReplica replica = leading();
         if (replica != null) {
-            for (Disruption o : replica.outs().all()) {
+            for (Disruption o : replica.state().disruptions().all()) {
                 if (o.why() == Disruption.Why.RELEASE && o.phase() != Disruption.Phase.ASKED) {
                     return byName.get(o.subject().name()).index;
                 }
@@ -324,7 +325,7 @@
     }
 
     /** Whoever leads, as it knows by itself; null where nobody does. */
-    public ConsensusReplica leading() {
+    public ClusterReplica leading() {
         for (Node n : nodes) {
             if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
                 return n.voter.replica();
@@ -338,14 +339,15 @@
      * while nobody leads.
      */
     public String step() {
-        ConsensusReplica replica = leading();
+        ClusterReplica replica = leading();
         Release r = release();
         if (replica == null || r == null) {
             return null;
         }
         StringBuilder all = new StringBuilder(r.phase() + " " + r.back() + ' ' + r.wave());
         r.places().forEach(p -> all.append(' ').append(p.name()).append(p.stage()).append(p.attempt()));
-        replica.outs().all().forEach(o -> all.append(' ').append(o.subject()).append(o.phase()).append(o.token()));
+        replica.state().disruptions().all()
+                .forEach(o -> all.append(' ').append(o.subject()).append(o.phase()).append(o.token()));
         return all.toString();
     }
 
@@ -509,8 +511,8 @@
     private boolean halted(String duty) {
         for (Node n : nodes) {
             if (n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
-                return n.voter.replica().ledger().get(duty) != null
-                        && n.voter.replica().ledger().get(duty).halted() != null;
+                return n.voter.replica().state().leases().get(duty) != null
+                        && n.voter.replica().state().leases().get(duty).halted() != null;
             }
         }
         return false;
@@ -543,8 +545,8 @@
             case LEAVE -> nodes[f.who()].leave(f.seconds());
             case DISK_FULL -> {
                 Node n = nodes[f.who()];
-                n.disk.full((long) f.amount());
-                time.in(f.seconds(), n.disk::room);
+                n.disk.failWritesAfter((long) f.amount());
+                time.in(f.seconds(), n.disk::allowWrites);
             }
             case KILL_AT_VOTE -> nodes[f.who()].killAtVote(f.seconds());
             default -> {
@@ -749,8 +751,8 @@
             if (disk != null) {
                 LeaseStateMachine ledgerOfDuties = Planted.ledger(plant);
                 DisruptionStateMachine ledgerOfOuts = Planted.outs(plant);
-                ReplicatedState agreed =
-                        new ReplicatedState(ledgerOfDuties, ledgerOfOuts, Planted.releases(plant, ledgerOfDuties,
+                ClusterState agreed =
+                        new ClusterState(ledgerOfDuties, ledgerOfOuts, Planted.releases(plant, ledgerOfDuties,
                                 ledgerOfOuts, released::add));
                 voter = new VoterNode(terms, disk, timers, clock, own.split(), new VoterNode.World() {
                     @Override
@@ -764,9 +766,9 @@
                     public void failed(Throwable why) {
                         happened(name + " has no seat: " + why);
                     }
-                }, agreed, Planted.leaseManager(plant, agreed.duties()),
-                        Planted.permits(plant, agreed.outs(), 4 * setup.heartbeat()),
-                        Planted.verdicts(plant, agreed.outs()));
+                }, agreed, Planted.leaseManager(plant, agreed.leases()),
+                        Planted.permits(plant, agreed.disruptions(), 4 * setup.heartbeat()),
+                        Planted.verdicts(plant, agreed.disruptions()));
                 voter.open();
                 look();
             }
@@ -840,8 +842,8 @@
         void killAtVote(double within) {
             double until = time.getAsDouble() + within;
             if (disk != null) {
-                disk.whenVoted(() -> {
-                    disk.whenVoted(() -> {});
+                disk.onVote(() -> {
+                    disk.onVote(() -> {});
                     if (time.getAsDouble() <= until) {
                         int of = life;
                         time.in(0.1 * QUICKEST, () -> {
--- a/src/main/java/topazladder/emulator/hall/Planted.java
+++ b/src/main/java/topazladder/emulator/hall/Planted.java
@@ -328,9 +328,9 @@
         public void crash() {
             super.crash();
             if (plant == Plant.FORGETS_ITS_VOTE) {
-                forgetTerm();
+                forgetTermAndVote();
             } else if (plant == Plant.FORGETS_ENTRIES) {
-                forgetEntries(8);
+                forgetLatestEntries(8);
             }
         }
 
--- a/src/main/java/topazladder/experiment/DutiesExperiment.java
+++ b/src/main/java/topazladder/experiment/DutiesExperiment.java
@@ -358,7 +358,7 @@
             long grants = rig.grants();
             long suspected = rig.lines("is SUSPECTED");
             long gone = rig.lines("is GONE");
-            long led = rig.lines("leads the group");
+            long led = rig.lines("leader elected");
             double[][] before = rig.usage();
             double[] paid = rig.earned(seconds);
             double[][] after = rig.usage();
@@ -372,7 +372,7 @@
                     + String.format(Locale.ROOT, "| %d | %.1f | %.0f | %.2f | %.2f | %d | %d | %d | %d |%n", processes,
                             load, seconds, used, paid[1] / paid[0], rig.grants() - grants,
                             rig.lines("is SUSPECTED") - suspected,
-                            rig.lines("is GONE") - gone, rig.lines("leads the group") - led);
+                            rig.lines("is GONE") - gone, rig.lines("leader elected") - led);
         }
     }
 
--- a/src/main/java/topazladder/experiment/ReleasesExperiment.java
+++ b/src/main/java/topazladder/experiment/ReleasesExperiment.java
@@ -89,7 +89,7 @@
 
     private static void word(HallWorld world, int what) {
         world.order(replica -> {
-            Release r = replica.releases().release();
+            Release r = replica.state().rollouts().release();
             ReleaseOp.By by = ReleaseOp.By.operator(0);
             return r == null ? null : what == 0 ? new ReleaseOp.Halt(by, r.id(), "by an operator")
                     : what == 1 ? new ReleaseOp.Resume(by, r.id()) : new ReleaseOp.Back(by, r.id());
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -4,7 +4,6 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import topazladder.consensus.ConsensusReplica;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionController;
@@ -14,6 +13,7 @@
 import topazladder.release.ReleaseOp;
 import topazladder.release.View;
 import topazladder.release.Waves;
+import topazladder.replication.ClusterReplica;
 
 /**
  * Whether a release may start, and which instances it covers, by what the group's leader knows. No I/O; called on the
@@ -27,10 +27,10 @@
     private static final int KNOWS_RELEASES = 2;
     private static final String CONDUCTING_LEASE = "release";
 
-    private final ConsensusReplica replica;
+    private final ClusterReplica replica;
     private final Plan plan;
 
-    private ReleaseStart(ConsensusReplica replica, Plan plan) {
+    private ReleaseStart(ClusterReplica replica, Plan plan) {
         this.replica = replica;
         this.plan = plan;
     }
@@ -48,15 +48,15 @@
         }
     }
 
-    public static Decision decide(ConsensusReplica replica, Plan plan, ReleaseOp.By by) {
+    public static Decision decide(ClusterReplica replica, Plan plan, ReleaseOp.By by) {
         return new ReleaseStart(replica, plan).decide(by);
     }
 
     private Decision decide(ReleaseOp.By by) {
-        if (!replica.settled()) {
+        if (!replica.rollouts().isSettled()) {
             return new Decision(null, "the leader has not led for long enough to know every member; try again soon");
         }
-        View view = replica.view();
+        View view = replica.rollouts().view();
         String refusal = refusal(view);
         if (refusal != null) {
             return new Decision(null, refusal);
@@ -72,11 +72,11 @@
     /** What would stop it in the middle is better known before its first step. */
     private String refusal(View view) {
         List<String> unread = replica.voting().stream().map(VoterEndpoint::name)
-                .filter(name -> replica.permits().schemaOf(name) < KNOWS_RELEASES).toList();
+                .filter(name -> replica.disruptions().controller().schemaOf(name) < KNOWS_RELEASES).toList();
         if (2 * unread.size() >= replica.voting().size()) {
             return "the voters " + unread + " can't read releases; start them in a version that can";
         }
-        if (replica.ledger().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
+        if (replica.state().leases().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
             return "no duty named release conducts here";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
@@ -91,13 +91,15 @@
             return member.name() + " runs '" + runs + "', neither " + plan.from() + " nor " + plan.to();
         }
         DisruptionTarget subject = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.zone());
-        List<DisruptionBudget> covering = replica.outs().budgets().stream().filter(b -> b.covers(subject)).toList();
+        List<DisruptionBudget> covering =
+                replica.state().disruptions().budgets().stream().filter(b -> b.covers(subject)).toList();
         boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.most() == 0);
         return mayGo ? null : "no budget lets " + member.name() + " go";
     }
 
     private String conductor() {
-        return replica.ledger().all().stream().filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
+        return replica.state().leases().all().stream()
+                .filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
                 .map(d -> d.holder().name()).findFirst().orElse("");
     }
 }
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -9,8 +9,6 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import topazladder.below.Verdicts;
-import topazladder.consensus.ConsensusReplica;
-import topazladder.consensus.ReplicatedState;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.consensus.VoterStore;
 import topazladder.disruption.DisruptionController;
@@ -20,6 +18,8 @@
 import topazladder.lease.LeaseResponse;
 import topazladder.lease.LeaseStateMachine.Outcome;
 import topazladder.lease.MemberIdentity;
+import topazladder.replication.ClusterReplica;
+import topazladder.replication.ClusterState;
 import topazladder.service.Timers;
 
 /**
@@ -55,26 +55,24 @@
     private final DoubleSupplier clock;
     private final RandomGenerator chance;
     private final World world;
-    private final ReplicatedState agreed;
-    private final LeaseManager leaseManager;
-    private final DisruptionController permits;
+    private final ClusterReplica.Domains domains;
     private final Verdicts verdicts;
-    private ConsensusReplica.Terms replicaTerms;
-    private ConsensusReplica replica;
+    private ClusterReplica.Settings replicaSettings;
+    private ClusterReplica replica;
     private VoterEndpoint newborn;
     private Phase phase = Phase.ASKING_TO_VOTE;
     private String doing = "";
 
     public VoterNode(HallTerms terms, VoterStore store, Timers timers, DoubleSupplier clock, RandomGenerator chance,
             World world) {
-        this(terms, store, timers, clock, chance, world, new ReplicatedState(), null, null, null);
+        this(terms, store, timers, clock, chance, world, new ClusterState(), null, null, null);
     }
 
     /**
      * @param leaseManager and what is behind it, of what is agreed, or null for the usual; trials plant ones that err
      */
     public VoterNode(HallTerms terms, VoterStore store, Timers timers, DoubleSupplier clock, RandomGenerator chance,
-            World world, ReplicatedState agreed, LeaseManager leaseManager, DisruptionController permits,
+            World world, ClusterState state, LeaseManager leaseManager, DisruptionController permits,
             Verdicts verdicts) {
         this.terms = terms;
         this.store = store;
@@ -82,12 +80,14 @@
         this.clock = clock;
         this.chance = chance;
         this.world = world;
-        this.agreed = agreed;
-        this.leaseManager = leaseManager == null ? new LeaseManager(agreed.duties()) : leaseManager;
-        this.permits =
-                permits == null ? new DisruptionController(agreed.outs(), LOST_AFTER * terms.heartbeat()) : permits;
-        this.verdicts = verdicts == null ? new Verdicts(agreed.outs()) : verdicts;
-        replicaTerms = new ConsensusReplica.Terms(terms.voters(), terms.heartbeat(), terms.duties(), terms.budgets());
+        this.verdicts = verdicts == null ? new Verdicts(state.disruptions()) : verdicts;
+        domains = new ClusterReplica.Domains(state,
+                leaseManager == null ? new LeaseManager(state.leases()) : leaseManager,
+                permits == null ? new DisruptionController(state.disruptions(), LOST_AFTER * terms.heartbeat())
+                        : permits,
+                this.verdicts);
+        replicaSettings =
+                new ClusterReplica.Settings(terms.voters(), terms.heartbeat(), terms.duties(), terms.budgets());
     }
 
     public Phase phase() {
@@ -95,7 +95,7 @@
     }
 
     /** Null while it has none. */
-    public ConsensusReplica replica() {
+    public ClusterReplica replica() {
         return replica;
     }
 
@@ -122,7 +122,7 @@
         if (replica != null) {
             replica.close(() -> {});
         }
-        replica = new ConsensusReplica(store, replicaTerms, timers, clock, chance, new ConsensusReplica.World() {
+        replica = new ClusterReplica(store, replicaSettings, timers, clock, chance, new ClusterReplica.Environment() {
             @Override
             public void send(VoterEndpoint to, RaftMessage message) {
                 world.say(to.name(), new Saying.Consensus(message));
@@ -156,7 +156,7 @@
             public void failed(Throwable why) {
                 VoterNode.this.failed(why);
             }
-        }, agreed, leaseManager, permits, verdicts);
+        }, domains);
         replica.start();
     }
 
@@ -165,7 +165,7 @@
      * that.
      */
     private void failed(Throwable why) {
-        if (!replicaTerms.voters().contains(terms.name())) {
+        if (!replicaSettings.voters().contains(terms.name())) {
             // The library ends where its voter is taken out, which the settings asked for.
             phase = Phase.RETIRED;
             LOG.info("{} votes no more", terms.name());
@@ -175,7 +175,7 @@
         world.failed(why);
         timers.in(AGAIN_AFTER, () -> {
             if (phase == Phase.FAILED) {
-                agreed.clear();
+                domains.state().stateMachines().clear();
                 phase = Phase.ASKING_TO_VOTE;
                 open();
             }
@@ -183,9 +183,10 @@
     }
 
     public void replace(HallTerms next) {
-        replicaTerms = new ConsensusReplica.Terms(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
+        replicaSettings =
+                new ClusterReplica.Settings(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
         if (replica != null) {
-            replica.replace(replicaTerms);
+            replica.replaceSettings(replicaSettings);
         }
     }
 
@@ -213,30 +214,30 @@
             replica.handle(c.message());
         } else if (what instanceof Saying.Asking a) {
             if (replica.leading()) {
-                replica.says(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
+                replica.disruptions().loadReported(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
                 verdicts.says(clock.getAsDouble(), a.ask().from().name(), a.below());
-                replica.ask(a.ask());
+                replica.leases().handleRequest(a.ask());
             } else {
                 elsewhere(from);
             }
         } else if (what instanceof Saying.Conduct c) {
             if (replica.leading()) {
                 doing = c.doing();
-                replica.conduct(c.ops(), view -> world.say(from, new Saying.Conducted(c.number(), view)));
+                replica.rollouts().conduct(c.ops(), view -> world.say(from, new Saying.Conducted(c.number(), view)));
             } else {
                 elsewhere(from);
             }
         } else if (what instanceof Saying.Going g) {
-            replica.going(g.from(), g.token());
+            replica.disruptions().shutdownRequested(g.from(), g.token());
         } else if (what instanceof Saying.Leaving l) {
-            replica.leaving(l.from(), l.by());
+            replica.disruptions().leaving(l.from(), l.by());
         } else if (what instanceof Saying.AsksToVote v) {
             // Any voter may tell it that it is one, since the leader that took it in may be gone by now.
             if (replica.voting().contains(v.who())) {
                 VoterStore.Founding f = store.founding();
-                world.say(from, new Saying.TakenIn(v.who(), f.first(), f.formed()));
+                world.say(from, new Saying.TakenIn(v.who(), f.initialVoters(), f.groupGeneration()));
             } else {
-                replica.asksToVote(v.who());
+                replica.joinRequested(v.who());
             }
         }
     }
@@ -272,7 +273,7 @@
     /** How the instances look from this member. */
     public void seen(Map<DisruptionTarget, DisruptionController.Seen> looks) {
         if (replica != null && phase == Phase.SEATED) {
-            replica.seen(looks);
+            replica.disruptions().membersObserved(looks);
         }
     }
 
@@ -281,7 +282,7 @@
         if (replica == null || phase != Phase.SEATED) {
             then.accept(new Outcome(0, "this voter has no seat"));
         } else {
-            replica.propose(op, then);
+            replica.leases().propose(op, then);
         }
     }
 }
--- a/src/main/java/topazladder/net/codec/BelowMessages.java
+++ b/src/main/java/topazladder/net/codec/BelowMessages.java
@@ -33,7 +33,7 @@
             if (!(r.getTried() >= 0) || !(r.getFailed() >= 0)) {
                 throw new MalformedMessageException("calls that are no number");
             }
-            reports.add(new Report(GroupMessages.name(r.getServer()), Look.values()[r.getLook()], r.getTried(),
+            reports.add(new Report(IdentityMessages.name(r.getServer()), Look.values()[r.getLook()], r.getTried(),
                     r.getFailed()));
         }
         return List.copyOf(reports);
@@ -56,7 +56,7 @@
                 throw new MalformedMessageException(
                         "a word of kind " + w.getKind() + " that is " + w.getAge() + " s old");
             }
-            words.add(new Word(GroupMessages.name(w.getServer()), Word.Kind.values()[w.getKind()], w.getToken(),
+            words.add(new Word(IdentityMessages.name(w.getServer()), Word.Kind.values()[w.getKind()], w.getToken(),
                     w.getAge()));
         }
         return new Saying.Belows(m.getTerm(), List.copyOf(words));
--- a/src/main/java/topazladder/net/codec/HallMessages.java
+++ b/src/main/java/topazladder/net/codec/HallMessages.java
@@ -51,7 +51,7 @@
         if (what instanceof Saying.Membership m) {
             b.setGossip(gossip(m.gossip()));
         } else if (what instanceof Saying.Consensus c) {
-            b.setConsensus(GroupMessages.consensus(c.message()));
+            b.setConsensus(RaftMessages.message(c.message()));
         } else if (what instanceof Saying.Asking a) {
             b.setAsk(ask(a.ask()).setAddress(a.address()).setServing(ReleaseMessages.serving(a.serving()))
                     .addAllBelow(a.below().stream().map(BelowMessages::report).toList()));
@@ -78,7 +78,7 @@
         } else if (what instanceof Saying.MayGo m) {
             b.setMayGo(m.token());
         } else if (what instanceof Saying.Going g) {
-            b.setGoing(GoingMessage.newBuilder().setFrom(GroupMessages.member(g.from())).setToken(g.token()));
+            b.setGoing(GoingMessage.newBuilder().setFrom(IdentityMessages.member(g.from())).setToken(g.token()));
         } else if (what instanceof Saying.Go g) {
             // As before where there is no version, so that an older one goes too.
             if (g.version().isEmpty()) {
@@ -87,7 +87,7 @@
                 b.setGoFor(GoMessage.newBuilder().setToken(g.token()).setVersion(g.version()));
             }
         } else if (what instanceof Saying.Conduct c) {
-            b.setConduct(ConductMessage.newBuilder().setFrom(GroupMessages.member(c.from())).setNumber(c.number())
+            b.setConduct(ConductMessage.newBuilder().setFrom(IdentityMessages.member(c.from())).setNumber(c.number())
                     .addAllOps(c.ops().stream().map(ReleaseMessages::op).toList()).setDoing(c.doing()));
         } else if (what instanceof Saying.Conducted c) {
             ConductedMessage.Builder view = ConductedMessage.newBuilder().setNumber(c.number())
@@ -100,7 +100,7 @@
         } else if (what instanceof Saying.Belows w) {
             b.setBelows(BelowMessages.belows(w));
         } else if (what instanceof Saying.Leaving l) {
-            b.setLeaving(GoingMessage.newBuilder().setFrom(GroupMessages.member(l.from())).setBy(l.by()));
+            b.setLeaving(GoingMessage.newBuilder().setFrom(IdentityMessages.member(l.from())).setBy(l.by()));
         } else if (what instanceof Saying.Found f) {
             b.setFound(FoundMessage.newBuilder().setSubject(f.subject()).setWell(f.well()).setAge(f.age())
                     .setToken(f.token()));
@@ -122,7 +122,7 @@
         }
         return switch (m.getWhatCase()) {
             case GOSSIP -> new Saying.Membership(gossip(m.getGossip()));
-            case CONSENSUS -> new Saying.Consensus(GroupMessages.consensus(m.getConsensus()));
+            case CONSENSUS -> new Saying.Consensus(RaftMessages.message(m.getConsensus()));
             case ASK -> new Saying.Asking(ask(m.getAsk()), m.getAsk().getAddress(), m.getSchema(),
                     ReleaseMessages.serving(m.getAsk().getServing()),
                     BelowMessages.reports(m.getAsk().getBelowList()));
@@ -149,17 +149,18 @@
                 yield new Saying.Found(m.getFound().getSubject(), m.getFound().getWell(), age, m.getFound().getToken());
             }
             case MAY_GO -> new Saying.MayGo(m.getMayGo());
-            case GOING -> new Saying.Going(GroupMessages.member(m.getGoing().getFrom()), m.getGoing().getToken());
+            case GOING -> new Saying.Going(IdentityMessages.member(m.getGoing().getFrom()), m.getGoing().getToken());
             case GO -> new Saying.Go(m.getGo(), "");
             case GO_FOR -> new Saying.Go(m.getGoFor().getToken(), m.getGoFor().getVersion());
-            case CONDUCT -> new Saying.Conduct(GroupMessages.member(m.getConduct().getFrom()),
+            case CONDUCT -> new Saying.Conduct(IdentityMessages.member(m.getConduct().getFrom()),
                     m.getConduct().getNumber(), ReleaseMessages.ops(m.getConduct().getOpsList()),
                     m.getConduct().getDoing());
             case CONDUCTED -> new Saying.Conducted(m.getConducted().getNumber(), new View(
                     m.getConducted().hasRelease() ? ReleaseMessages.release(m.getConducted().getRelease()) : null,
                     ReleaseMessages.sights(m.getConducted().getMembersList()), m.getConducted().getLeader(),
                     m.getConducted().getTakesAdditions()));
-            case LEAVING -> new Saying.Leaving(GroupMessages.member(m.getLeaving().getFrom()), m.getLeaving().getBy());
+            case LEAVING -> new Saying.Leaving(IdentityMessages.member(m.getLeaving().getFrom()),
+                    m.getLeaving().getBy());
             case WHAT_NOT_SET -> null;
         };
     }
@@ -177,13 +178,13 @@
     }
 
     private static VoterEndpoint voter(VoterId v) throws MalformedMessageException {
-        return new VoterEndpoint(GroupMessages.name(v.getName()), v.getBirth());
+        return new VoterEndpoint(IdentityMessages.name(v.getName()), v.getBirth());
     }
 
     // ---- duties
 
     private static AskMessage.Builder ask(LeaseRequest a) {
-        AskMessage.Builder b = AskMessage.newBuilder().setFrom(GroupMessages.member(a.from())).setNumber(a.number())
+        AskMessage.Builder b = AskMessage.newBuilder().setFrom(IdentityMessages.member(a.from())).setNumber(a.number())
                 .setSteady(a.steady());
         a.held().forEach(h -> b.addHeld(HeldMessage.newBuilder().setDuty(h.duty()).setToken(h.token())));
         a.stopped().forEach(s -> {
@@ -198,7 +199,7 @@
             throw new MalformedMessageException(
                     "an ask about " + m.getHeldCount() + " and " + m.getStoppedCount() + " duties");
         }
-        return new LeaseRequest(GroupMessages.member(m.getFrom()), m.getNumber(), m.getSteady(),
+        return new LeaseRequest(IdentityMessages.member(m.getFrom()), m.getNumber(), m.getSteady(),
                 m.getHeldList().stream().map(h -> new LeaseRequest.Held(h.getDuty(), h.getToken())).toList(),
                 m.getStoppedList().stream().map(h -> new LeaseRequest.Stopped(h.getDuty(), h.getToken(),
                         h.getFailed().isEmpty() ? null : h.getFailed())).toList());
@@ -214,7 +215,8 @@
                 throw new MalformedMessageException("a lease of " + l.getLease() + " s");
             }
             leases.add(
-                    new LeaseResponse.Lease(GroupMessages.name(l.getDuty()), l.getToken(), l.getLease(), l.getStop()));
+                    new LeaseResponse.Lease(IdentityMessages.name(l.getDuty()), l.getToken(), l.getLease(),
+                            l.getStop()));
         }
         return new LeaseResponse(m.getNumber(), List.copyOf(leases), m.getAskAgainIn());
     }
@@ -249,7 +251,7 @@
             if (s.getState() < 0 || s.getState() >= Standing.State.values().length) {
                 continue; // a state of a newer version says nothing here
             }
-            news.add(new Standing(GroupMessages.name(s.getName()), s.getAddress(), s.getHall(), s.getLife(),
+            news.add(new Standing(IdentityMessages.name(s.getName()), s.getAddress(), s.getHall(), s.getLife(),
                     s.getIncarnation(), Standing.State.values()[s.getState()], s.getSteady(), s.getBy()));
         }
         List<Standing> all = List.copyOf(news);
--- a/src/main/java/topazladder/net/codec/OutMessages.java
+++ b/src/main/java/topazladder/net/codec/OutMessages.java
@@ -27,7 +27,8 @@
     }
 
     private static DisruptionTarget subject(SubjectMessage s) throws MalformedMessageException {
-        return new DisruptionTarget(one(DisruptionTarget.Kind.values(), s.getKind()), GroupMessages.name(s.getName()),
+        return new DisruptionTarget(one(DisruptionTarget.Kind.values(), s.getKind()),
+                IdentityMessages.name(s.getName()),
                 s.getZone());
     }
 
--- a/src/main/java/topazladder/net/codec/ReleaseMessages.java
+++ b/src/main/java/topazladder/net/codec/ReleaseMessages.java
@@ -60,7 +60,7 @@
         }
         List<Place> places = new ArrayList<>();
         for (PlaceMessage m : all) {
-            places.add(new Place(GroupMessages.name(m.getName()), m.getZone(), m.getVotes(), m.getWave(),
+            places.add(new Place(IdentityMessages.name(m.getName()), m.getZone(), m.getVotes(), m.getWave(),
                     OutMessages.one(Place.Stage.values(), m.getStage()), m.getAttempt()));
         }
         return List.copyOf(places);
@@ -125,7 +125,7 @@
             case MISSED -> new ReleaseOp.Missed(by, id, started, m.getPlace());
             case MOVED -> new ReleaseOp.Moved(by, id, started, m.getPlace());
             case NEXT -> new ReleaseOp.Next(by, id, started, m.getNumber());
-            case ADD_PLACE -> new ReleaseOp.AddPlace(by, id, started, GroupMessages.name(m.getPlace()), m.getZone(),
+            case ADD_PLACE -> new ReleaseOp.AddPlace(by, id, started, IdentityMessages.name(m.getPlace()), m.getZone(),
                     m.getVotes());
             case DONE -> new ReleaseOp.Done(by, id, started);
             case HALT -> new ReleaseOp.Halt(by, id, m.getWhy());
@@ -177,7 +177,7 @@
     static List<View.Sight> sights(List<SightMessage> all) throws MalformedMessageException {
         List<View.Sight> sights = new ArrayList<>();
         for (SightMessage m : all) {
-            sights.add(new View.Sight(GroupMessages.name(m.getName()), m.getZone(),
+            sights.add(new View.Sight(IdentityMessages.name(m.getName()), m.getZone(),
                     OutMessages.one(Look.values(), m.getLook()), m.getLife(),
                     m.hasOut() ? OutMessages.out(m.getOut()) : null, m.getWaits().isEmpty() ? null : m.getWaits(),
                     m.hasServing() ? serving(m.getServing()) : null));
--- a/src/main/java/topazladder/net/hall/Founding.java
+++ b/src/main/java/topazladder/net/hall/Founding.java
@@ -24,12 +24,12 @@
         if (!settings.voters().contains(name) || settings.folder() == null) {
             throw new InvalidSettingsException(name + " should be one of hall.voters, with a hall.folder");
         }
-        try (SqliteStore store = new SqliteStore(settings.folder())) {
+        try (SqliteVoterStore store = new SqliteVoterStore(settings.folder())) {
             VoterStore.Founding before = store.founding();
-            if (before != null && before.formed() >= formed) {
+            if (before != null && before.groupGeneration() >= formed) {
                 throw new InvalidSettingsException(
-                        "the folder is that of " + before.here() + " already, formed " + before.formed()
-                                + "; to form the group anew give --formed " + (before.formed() + 1)
+                        "the folder is that of " + before.here() + " already, formed " + before.groupGeneration()
+                                + "; to form the group anew give --formed " + (before.groupGeneration() + 1)
                                 + " or more, the same to all its voters, once all of the old group are ended");
             }
             List<VoterEndpoint> first = settings.voters().stream().map(v -> new VoterEndpoint(v, 0)).toList();
--- a/src/main/java/topazladder/net/hall/GroupThread.java
+++ b/src/main/java/topazladder/net/hall/GroupThread.java
@@ -13,17 +13,23 @@
  */
 final class GroupThread implements Timers {
     private static final Logger LOG = LoggerFactory.getLogger(GroupThread.class);
+    private static final double NANOS_PER_SECOND = 1e9;
 
     private final ScheduledThreadPoolExecutor thread;
-    private final double rate;
-
-    /** @param rate how fast the clock of this process runs; its timers run as fast */
-    GroupThread(String name, double rate) {
-        this.rate = rate;
-        thread = new ScheduledThreadPoolExecutor(1, r -> {
-            Thread t = new Thread(r, "group-" + name);
-            t.setDaemon(true);
-            return t;
+    private final double clockRate;
+
+    /**
+     * Starts the thread.
+     *
+     * @param name of the member, for the thread's name
+     * @param clockRate seconds that this process's clock counts in one true second; its timers run as fast
+     */
+    GroupThread(String name, double clockRate) {
+        this.clockRate = clockRate;
+        thread = new ScheduledThreadPoolExecutor(1, loop -> {
+            Thread created = new Thread(loop, "group-" + name);
+            created.setDaemon(true);
+            return created;
         });
         thread.setRemoveOnCancelPolicy(true);
         thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
@@ -32,15 +38,19 @@
     @Override
     public void in(double seconds, Runnable what) {
         try {
-            thread.schedule(() -> {
-                try {
-                    what.run();
-                } catch (RuntimeException e) {
-                    LOG.error("a fault of the group's thread", e);
-                }
-            }, Math.max(0, Math.round(seconds / rate * 1e9)), TimeUnit.NANOSECONDS);
+            long delayNanos = Math.max(0, Math.round(seconds / clockRate * NANOS_PER_SECOND));
+            thread.schedule(() -> runLogged(what), delayNanos, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.debug("after the end of the group's thread", e);
+            LOG.debug("consensus task rejected reason=thread-ended", e);
+        }
+    }
+
+    /** A task that fails must not end the thread: the tasks behind it still have to run. */
+    private static void runLogged(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            LOG.error("consensus task failed", e);
         }
     }
 
@@ -48,7 +58,7 @@
         in(0, what);
     }
 
-    /** What is under way comes to its end; nothing new begins. */
+    /** Lets the task that runs come to its end; none that is due later runs any more. */
     void end() {
         thread.shutdown();
     }
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -27,7 +27,6 @@
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.ServiceSettings;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.consensus.ConsensusReplica;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.disruption.Disruption;
 import topazladder.disruption.DisruptionBudget;
@@ -54,6 +53,7 @@
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.release.Conductor;
+import topazladder.replication.ClusterReplica;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.DependencyCircuitBreaker;
@@ -195,7 +195,7 @@
     /** On the group's thread. A folder that can't be opened costs a vote, and no request: it is tried again. */
     private void openVoter() {
         try {
-            voter = voter(new SqliteStore(settings.folder()));
+            voter = voter(new SqliteVoterStore(settings.folder()));
             voter.open();
         } catch (IOException | RuntimeException | LinkageError e) {
             // The last where the store's own library can't be loaded, as from a disk that fails.
@@ -205,7 +205,7 @@
         }
     }
 
-    private VoterNode voter(SqliteStore store) {
+    private VoterNode voter(SqliteVoterStore store) {
         DoubleSupplier groupClock = () -> monotonic() * settings.clockRate();
         return new VoterNode(hall, store, thread, groupClock, chance.split(), new VoterNode.World() {
             @Override
@@ -454,7 +454,7 @@
             return;
         }
         thread.execute(() -> {
-            ConsensusReplica replica = voter == null ? null : voter.replica();
+            ClusterReplica replica = voter == null ? null : voter.replica();
             if (replica == null || !replica.leading()) {
                 VoterEndpoint leader = replica == null ? null : replica.leader();
                 loop.runOnContext(v -> forward(o, answer, leader == null ? member.leader() : leader.name()));
@@ -465,7 +465,7 @@
     }
 
     /** On the group's thread, at the leader. */
-    private void lead(ConsensusReplica replica, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
+    private void lead(ClusterReplica replica, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
         Command c = o.command();
         if (c.kind() == Command.Kind.DUTIES) {
             then.accept(new Saying.Told(o.number(), true, duties(replica).encode()));
@@ -485,8 +485,8 @@
             boolean below = c.text().startsWith(BELOW);
             DisruptionTarget s =
                     below ? new DisruptionTarget(DisruptionTarget.Kind.BELOW, c.text().substring(BELOW.length()), "")
-                            : replica.instance(c.text());
-            Disruption out = replica.outs().get(s);
+                            : replica.disruptions().instance(c.text());
+            Disruption out = replica.state().disruptions().get(s);
             boolean isOut = below && out != null && out.takesPlace();
             DisruptionCommand op = switch (c.kind()) {
                 case DRAIN -> isOut ? new DisruptionCommand.Keeps(s, "operator", "an operator")
@@ -497,12 +497,12 @@
                 case HOLD_DRAINS -> new DisruptionCommand.Halt(c.text().isEmpty() ? "by an operator" : c.text());
                 default -> new DisruptionCommand.Halt(null);
             };
-            if (op instanceof DisruptionCommand.Ask && !replica.outs().capacities().containsKey(s)) {
+            if (op instanceof DisruptionCommand.Ask && !replica.state().disruptions().capacities().containsKey(s)) {
                 then.accept(new Saying.Told(o.number(), false, "there is no "
                         + (below ? c.text() + ", or nobody has called it yet" : "member " + c.text())));
                 return;
             }
-            replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
+            replica.disruptions().propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
                     outcome.done() ? "done" : outcome.why())));
             return;
         }
@@ -512,31 +512,34 @@
             case RESUME -> new LeaseCommand.Resume(c.duty());
             default -> throw new IllegalStateException("no command to the leader: " + c.kind());
         };
-        replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
+        replica.leases().propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.done(),
                 outcome.done() ? "done" : outcome.why())));
     }
 
-    private static JsonObject outs(ConsensusReplica replica) {
+    private static JsonObject outs(ClusterReplica replica) {
         JsonArray all = new JsonArray();
-        for (Disruption o : replica.outs().all()) {
+        for (Disruption o : replica.state().disruptions().all()) {
             all.add(new JsonObject().put("name", o.subject().toString()).put("zone", o.subject().zone())
                     .put("why", o.why().name()).put("phase", o.phase().name()).put("token", o.token())
                     .put("asked", o.asked()).put("by", o.by())
                     .put("waits",
-                            o.phase() == Disruption.Phase.ASKED ? replica.permits().blocked().get(o.subject()) : null));
+                            o.phase() == Disruption.Phase.ASKED
+                                    ? replica.disruptions().controller().blocked().get(o.subject()) : null));
         }
         JsonArray budgets = new JsonArray();
-        for (DisruptionBudget b : replica.outs().budgets()) {
+        for (DisruptionBudget b : replica.state().disruptions().budgets()) {
             budgets.add(new JsonObject().put("name", b.name()).put("most", b.most()).put("share", b.share())
-                    .put("zone", b.zone()).put("out", replica.outs().taken().stream().filter(b::covers).count()));
+                    .put("zone", b.zone())
+                    .put("out", replica.state().disruptions().taken().stream().filter(b::covers).count()));
         }
-        return new JsonObject().put("leader", replica.here().name()).put("halted", replica.outs().halted())
+        return new JsonObject().put("leader", replica.here().name())
+                .put("halted", replica.state().disruptions().halted())
                 .put("outs", all).put("budgets", budgets);
     }
 
-    private static JsonObject duties(ConsensusReplica replica) {
+    private static JsonObject duties(ClusterReplica replica) {
         JsonArray all = new JsonArray();
-        for (LeaseState s : replica.ledger().all()) {
+        for (LeaseState s : replica.state().leases().all()) {
             all.add(new JsonObject().put("name", s.terms().name()).put("token", s.token())
                     .put("holder", s.holder() == null ? null : s.holder().name())
                     .put("lease", s.terms().lease()).put("halted", s.halted()).put("wanted", s.wanted())
@@ -589,13 +592,13 @@
             return;
         }
         thread.execute(() -> {
-            ConsensusReplica replica = voter == null ? null : voter.replica();
+            ClusterReplica replica = voter == null ? null : voter.replica();
             JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
             if (replica != null) {
                 JsonArray voting = new JsonArray();
                 replica.voting().forEach(e -> voting.add(e.toString()));
                 group.put("here", replica.here().toString()).put("voters", voting).put("term", replica.term())
-                        .put("leading", replica.leading()).put("committed", replica.committed())
+                        .put("leading", replica.leading()).put("committed", replica.commitIndex())
                         .put("leader", replica.leader() == null ? null : replica.leader().name());
             }
             loop.runOnContext(v -> then.accept(json.put("group", group)));
--- a/src/main/java/topazladder/net/hall/ReleaseOrders.java
+++ b/src/main/java/topazladder/net/hall/ReleaseOrders.java
@@ -5,30 +5,29 @@
 import java.util.function.BiConsumer;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.RolloutPlanFile;
-import topazladder.consensus.ConsensusReplica;
 import topazladder.hall.ReleaseStart;
 import topazladder.hall.Saying.Command;
 import topazladder.release.Place;
 import topazladder.release.Plan;
 import topazladder.release.Release;
-import topazladder.release.ReleaseLedger;
 import topazladder.release.ReleaseOp;
 import topazladder.release.ReleaseOp.By;
 import topazladder.release.View;
+import topazladder.replication.ClusterReplica;
 
 /** Operators' words on releases, at the group's leader. */
 final class ReleaseOrders {
-    private final ConsensusReplica replica;
+    private final ClusterReplica replica;
     private final String doing;
 
     /** @param doing what the conductor says that it does */
-    ReleaseOrders(ConsensusReplica replica, String doing) {
+    ReleaseOrders(ClusterReplica replica, String doing) {
         this.replica = replica;
         this.doing = doing;
     }
 
     void take(Command c, long now, BiConsumer<Boolean, String> then) {
-        Release r = replica.releases().release();
+        Release r = replica.state().rollouts().release();
         long id = r == null ? 0 : r.id();
         By by = By.operator(now);
         switch (c.kind()) {
@@ -42,7 +41,7 @@
     }
 
     private void propose(ReleaseOp op, BiConsumer<Boolean, String> then) {
-        replica.propose(op, (ReleaseLedger.Outcome o) -> then.accept(o.done(), o.done() ? "done" : o.why()));
+        replica.rollouts().propose(op, o -> then.accept(o.done(), o.done() ? "done" : o.why()));
     }
 
     private void start(String text, By by, BiConsumer<Boolean, String> then) {
@@ -62,12 +61,12 @@
     }
 
     private JsonObject status() {
-        Release r = replica.releases().release();
+        Release r = replica.state().rollouts().release();
         JsonObject o = new JsonObject().put("leader", replica.here().name()).put("doing", doing);
         if (r == null) {
             return o.put("phase", "NONE");
         }
-        View v = replica.view();
+        View v = replica.rollouts().view();
         JsonArray places = new JsonArray();
         for (Place p : r.places()) {
             View.Sight s = v.members().stream().filter(m -> m.name().equals(p.name())).findFirst().orElse(null);
--- /dev/null
+++ b/src/main/java/topazladder/replication/ClusterState.java
@@ -0,0 +1,40 @@
+package topazladder.replication;
+
+import java.util.List;
+import topazladder.consensus.ReplicatedStateMachine;
+import topazladder.consensus.StateMachineRegistry;
+import topazladder.disruption.DisruptionCommand;
+import topazladder.disruption.DisruptionStateMachine;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseStateMachine;
+import topazladder.release.Release;
+import topazladder.release.ReleaseLedger;
+import topazladder.release.ReleaseOp;
+
+/**
+ * All that the voters agree on, as of the commands that are applied here: who holds which lease, who is disrupted, and
+ * how far a rollout is.
+ */
+public record ClusterState(LeaseStateMachine leases, DisruptionStateMachine disruptions, ReleaseLedger rollouts) {
+
+    /** Nothing agreed on yet. */
+    public ClusterState() {
+        this(new LeaseStateMachine(), new DisruptionStateMachine());
+    }
+
+    private ClusterState(LeaseStateMachine leases, DisruptionStateMachine disruptions) {
+        this(leases, disruptions, new ReleaseLedger(leases, disruptions));
+    }
+
+    /** The state machines, to be registered with a replica. */
+    public StateMachineRegistry stateMachines() {
+        return new StateMachineRegistry(List.of(
+                new ReplicatedStateMachine<>(ReleaseOp.class, Release.class, rollouts::apply, rollouts::release,
+                        rollouts::replace, null),
+                new ReplicatedStateMachine<>(DisruptionCommand.class, DisruptionStateMachine.Copy.class,
+                        disruptions::apply, disruptions::copy, disruptions::replace,
+                        new DisruptionStateMachine().copy()),
+                new ReplicatedStateMachine<>(LeaseCommand.class, LeaseStateMachine.Copy.class, leases::apply,
+                        leases::copy, leases::replace, new LeaseStateMachine().copy())));
+    }
+}
--- /dev/null
+++ b/src/main/java/topazladder/replication/LeaseReplication.java
@@ -0,0 +1,133 @@
+package topazladder.replication;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+import topazladder.consensus.LeaderService;
+import topazladder.consensus.ReplicatedLog;
+import topazladder.lease.LeaseCommand;
+import topazladder.lease.LeaseManager;
+import topazladder.lease.LeaseManager.Step;
+import topazladder.lease.LeaseRequest;
+import topazladder.lease.LeaseResponse;
+import topazladder.lease.LeaseSettings;
+import topazladder.lease.LeaseStateMachine.Outcome;
+import topazladder.lease.MemberIdentity;
+
+/** Leases at the leader: carries out the steps that the {@link LeaseManager} decides on. */
+public final class LeaseReplication implements LeaderService {
+    /** Bits for the fencing tokens of one generation of the group; more than are ever granted. */
+    private static final int GENERATION_TOKEN_BITS = 40;
+
+    /** Messages to members; they may be lost. */
+    public interface Messages {
+
+        void reply(MemberIdentity to, LeaseResponse response);
+
+        /** Has the member ask at once. */
+        void nudge(MemberIdentity to);
+    }
+
+    private final ReplicatedLog log;
+    private final LeaseManager manager;
+    private final Messages messages;
+    private List<LeaseSettings> settings;
+
+    LeaseReplication(ReplicatedLog log, LeaseManager manager, Messages messages, List<LeaseSettings> settings) {
+        this.log = log;
+        this.manager = manager;
+        this.messages = messages;
+        this.settings = settings;
+    }
+
+    /** A member's request; answered by {@link Messages#reply} if this voter leads and a majority confirms it. */
+    public void handleRequest(LeaseRequest request) {
+        carryOut(manager.handleRequest(log.now(), request));
+    }
+
+    /** Proposes an operator's command; tells its outcome, or that nobody knows it. */
+    public void propose(LeaseCommand command, Consumer<Outcome> then) {
+        if (!log.isLeader()) {
+            then.accept(new Outcome(0, ProposalFailures.NOT_LEADER));
+            return;
+        }
+        log.<Outcome>replicate(command).whenComplete((outcome, failure) -> then.accept(
+                failure == null ? outcome : new Outcome(0, ProposalFailures.indeterminate(failure))));
+    }
+
+    void replaceSettings(List<LeaseSettings> newSettings) {
+        settings = newSettings;
+    }
+
+    @Override
+    public List<?> settingsCommands(long groupGeneration) {
+        List<LeaseCommand> commands = new ArrayList<>();
+        commands.add(new LeaseCommand.Define(settings));
+        if (groupGeneration > 0) {
+            // Nobody knows how many tokens the generation before has granted; so far above them, it never came.
+            commands.add(new LeaseCommand.RaiseTokens(groupGeneration << GENERATION_TOKEN_BITS));
+        }
+        return commands;
+    }
+
+    @Override
+    public void becomeLeader(double now) {
+        manager.becomeLeader(now);
+    }
+
+    @Override
+    public void stepDown() {
+        manager.stepDown();
+    }
+
+    @Override
+    public void tick(double now) {
+        carryOut(manager.tick(now));
+    }
+
+    @Override
+    public void commandApplied(double now, Object command, Object outcome) {
+        if (command instanceof LeaseCommand leaseCommand) {
+            List<Step> steps = manager.commandApplied(now, leaseCommand, (Outcome) outcome);
+            if (!steps.isEmpty()) {
+                log.runLater(() -> carryOut(steps));
+            }
+        }
+    }
+
+    private void carryOut(List<Step> steps) {
+        steps.forEach(this::carryOut);
+    }
+
+    private void carryOut(Step step) {
+        if (step instanceof Step.Propose propose) {
+            replicate(propose.op());
+        } else if (step instanceof Step.Confirm confirm) {
+            confirmLeadership(confirm.round());
+        } else if (step instanceof Step.Reply reply) {
+            messages.reply(reply.to(), reply.answer());
+        } else if (step instanceof Step.Nudge nudge) {
+            messages.nudge(nudge.to());
+        }
+    }
+
+    private void replicate(LeaseCommand command) {
+        log.replicate(command).whenComplete((outcome, failure) -> {
+            if (failure != null) {
+                log.replicationFailed(failure);
+                manager.commandFailed(command);
+            }
+        });
+    }
+
+    private void confirmLeadership(long round) {
+        log.confirmLeadership().whenComplete((confirmed, failure) -> {
+            if (failure == null) {
+                carryOut(manager.leadershipConfirmed(log.now(), round));
+            } else {
+                log.replicationFailed(failure);
+                carryOut(manager.leadershipUnconfirmed(round));
+            }
+        });
+    }
+}
--- a/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
@@ -67,7 +67,7 @@
             world.strike(new Fault(world.time().getAsDouble(), Fault.Kind.KILL, Fault.LEADER, -1, 3, 0));
             world.time().runUntil(40);
             assertThat(world.outs().went()).as("the leader dies " + steps + " steps behind the ask").isEqualTo(1);
-            assertThat(world.leading().outs().all()).as("all are back").isEmpty();
+            assertThat(world.leading().state().disruptions().all()).as("all are back").isEmpty();
         }
     }
 
--- a/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/ReleaseWorldTest.java
@@ -118,7 +118,8 @@
         assertThat(r.phase()).as(r.toString()).isEqualTo(Release.Phase.HALTED);
         assertThat(r.why()).contains("out for other reasons");
         world.time().runUntil(80);
-        world.order(replica -> new ReleaseOp.Resume(ReleaseOp.By.operator(0), replica.releases().release().id()));
+        world.order(
+                replica -> new ReleaseOp.Resume(ReleaseOp.By.operator(0), replica.state().rollouts().release().id()));
         world.time().runUntil(220);
         assertThat(world.release().phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.outcome().breaks()).isEmpty();
@@ -129,8 +130,10 @@
         HallWorld world = world(List.of(), Map.of(), Supervisor.GOOD, Set.of());
         world.time().in(20, () -> {
             world.order(
-                    replica -> new ReleaseOp.Halt(ReleaseOp.By.operator(0), replica.releases().release().id(), "me"));
-            world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0), replica.releases().release().id()));
+                    replica -> new ReleaseOp.Halt(ReleaseOp.By.operator(0), replica.state().rollouts().release().id(),
+                            "me"));
+            world.order(
+                    replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0), replica.state().rollouts().release().id()));
         });
         assertThat(released(world, 250).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("A");
@@ -142,7 +145,7 @@
         HallWorld world = world(List.of(), Map.of("A", new Quality(0, 0.1, 0, ""), "B", new Quality(0, 0.1, 0, "")),
                 Supervisor.GOOD, Set.of());
         world.time().in(30, () -> world.order(replica -> new ReleaseOp.Back(ReleaseOp.By.operator(0),
-                replica.releases().release().id())));
+                replica.state().rollouts().release().id())));
         assertThat(released(world, 250).phase()).isEqualTo(Release.Phase.DONE);
         assertThat(world.versions()).containsOnly("A");
     }
--- a/src/test/java/topazladder/net/hall/SqliteStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import topazladder.consensus.ReplicatedState;
+import topazladder.consensus.StateSnapshot;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.consensus.VoterStore;
 import topazladder.disruption.DisruptionStateMachine;
@@ -24,7 +24,7 @@
 import topazladder.lease.MemberIdentity;
 
 /** A voter's folder: what was flushed is there again, what was not is not, and nobody else writes to it. */
-class SqliteStoreTest {
+class SqliteVoterStoreTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint N0 = new VoterEndpoint("n0", 0);
     private static final VoterEndpoint N1 = new VoterEndpoint("n1", 44);
@@ -36,8 +36,8 @@
         return MODEL.createLogEntryBuilder().setIndex(at).setTerm(2).setOperation(op).build();
     }
 
-    private SqliteStore founded() throws IOException {
-        SqliteStore store = new SqliteStore(folder);
+    private SqliteVoterStore founded() throws IOException {
+        SqliteVoterStore store = new SqliteVoterStore(folder);
         assertThat(store.founding()).isNull();
         assertThat(store.restored()).isNull();
         store.found(new VoterStore.Founding(N0, List.of(N0, N1), 3));
@@ -49,8 +49,8 @@
     }
 
     @Test
-    void whatWasFlushedIsThereAgainAndWhatWasNotIsNot() throws IOException {
-        try (SqliteStore store = founded()) {
+    void restoresWhatWasFlushedAndNothingElse() throws IOException {
+        try (SqliteVoterStore store = founded()) {
             store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(2).setVotedFor(N1).build());
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n1", -5)),
                     entry(2, new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3)))),
@@ -61,7 +61,7 @@
             store.flush();
             store.persistLogEntries(List.of(entry(4, new LeaseCommand.Resume("probe"))));
         }
-        try (SqliteStore store = new SqliteStore(folder)) {
+        try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
             assertThat(store.founding()).isEqualTo(new VoterStore.Founding(N0, List.of(N0, N1), 3));
             RestoredRaftState r = store.restored();
             assertThat(r.getTermPersistentState().getTerm()).isEqualTo(2);
@@ -75,69 +75,69 @@
     }
 
     @Test
-    void aSnapshotStandsForWhatCameBeforeItAndOneThatIsNotWholeDoesNot() throws IOException {
+    void restoresTheLatestCompleteSnapshotAndTheEntriesBehindIt() throws IOException {
         LeaseStateMachine ledger = new LeaseStateMachine();
         ledger.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
         ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
         ledger.apply(new LeaseCommand.Expire("probe", 1));
         ledger.apply(new LeaseCommand.Crashed("probe", 1));
         ledger.apply(new LeaseCommand.Halt("probe", "by hand"));
-        try (SqliteStore store = founded()) {
+        StateSnapshot snapshot = StateSnapshot.of(ledger.copy(), new DisruptionStateMachine().copy());
+        try (SqliteVoterStore store = founded()) {
             store.persistLogEntries(
                     List.of(entry(1, new LeaseCommand.Lead("n0", 1)), entry(2, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
-                    chunk(2, 0, 1, new ReplicatedState.Copy(ledger.copy(), new DisruptionStateMachine().copy(), null)));
+                    chunk(2, 0, 1, snapshot));
             store.flush();
             store.truncateLogEntriesUntil(2);
             store.persistLogEntries(List.of(entry(3, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
-                    chunk(3, 0, 2, new ReplicatedState.Copy(ledger.copy(), new DisruptionStateMachine().copy(), null)));
+                    chunk(3, 0, 2, snapshot));
             store.flush();
         }
-        try (SqliteStore store = new SqliteStore(folder)) {
+        try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
             RestoredRaftState r = store.restored();
             assertThat(r.getSnapshotEntry().getIndex()).isEqualTo(2);
             assertThat(((List<?>) r.getSnapshotEntry().getOperation())).first()
                     .isInstanceOfSatisfying(SnapshotChunk.class,
-                            c -> assertThat(c.getOperation()).isEqualTo(new ReplicatedState.Copy(ledger.copy(),
-                                    new DisruptionStateMachine().copy(), null)));
+                            c -> assertThat(c.getOperation()).isEqualTo(snapshot));
             assertThat(r.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(3L);
         }
     }
 
-    private static SnapshotChunk chunk(long at, int number, int of, ReplicatedState.Copy copy) {
+    private static SnapshotChunk chunk(long at, int number, int of, StateSnapshot state) {
         return MODEL.createSnapshotChunkBuilder().setIndex(at).setTerm(2).setSnapshotChunkIndex(number)
-                .setSnapshotChunkCount(of).setOperation(copy).setGroupMembersView(MODEL
+                .setSnapshotChunkCount(of).setOperation(state).setGroupMembersView(MODEL
                         .createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(List.of(N0, N1))
                         .setVotingMembers(List.of(N0, N1)).build())
                 .build();
     }
 
     @Test
-    void aSecondOneOnTheSameFolderIsRefused() throws IOException {
-        try (SqliteStore store = founded()) {
-            assertThatThrownBy(() -> new SqliteStore(folder)).isInstanceOf(IOException.class)
+    void refusesASecondStoreOnTheSameFolder() throws IOException {
+        try (SqliteVoterStore store = founded()) {
+            assertThatThrownBy(() -> new SqliteVoterStore(folder)).isInstanceOf(IOException.class)
                     .hasMessageContaining("another process");
             assertThat(store.founding()).isNotNull();
         }
-        new SqliteStore(folder).close();
+        new SqliteVoterStore(folder).close();
     }
 
     @Test
-    void aFolderOfANewerVersionOrOfNoDatabaseIsRefused() throws IOException {
+    void refusesAFolderWithoutADatabaseInIt() throws IOException {
         Files.writeString(folder.resolve("voter.db"),
                 "this is no database, but it is long enough to look at".repeat(9));
-        assertThatThrownBy(() -> new SqliteStore(folder)).isInstanceOf(IOException.class)
+        assertThatThrownBy(() -> new SqliteVoterStore(folder)).isInstanceOf(IOException.class)
                 .hasMessageContaining("damaged");
     }
 
     @Test
     void foundingAnewForgetsWhatWasThere() throws IOException {
-        try (SqliteStore store = founded()) {
+        try (SqliteVoterStore store = founded()) {
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n0", 1))));
             store.flush();
             store.found(new VoterStore.Founding(N1, List.of(N1), 4));
-            assertThat(store.founding().formed()).isEqualTo(4);
+            assertThat(store.founding().groupGeneration()).isEqualTo(4);
             assertThat(store.restored()).isNull();
         }
     }
