--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -512,7 +512,7 @@
         for (Node n : nodes) {
             if (n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
                 return n.voter.replica().state().leases().get(duty) != null
-                        && n.voter.replica().state().leases().get(duty).halted() != null;
+                        && n.voter.replica().state().leases().get(duty).isSuspended();
             }
         }
         return false;
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -76,7 +76,7 @@
         if (2 * unread.size() >= replica.voting().size()) {
             return "the voters " + unread + " can't read releases; start them in a version that can";
         }
-        if (replica.state().leases().all().stream().noneMatch(d -> d.terms().name().equals(CONDUCTING_LEASE))) {
+        if (replica.state().leases().leases().stream().noneMatch(d -> d.settings().name().equals(CONDUCTING_LEASE))) {
             return "no duty named release conducts here";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
@@ -98,8 +98,8 @@
     }
 
     private String conductor() {
-        return replica.state().leases().all().stream()
-                .filter(d -> d.held() && d.terms().name().equals(CONDUCTING_LEASE))
+        return replica.state().leases().leases().stream()
+                .filter(d -> d.isHeld() && d.settings().name().equals(CONDUCTING_LEASE))
                 .map(d -> d.holder().name()).findFirst().orElse("");
     }
 }
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -214,8 +214,8 @@
             replica.handle(c.message());
         } else if (what instanceof Saying.Asking a) {
             if (replica.leading()) {
-                replica.disruptions().loadReported(a.ask().from(), a.schema(), a.serving(), a.ask().steady());
-                verdicts.says(clock.getAsDouble(), a.ask().from().name(), a.below());
+                replica.disruptions().loadReported(a.ask().member(), a.schema(), a.serving(), a.ask().eligible());
+                verdicts.says(clock.getAsDouble(), a.ask().member().name(), a.below());
                 replica.leases().handleRequest(a.ask());
             } else {
                 elsewhere(from);
--- a/src/main/java/topazladder/net/codec/IdentityMessages.java
+++ b/src/main/java/topazladder/net/codec/IdentityMessages.java
@@ -16,7 +16,7 @@
     private IdentityMessages() {}
 
     static MemberId member(MemberIdentity member) {
-        return MemberId.newBuilder().setName(member.name()).setLife(member.life()).build();
+        return MemberId.newBuilder().setName(member.name()).setLife(member.incarnation()).build();
     }
 
     static MemberIdentity member(MemberId message) throws MalformedMessageException {
--- a/src/main/java/topazladder/net/codec/LeaseMessages.java
+++ b/src/main/java/topazladder/net/codec/LeaseMessages.java
@@ -25,29 +25,30 @@
     static void writeCommand(LeaseCommand command, OpMessage.Builder message) {
         if (command instanceof LeaseCommand.Define define) {
             message.setDefine(DefineOp.newBuilder()
-                    .addAllDuties(define.duties().stream().map(LeaseMessages::settings).toList()));
+                    .addAllDuties(define.leases().stream().map(LeaseMessages::settings).toList()));
         } else if (command instanceof LeaseCommand.Grant grant) {
-            message.setGrant(lease(grant.duty(), grant.seen()).setTo(IdentityMessages.member(grant.to())));
+            message.setGrant(
+                    lease(grant.leaseName(), grant.previousToken()).setTo(IdentityMessages.member(grant.holder())));
         } else if (command instanceof LeaseCommand.Release release) {
-            message.setRelease(lease(release.duty(), release.token()));
+            message.setRelease(lease(release.leaseName(), release.fencingToken()));
         } else if (command instanceof LeaseCommand.Expire expire) {
-            message.setExpire(lease(expire.duty(), expire.token()));
-        } else if (command instanceof LeaseCommand.Settled settled) {
-            message.setSettled(lease(settled.duty(), settled.token()));
-        } else if (command instanceof LeaseCommand.Crashed crashed) {
-            message.setCrashed(lease(crashed.duty(), crashed.token()));
-        } else if (command instanceof LeaseCommand.Failed failed) {
-            message.setFailed(lease(failed.duty(), failed.token()).setText(failed.why()));
-        } else if (command instanceof LeaseCommand.Halt halt) {
-            message.setHalt(lease(halt.duty(), 0).setText(halt.why()));
+            message.setExpire(lease(expire.leaseName(), expire.fencingToken()));
+        } else if (command instanceof LeaseCommand.HolderSettled settled) {
+            message.setSettled(lease(settled.leaseName(), settled.fencingToken()));
+        } else if (command instanceof LeaseCommand.HolderCrashed crashed) {
+            message.setCrashed(lease(crashed.leaseName(), crashed.fencingToken()));
+        } else if (command instanceof LeaseCommand.HolderFailed failed) {
+            message.setFailed(lease(failed.leaseName(), failed.fencingToken()).setText(failed.reason()));
+        } else if (command instanceof LeaseCommand.Suspend suspend) {
+            message.setHalt(lease(suspend.leaseName(), 0).setText(suspend.reason()));
         } else if (command instanceof LeaseCommand.Resume resume) {
-            message.setResume(lease(resume.duty(), 0));
-        } else if (command instanceof LeaseCommand.HandOver handOver) {
-            message.setHandOver(lease(handOver.duty(), 0).setText(handOver.member()));
-        } else if (command instanceof LeaseCommand.Lead lead) {
-            message.setLead(LeadOp.newBuilder().setLeader(lead.leader()).setNonce(lead.nonce()));
-        } else if (command instanceof LeaseCommand.RaiseTokens raise) {
-            message.setRaiseTokens(raise.to());
+            message.setResume(lease(resume.leaseName(), 0));
+        } else if (command instanceof LeaseCommand.Transfer transfer) {
+            message.setHandOver(lease(transfer.leaseName(), 0).setText(transfer.memberName()));
+        } else if (command instanceof LeaseCommand.BeginLeadership begin) {
+            message.setLead(LeadOp.newBuilder().setLeader(begin.leader()).setNonce(begin.nonce()));
+        } else if (command instanceof LeaseCommand.RaiseTokenFloor raise) {
+            message.setRaiseTokens(raise.tokenFloor());
         } else {
             throw new IllegalArgumentException("no message for the lease command " + command);
         }
@@ -68,18 +69,20 @@
             }
             case RELEASE -> new LeaseCommand.Release(message.getRelease().getDuty(), message.getRelease().getToken());
             case EXPIRE -> new LeaseCommand.Expire(message.getExpire().getDuty(), message.getExpire().getToken());
-            case SETTLED -> new LeaseCommand.Settled(message.getSettled().getDuty(), message.getSettled().getToken());
-            case CRASHED -> new LeaseCommand.Crashed(message.getCrashed().getDuty(), message.getCrashed().getToken());
+            case SETTLED -> new LeaseCommand.HolderSettled(message.getSettled().getDuty(),
+                    message.getSettled().getToken());
+            case CRASHED -> new LeaseCommand.HolderCrashed(message.getCrashed().getDuty(),
+                    message.getCrashed().getToken());
             case FAILED -> {
                 DutyOp failed = message.getFailed();
-                yield new LeaseCommand.Failed(failed.getDuty(), failed.getToken(), failed.getText());
+                yield new LeaseCommand.HolderFailed(failed.getDuty(), failed.getToken(), failed.getText());
             }
-            case HALT -> new LeaseCommand.Halt(message.getHalt().getDuty(), message.getHalt().getText());
+            case HALT -> new LeaseCommand.Suspend(message.getHalt().getDuty(), message.getHalt().getText());
             case RESUME -> new LeaseCommand.Resume(message.getResume().getDuty());
-            case HAND_OVER -> new LeaseCommand.HandOver(message.getHandOver().getDuty(),
+            case HAND_OVER -> new LeaseCommand.Transfer(message.getHandOver().getDuty(),
                     message.getHandOver().getText());
-            case LEAD -> new LeaseCommand.Lead(message.getLead().getLeader(), message.getLead().getNonce());
-            case RAISE_TOKENS -> new LeaseCommand.RaiseTokens(message.getRaiseTokens());
+            case LEAD -> new LeaseCommand.BeginLeadership(message.getLead().getLeader(), message.getLead().getNonce());
+            case RAISE_TOKENS -> new LeaseCommand.RaiseTokenFloor(message.getRaiseTokens());
             default -> throw new IllegalArgumentException("no lease command: " + message.getOpCase());
         };
     }
@@ -93,8 +96,8 @@
     }
 
     private static DutyTermsMessage settings(LeaseSettings settings) {
-        return DutyTermsMessage.newBuilder().setName(settings.name()).setLease(settings.lease())
-                .setMostLosses(settings.mostLosses()).build();
+        return DutyTermsMessage.newBuilder().setName(settings.name()).setLease(settings.durationSeconds())
+                .setMostLosses(settings.maxConsecutiveLosses()).build();
     }
 
     private static LeaseSettings settings(DutyTermsMessage message) throws MalformedMessageException {
@@ -107,32 +110,32 @@
 
     // ---- snapshots
 
-    static LedgerCopy snapshot(LeaseStateMachine.Copy snapshot) {
-        return LedgerCopy.newBuilder().setFloor(snapshot.floor())
-                .addAllDuties(snapshot.duties().stream().map(LeaseMessages::state).toList()).build();
+    static LedgerCopy snapshot(LeaseStateMachine.Snapshot snapshot) {
+        return LedgerCopy.newBuilder().setFloor(snapshot.tokenFloor())
+                .addAllDuties(snapshot.leases().stream().map(LeaseMessages::state).toList()).build();
     }
 
-    static LeaseStateMachine.Copy snapshot(LedgerCopy message) throws MalformedMessageException {
+    static LeaseStateMachine.Snapshot snapshot(LedgerCopy message) throws MalformedMessageException {
         List<LeaseState> leases = new ArrayList<>();
         for (DutyStateMessage state : message.getDutiesList()) {
             leases.add(state(state));
         }
-        return new LeaseStateMachine.Copy(message.getFloor(), List.copyOf(leases));
+        return new LeaseStateMachine.Snapshot(message.getFloor(), List.copyOf(leases));
     }
 
     private static DutyStateMessage state(LeaseState state) {
-        DutyStateMessage.Builder message = DutyStateMessage.newBuilder().setTerms(settings(state.terms()))
-                .setToken(state.token()).setWanted(state.wanted()).setPlaced(state.placed())
-                .setIsHalted(state.halted() != null);
-        if (state.halted() != null) {
-            message.setHalted(state.halted());
+        DutyStateMessage.Builder message = DutyStateMessage.newBuilder().setTerms(settings(state.settings()))
+                .setToken(state.fencingToken()).setWanted(state.preferredMember()).setPlaced(state.placedByOperator())
+                .setIsHalted(state.isSuspended());
+        if (state.isSuspended()) {
+            message.setHalted(state.suspendedReason());
         }
         if (state.holder() != null) {
             message.setHolder(IdentityMessages.member(state.holder()));
         }
         for (LeaseState.Loss loss : state.losses()) {
-            message.addLosses(LossMessage.newBuilder().setToken(loss.token())
-                    .setHolder(IdentityMessages.member(loss.holder())).setEnded(loss.ended()));
+            message.addLosses(LossMessage.newBuilder().setToken(loss.fencingToken())
+                    .setHolder(IdentityMessages.member(loss.holder())).setEnded(loss.processEnded()));
         }
         return message.build();
     }
--- a/src/main/java/topazladder/net/codec/LogMessages.java
+++ b/src/main/java/topazladder/net/codec/LogMessages.java
@@ -115,7 +115,7 @@
         ChunkMessage.Builder message = ChunkMessage.newBuilder().setIndex(chunk.getIndex()).setTerm(chunk.getTerm())
                 .setChunk(chunk.getSnapshotChunkIndex()).setChunks(chunk.getSnapshotChunkCount())
                 .setMembers(configuration(chunk.getGroupMembersView()))
-                .setCopy(LeaseMessages.snapshot(state.part(LeaseStateMachine.Copy.class).orElseThrow()))
+                .setCopy(LeaseMessages.snapshot(state.part(LeaseStateMachine.Snapshot.class).orElseThrow()))
                 .setOuts(OutMessages.copy(state.part(DisruptionStateMachine.Copy.class).orElseThrow()));
         state.part(Release.class).ifPresent(release -> message.setRelease(ReleaseMessages.release(release)));
         return message.build();
--- a/src/main/java/topazladder/replication/ClusterReplica.java
+++ b/src/main/java/topazladder/replication/ClusterReplica.java
@@ -67,7 +67,7 @@
         VoterSchemas schemas = new VoterSchemas(consensus, domains.disruptionController());
         leases = new LeaseReplication(consensus, leaseManager, environment, settings.leases());
         disruptions = new DisruptionReplication(consensus, state, domains.disruptionController(), settings,
-                leaseManager::wakeUp, environment);
+                leaseManager::setFastPolling, environment);
         rollouts = new RolloutReplication(consensus, state, disruptions, schemas);
         consensus.register(leases);
         // Ahead of disruptions: what is withdrawn by it is not granted in the same moment.
--- a/src/main/java/topazladder/replication/ClusterState.java
+++ b/src/main/java/topazladder/replication/ClusterState.java
@@ -34,7 +34,7 @@
                 new ReplicatedStateMachine<>(DisruptionCommand.class, DisruptionStateMachine.Copy.class,
                         disruptions::apply, disruptions::copy, disruptions::replace,
                         new DisruptionStateMachine().copy()),
-                new ReplicatedStateMachine<>(LeaseCommand.class, LeaseStateMachine.Copy.class, leases::apply,
-                        leases::copy, leases::replace, new LeaseStateMachine().copy())));
+                new ReplicatedStateMachine<>(LeaseCommand.class, LeaseStateMachine.Snapshot.class, leases::apply,
+                        leases::snapshot, leases::restore, new LeaseStateMachine().snapshot())));
     }
 }
--- a/src/main/java/topazladder/replication/DisruptionReplication.java
+++ b/src/main/java/topazladder/replication/DisruptionReplication.java
@@ -72,7 +72,7 @@
 
     /** What a member did of late, and which schema it reads. */
     public void loadReported(MemberIdentity from, int schema, LoadReport load, boolean steady) {
-        controller.loadReported(log.now(), instance(from.name()), from.life(), schema, load, steady);
+        controller.loadReported(log.now(), instance(from.name()), from.incarnation(), schema, load, steady);
     }
 
     /** The instance of that name, with its zone where it was seen. */
@@ -87,7 +87,7 @@
             return;
         }
         DisruptionTarget instance = instance(from.name());
-        propose(new DisruptionCommand.Leaves(instance, token, from.life(), ""), outcome -> {
+        propose(new DisruptionCommand.Leaves(instance, token, from.incarnation(), ""), outcome -> {
             if (outcome.done()) {
                 Disruption disruption = state.disruptions().get(instance(from.name()));
                 messages.go(from.name(), token, disruption == null ? ""
@@ -100,9 +100,9 @@
     public void leaving(MemberIdentity from, String by) {
         Disruption disruption = state.disruptions().get(instance(from.name()));
         boolean known = disruption != null && disruption.phase() == Disruption.Phase.GONE
-                && disruption.life() == from.life();
+                && disruption.life() == from.incarnation();
         if (log.isLeader() && !known) {
-            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.life(), by), outcome -> {});
+            propose(new DisruptionCommand.Leaves(instance(from.name()), 0, from.incarnation(), by), outcome -> {});
         }
     }
 
--- a/src/main/java/topazladder/replication/LeaseReplication.java
+++ b/src/main/java/topazladder/replication/LeaseReplication.java
@@ -65,7 +65,7 @@
         commands.add(new LeaseCommand.Define(settings));
         if (groupGeneration > 0) {
             // Nobody knows how many tokens the generation before has granted; so far above them, it never came.
-            commands.add(new LeaseCommand.RaiseTokens(groupGeneration << GENERATION_TOKEN_BITS));
+            commands.add(new LeaseCommand.RaiseTokenFloor(groupGeneration << GENERATION_TOKEN_BITS));
         }
         return commands;
     }
@@ -101,13 +101,13 @@
 
     private void carryOut(Step step) {
         if (step instanceof Step.Propose propose) {
-            replicate(propose.op());
-        } else if (step instanceof Step.Confirm confirm) {
+            replicate(propose.command());
+        } else if (step instanceof Step.ConfirmLeadership confirm) {
             confirmLeadership(confirm.round());
         } else if (step instanceof Step.Reply reply) {
-            messages.reply(reply.to(), reply.answer());
-        } else if (step instanceof Step.Nudge nudge) {
-            messages.nudge(nudge.to());
+            messages.reply(reply.member(), reply.response());
+        } else if (step instanceof Step.WakeUp wakeUp) {
+            messages.nudge(wakeUp.member());
         }
     }
 
--- a/src/main/java/topazladder/replication/LeaseTermStart.java
+++ b/src/main/java/topazladder/replication/LeaseTermStart.java
@@ -9,13 +9,13 @@
 
     @Override
     public Object toCommand(TermStart start) {
-        return new LeaseCommand.Lead(start.leader(), start.nonce());
+        return new LeaseCommand.BeginLeadership(start.leader(), start.nonce());
     }
 
     @Override
     public Optional<TermStart> fromCommand(Object command) {
-        return command instanceof LeaseCommand.Lead lead
-                ? Optional.of(new TermStart(lead.leader(), lead.nonce()))
+        return command instanceof LeaseCommand.BeginLeadership begin
+                ? Optional.of(new TermStart(begin.leader(), begin.nonce()))
                 : Optional.empty();
     }
 }
--- a/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
@@ -52,12 +52,12 @@
     void restoresWhatWasFlushedAndNothingElse() throws IOException {
         try (SqliteVoterStore store = founded()) {
             store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(2).setVotedFor(N1).build());
-            store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n1", -5)),
+            store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n1", -5)),
                     entry(2, new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3)))),
                     entry(3, new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1L << 60), 0))));
             store.flush();
             store.truncateLogEntriesFrom(3);
-            store.persistLogEntries(List.of(entry(3, new LeaseCommand.Halt("probe", "by hand"))));
+            store.persistLogEntries(List.of(entry(3, new LeaseCommand.Suspend("probe", "by hand"))));
             store.flush();
             store.persistLogEntries(List.of(entry(4, new LeaseCommand.Resume("probe"))));
         }
@@ -68,9 +68,9 @@
             assertThat(r.getTermPersistentState().getVotedFor()).isEqualTo(N1);
             assertThat(r.getLocalEndpointPersistentState().isVoting()).isTrue();
             assertThat(r.getLogEntries()).extracting(LogEntry::getOperation).containsExactly(
-                    new LeaseCommand.Lead("n1", -5),
+                    new LeaseCommand.BeginLeadership("n1", -5),
                     new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))),
-                    new LeaseCommand.Halt("probe", "by hand"));
+                    new LeaseCommand.Suspend("probe", "by hand"));
         }
     }
 
@@ -80,12 +80,13 @@
         ledger.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
         ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
         ledger.apply(new LeaseCommand.Expire("probe", 1));
-        ledger.apply(new LeaseCommand.Crashed("probe", 1));
-        ledger.apply(new LeaseCommand.Halt("probe", "by hand"));
-        StateSnapshot snapshot = StateSnapshot.of(ledger.copy(), new DisruptionStateMachine().copy());
+        ledger.apply(new LeaseCommand.HolderCrashed("probe", 1));
+        ledger.apply(new LeaseCommand.Suspend("probe", "by hand"));
+        StateSnapshot snapshot = StateSnapshot.of(ledger.snapshot(), new DisruptionStateMachine().copy());
         try (SqliteVoterStore store = founded()) {
             store.persistLogEntries(
-                    List.of(entry(1, new LeaseCommand.Lead("n0", 1)), entry(2, new LeaseCommand.Resume("probe"))));
+                    List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1)),
+                            entry(2, new LeaseCommand.Resume("probe"))));
             store.persistSnapshotChunk(
                     chunk(2, 0, 1, snapshot));
             store.flush();
@@ -134,7 +135,7 @@
     @Test
     void foundingAnewForgetsWhatWasThere() throws IOException {
         try (SqliteVoterStore store = founded()) {
-            store.persistLogEntries(List.of(entry(1, new LeaseCommand.Lead("n0", 1))));
+            store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1))));
             store.flush();
             store.found(new VoterStore.Founding(N1, List.of(N1), 4));
             assertThat(store.founding().groupGeneration()).isEqualTo(4);
--- a/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
+++ b/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
@@ -89,7 +89,7 @@
                     new LeaseState(SETTINGS.leases().get(0), TOKEN_FLOOR + 1, N1, null, "", false, List.of()));
             assertThat(state.leases().get("sweep")).isEqualTo(new LeaseState(SETTINGS.leases().get(1), TOKEN_FLOOR + 2,
                     N1, null, "", false, List.of(new LeaseState.Loss(TOKEN_FLOOR + 1, N2, false))));
-            assertThat(state.leases().get("release").halted()).isEqualTo("by an operator");
+            assertThat(state.leases().get("release").suspendedReason()).isEqualTo("by an operator");
             assertThat(state.disruptions().get(TARGET_N1)).isEqualTo(new Disruption(TARGET_N1, Disruption.Why.OPERATOR,
                     Disruption.Phase.GRANTED, "operator", 1, 5, 1, "an operator"));
             assertThat(state.disruptions().get(TARGET_N2)).isEqualTo(new Disruption(TARGET_N2, Disruption.Why.OPERATOR,
@@ -109,7 +109,7 @@
             ClusterReplica replica = runningReplica(store);
             LeaseCommand hand = new LeaseCommand.Release("probe", TOKEN_FLOOR + 1);
             LeaseCommand again = new LeaseCommand.Grant("probe", N2, TOKEN_FLOOR + 1);
-            replica.leases().propose(hand, outcome -> assertThat(outcome.done()).isTrue());
+            replica.leases().propose(hand, outcome -> assertThat(outcome.isApplied()).isTrue());
             replica.leases().propose(again,
                     outcome -> assertThat(outcome).isEqualTo(new LeaseStateMachine.Outcome(TOKEN_FLOOR + 2, null)));
             time.runUntil(time.getAsDouble() + 1);
@@ -121,7 +121,7 @@
             ClusterReplica replica = runningReplica(store);
 
             assertThat(replica.term()).isEqualTo(3);
-            assertThat(replica.state().leases().get("probe").token()).isEqualTo(TOKEN_FLOOR + 2);
+            assertThat(replica.state().leases().get("probe").fencingToken()).isEqualTo(TOKEN_FLOOR + 2);
             assertThat(replica.state().leases().get("probe").holder()).isEqualTo(N2);
         }
     }
