--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -27,7 +27,6 @@
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.ServiceSettings;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.consensus.ConsensusReplica;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.disruption.Disruption;
 import topazladder.disruption.DisruptionBudget;
@@ -54,6 +53,7 @@
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.release.Conductor;
+import topazladder.replication.ClusterReplica;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
 import topazladder.service.DependencyCircuitBreaker;
@@ -199,7 +199,7 @@
     /** On the group's thread. A folder that can't be opened costs a vote, and no request: it is tried again. */
     private void openVoter() {
         try {
-            voter = voter(new SqliteStore(settings.dataFolder()));
+            voter = voter(new SqliteVoterStore(settings.dataFolder()));
             voter.open();
         } catch (IOException | RuntimeException | LinkageError e) {
             // The last where the store's own library can't be loaded, as from a disk that fails.
@@ -209,7 +209,7 @@
         }
     }
 
-    private VoterNode voter(SqliteStore store) {
+    private VoterNode voter(SqliteVoterStore store) {
         DoubleSupplier groupClock = () -> monotonic() * settings.clockRate();
         return new VoterNode(hall, store, thread, groupClock, chance.split(), new VoterNode.World() {
             @Override
@@ -458,7 +458,7 @@
             return;
         }
         thread.execute(() -> {
-            ConsensusReplica replica = voter == null ? null : voter.replica();
+            ClusterReplica replica = voter == null ? null : voter.replica();
             if (replica == null || !replica.leading()) {
                 VoterEndpoint leader = replica == null ? null : replica.leader();
                 loop.runOnContext(v -> forward(o, answer, leader == null ? member.leader() : leader.name()));
@@ -469,7 +469,7 @@
     }
 
     /** On the group's thread, at the leader. */
-    private void lead(ConsensusReplica replica, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
+    private void lead(ClusterReplica replica, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
         Command c = o.command();
         if (c.kind() == Command.Kind.DUTIES) {
             then.accept(new Saying.Told(o.number(), true, duties(replica).encode()));
@@ -490,8 +490,8 @@
             DisruptionTarget s =
                     below ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, c.text().substring(BELOW.length()),
                             "")
-                            : replica.instance(c.text());
-            Disruption out = replica.outs().get(s);
+                            : replica.disruptions().instance(c.text());
+            Disruption out = replica.state().disruptions().get(s);
             boolean isOut = below && out != null && out.usesBudget();
             DisruptionCommand op = switch (c.kind()) {
                 case DRAIN -> isOut ? new DisruptionCommand.KeepOut(s, "operator", "an operator")
@@ -503,12 +503,12 @@
                         c.text().isEmpty() ? "by an operator" : c.text());
                 default -> new DisruptionCommand.SuspendGrants(null);
             };
-            if (op instanceof DisruptionCommand.Request && !replica.outs().capacities().containsKey(s)) {
+            if (op instanceof DisruptionCommand.Request && !replica.state().disruptions().capacities().containsKey(s)) {
                 then.accept(new Saying.Told(o.number(), false, "there is no "
                         + (below ? c.text() + ", or nobody has called it yet" : "member " + c.text())));
                 return;
             }
-            replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
+            replica.disruptions().propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
                     outcome.isApplied() ? "done" : outcome.rejection())));
             return;
         }
@@ -518,34 +518,35 @@
             case RESUME -> new LeaseCommand.Resume(c.duty());
             default -> throw new IllegalStateException("no command to the leader: " + c.kind());
         };
-        replica.propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
+        replica.leases().propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
                 outcome.isApplied() ? "done" : outcome.rejection())));
     }
 
-    private static JsonObject outs(ConsensusReplica replica) {
+    private static JsonObject outs(ClusterReplica replica) {
         JsonArray all = new JsonArray();
-        for (Disruption o : replica.outs().disruptions()) {
+        for (Disruption o : replica.state().disruptions().disruptions()) {
             all.add(new JsonObject().put("name", o.target().toString()).put("zone", o.target().zone())
                     .put("why", o.reason().name()).put("phase", o.phase().name()).put("token", o.token())
                     .put("asked", o.requestOrder()).put("by", o.requestedBy())
                     .put("waits",
-                            o.phase() == Disruption.Phase.ASKED ? replica.permits().blockedReasons().get(o.target())
-                                    : null));
+                            o.phase() == Disruption.Phase.ASKED
+                                    ? replica.disruptions().controller().blockedReasons().get(o.target()) : null));
         }
         JsonArray budgets = new JsonArray();
-        for (DisruptionBudget b : replica.outs().budgets()) {
+        for (DisruptionBudget b : replica.state().disruptions().budgets()) {
             budgets.add(new JsonObject().put("name", b.name()).put("most", b.maxUnavailable())
                     .put("share", b.maxCapacityShare())
                     .put("zone", b.zone())
-                    .put("out", replica.outs().targetsUsingBudget().stream().filter(b::covers).count()));
+                    .put("out", replica.state().disruptions().targetsUsingBudget().stream().filter(b::covers).count()));
         }
-        return new JsonObject().put("leader", replica.here().name()).put("halted", replica.outs().suspendedReason())
+        return new JsonObject().put("leader", replica.here().name())
+                .put("halted", replica.state().disruptions().suspendedReason())
                 .put("outs", all).put("budgets", budgets);
     }
 
-    private static JsonObject duties(ConsensusReplica replica) {
+    private static JsonObject duties(ClusterReplica replica) {
         JsonArray all = new JsonArray();
-        for (LeaseState s : replica.ledger().leases()) {
+        for (LeaseState s : replica.state().leases().leases()) {
             all.add(new JsonObject().put("name", s.settings().name()).put("token", s.fencingToken())
                     .put("holder", s.holder() == null ? null : s.holder().name())
                     .put("lease", s.settings().durationSeconds()).put("halted", s.suspendedReason())
@@ -599,13 +600,13 @@
             return;
         }
         thread.execute(() -> {
-            ConsensusReplica replica = voter == null ? null : voter.replica();
+            ClusterReplica replica = voter == null ? null : voter.replica();
             JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
             if (replica != null) {
                 JsonArray voting = new JsonArray();
                 replica.voting().forEach(e -> voting.add(e.toString()));
                 group.put("here", replica.here().toString()).put("voters", voting).put("term", replica.term())
-                        .put("leading", replica.leading()).put("committed", replica.committed())
+                        .put("leading", replica.leading()).put("committed", replica.commitIndex())
                         .put("leader", replica.leader() == null ? null : replica.leader().name());
             }
             loop.runOnContext(v -> then.accept(json.put("group", group)));
