--- a/src/bench/java/topazladder/AdmissionControllerBenchmark.java
+++ b/src/bench/java/topazladder/AdmissionControllerBenchmark.java
@@ -60,7 +60,8 @@
     public void open() {
         for (int i = 0; i < classes; i++) {
             requestClasses
-                    .add(new RequestClass("route-" + i, RequestClass.Repeats.RETRY_SAFE, 1.8, 4.6, 1, 0, 0, false, 0));
+                    .add(new RequestClass("route-" + i, RequestClass.Idempotency.RETRY_SAFE, 1.8, 4.6, 1, 0, 0, false,
+                            0));
         }
         for (int i = 0; i < tenants; i++) {
             allTenants.add(new Tenant("tenant-" + i, 1.0 / tenants, 93));
--- a/src/main/java/topazladder/admission/AdmissionContext.java
+++ b/src/main/java/topazladder/admission/AdmissionContext.java
@@ -12,6 +12,8 @@
  * emitting a decision.
  */
 final class AdmissionContext {
+    /** Seconds from the start of the server in which its own rates are not relied on yet. */
+    static final double START_SECONDS = 1;
     private static final double MIN_TICK_SECONDS = 0.01;
     /** Leaves room for a tick that comes late, and costs few timers. */
     private static final double TICKS_PER_ANSWER_SLACK = 4;
--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -6,6 +6,7 @@
 import topazladder.admission.AdmissionSettings.RunCancellation;
 import topazladder.admission.TrackedRequest.Phase;
 import topazladder.request.Decision;
+import topazladder.request.GiveUpReason;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.Outcome;
 import topazladder.request.Request;
@@ -57,14 +58,14 @@
         memory = new MemoryBudget(context, keys);
         RequestQueue queue = new RequestQueue(context, statistics);
         DependencyCalls calls = new DependencyCalls();
-        DependencyPace pace = new DependencyPace(context);
+        DependencyCallLimit callLimit = new DependencyCallLimit(context);
         retryAdvice = new RetryAdvice(context, statistics, queue, drain);
-        peerEstimates = new PeerEstimates(context, statistics, pace);
+        peerEstimates = new PeerEstimates(context, statistics, callLimit);
         uncertainStarts = new UncertainStarts(context, statistics, registry);
 
         // From the last stage to the first, as each hands on to the next.
         concurrencyLimiter = new ConcurrencyLimiter(context, memory, queue, calls);
-        dependencyLimiter = new DependencyLimiter(context, memory, calls, pace, concurrencyLimiter, endings);
+        dependencyLimiter = new DependencyLimiter(context, memory, calls, callLimit, concurrencyLimiter, endings);
         idleConnections = new IdleConnectionPolicy(context, statistics, concurrencyLimiter);
         admissionQueue = new AdmissionQueue(context, statistics, drain, queue, concurrencyLimiter, endings);
         admissionLevel =
@@ -104,7 +105,9 @@
             concurrencyLimiter.leaveCores(tracked);
             admissionQueue.startWhatHasRoom();
             if (tracked.answered) {
-                context.emit(new Decision.Fail(request));
+                // No call is made for a result that nobody waits for. This lets whoever runs it end the run at its
+                // call; a service's dispatcher sends no second answer, and its runtime ends such a run by itself.
+                context.emit(new Decision.Fail(request, GiveUpReason.ALREADY_ANSWERED));
             } else {
                 dependencyLimiter.admit(tracked);
             }
@@ -136,7 +139,7 @@
                 statistics.completed(tracked.requestClass, elapsedSeconds);
             }
             // Without an effect a retry may run after all.
-            tracked.hasRun &= !outcome.provesNoEffect();
+            tracked.mayHaveTakenEffect &= !outcome.provesNoEffect();
             close(tracked);
         });
     }
@@ -214,18 +217,32 @@
         for (TrackedRequest request : registry.snapshot()) {
             boolean due = context.now() + context.tickSeconds() >= Math.min(request.deadline, drain.lastAnswerAt());
             if (!request.answered && due) {
-                giveUp(request);
+                giveUp(request, request.deadline <= drain.lastAnswerAt() ? GiveUpReason.DEADLINE
+                        : GiveUpReason.DRAINING);
             }
         }
     }
 
-    private void giveUp(TrackedRequest request) {
-        if (!request.hasRun || request.isRetrySafe()) {
-            retryAdvice.reject(request);
+    private void giveUp(TrackedRequest request, GiveUpReason reason) {
+        answerWithoutResult(request, reason);
+        stopWork(request);
+    }
+
+    /** Rejects a request that may be tried again, as it had no effect or is retry-safe; fails any other. */
+    private void answerWithoutResult(TrackedRequest request, GiveUpReason reason) {
+        if (!request.mayHaveTakenEffect || request.isRetrySafe()) {
+            retryAdvice.reject(request, reason);
         } else {
-            context.emit(new Decision.Fail(request.request));
+            context.emit(new Decision.Fail(request.request, reason));
             request.answered = true;
         }
+    }
+
+    /**
+     * Cancels a run on the cores where that can be done; else it goes on, and its end is reported later, as it is for a
+     * run off the cores. Without a run the request is over.
+     */
+    private void stopWork(TrackedRequest request) {
         switch (request.phase) {
             case RUNNING -> {
                 statistics.gaveUpRun(request.requestClass, context.now() - request.startedAt);
@@ -258,8 +275,8 @@
     /** Lets the stages end requests, without showing that to the controller's callers. */
     private final class Endings implements RequestEndings {
         @Override
-        public void giveUp(TrackedRequest request) {
-            AdmissionController.this.giveUp(request);
+        public void giveUp(TrackedRequest request, GiveUpReason reason) {
+            AdmissionController.this.giveUp(request, reason);
         }
 
         @Override
--- a/src/main/java/topazladder/admission/AdmissionQueue.java
+++ b/src/main/java/topazladder/admission/AdmissionQueue.java
@@ -1,6 +1,7 @@
 package topazladder.admission;
 
 import topazladder.admission.TrackedRequest.Phase;
+import topazladder.request.GiveUpReason;
 
 /**
  * Queues requests for a core for as long as that pays: one that could not end while its answer earns anything is given
@@ -30,10 +31,10 @@
     @Override
     public void admit(TrackedRequest request) {
         queue.add(request);
-        // What lay unread until nothing can be earned is not run even on idle cores: it would only be stopped again.
+        // What lay unread until its answer has no value is not run even on idle cores: it would only be stopped again.
         if (context.now() >= request.usefulUntil
                 || cores.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
-            endings.giveUp(request);
+            endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
         } else {
             startWhatHasRoom();
         }
@@ -64,9 +65,13 @@
 
     void tick() {
         for (TrackedRequest request : queue.snapshot()) {
-            if (request.phase == Phase.QUEUED && (drain.isTooLate(request)
-                    || cores.running() > 0 && statistics.endsTooLate(request, 0))) {
-                endings.giveUp(request);
+            if (request.phase != Phase.QUEUED) {
+                continue;
+            }
+            if (drain.isTooLate(request)) {
+                endings.giveUp(request, GiveUpReason.DRAINING);
+            } else if (cores.running() > 0 && statistics.endsTooLate(request, 0)) {
+                endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
             }
         }
         queue.tick();
--- a/src/main/java/topazladder/admission/ConcurrencyLimiter.java
+++ b/src/main/java/topazladder/admission/ConcurrencyLimiter.java
@@ -17,13 +17,12 @@
  * </ul>
  */
 final class ConcurrencyLimiter implements Stage {
-    /** What kills is measured as an average over some time, so stay clear of it. */
+    /** The concurrency at which a server collapses is an average over some time; the rest is for peaks. */
     private static final double SAFE_SHARE_OF_COLLAPSE = 0.75;
     private static final double MAX_OTHER_WORK_PER_LIMIT = 0.5;
     /** One read at a time is ordinary and takes no room from runs. */
     private static final double ORDINARY_OTHER_WORK = 1;
     private static final int OTHER_WORK_WINDOW_TICKS = 4;
-    private static final double START_SECONDS = 1;
     /** The gauge of core use is an average over this time. */
     private static final double UPDATE_SECONDS = 0.5;
     private static final double IDLE_CORE_USE = 0.9;
@@ -38,7 +37,7 @@
     private final ExponentialMean otherWork = new ExponentialMean(OTHER_WORK_WINDOW_TICKS);
     /** At every tick since the last update: a queue of a moment would let the limit creep up against a late gauge. */
     private boolean atLimitSinceUpdate;
-    private double nextUpdateAt = START_SECONDS;
+    private double nextUpdateAt = AdmissionContext.START_SECONDS;
 
     ConcurrencyLimiter(AdmissionContext context, MemoryBudget memory, RequestQueue queue, DependencyCalls calls) {
         this.context = context;
@@ -49,9 +48,15 @@
     }
 
     boolean hasRoomFor(TrackedRequest request) {
-        return running < limit
-                && running + Math.min(otherWork.value() - ORDINARY_OTHER_WORK, limit * MAX_OTHER_WORK_PER_LIMIT) < limit
-                && running + calls.pending() < maxConcurrency() && memory.hasRoomToStart(request);
+        return running < limit && fitsWithOtherWork() && fitsCollapseBound() && memory.hasRoomToStart(request);
+    }
+
+    private boolean fitsWithOtherWork() {
+        return running + Math.min(otherWork.value() - ORDINARY_OTHER_WORK, limit * MAX_OTHER_WORK_PER_LIMIT) < limit;
+    }
+
+    private boolean fitsCollapseBound() {
+        return running + calls.pending() < maxConcurrency();
     }
 
     /** Running and waiting requests that this server survives. */
@@ -62,7 +67,7 @@
 
     @Override
     public void admit(TrackedRequest request) {
-        request.hasRun = true;
+        request.mayHaveTakenEffect = true;
         request.startedAt = context.now();
         memory.move(request, Phase.RUNNING);
         running++;
--- a/src/main/java/topazladder/admission/DependencyPace.java
+++ b/src/main/java/topazladder/admission/DependencyCallLimit.java
@@ -6,62 +6,70 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * How many dependency calls this server means to have in flight on average. The strain is how many times as long as the
- * quickest the recent calls took, at most four; a failed call counts as four. While the strain is at most two, the pace
- * is the most that the quota allows. Under strain it is
+ * Limits how many dependency calls this server has in flight on average. The slowdown is how many times as long as the
+ * quickest calls the recent ones took, at most {@code MAX_SLOWDOWN}; a failed call counts as that. While the slowdown
+ * is at most {@code MAX_NORMAL_SLOWDOWN}, the target is the usable share of the quota. Beyond it, the target is
  *
- * <pre>{@code max(most / 16, 3 * usual / strain)}</pre>
+ * <pre>{@code
+ * min(usable, max(usable * MIN_SHARE, CALLS_PER_USUAL_CALL * usualInFlight / slowdown))
+ * usable = quota * USABLE_SHARE_OF_QUOTA
+ * }</pre>
  *
- * with the usual number of calls in flight without strain: three times the usual leaves room for chance, and a
- * sixteenth still finds out that a crowd at the dependency is over. The pace follows at once, as a cut that stayed
- * would waste what the dependency can do.
+ * with the usual number of calls in flight without a slowdown. The minimum still finds out that the overload of the
+ * dependency is over. The target follows at once, as a cut that stayed would waste what the dependency can do.
  *
- * <p>The pace is enforced as a token bucket of call-seconds: calls in flight beyond the pace spend it, calls below it
- * refill it. Without a quota nothing is limited.
+ * <p>The target is enforced as a token bucket of call-seconds: calls in flight beyond the target spend it, calls below
+ * it refill it. Without a quota nothing is limited.
  */
-final class DependencyPace {
+final class DependencyCallLimit {
     /** Of the quota: the rest is for calls already made that take longer than expected. */
     private static final double USABLE_SHARE_OF_QUOTA = 0.6;
+    /** Of the usable calls in flight, until a call has ended. */
     private static final double INITIAL_SHARE = 0.25;
+    /** Calls, few so that the mean follows a change. */
     private static final int CALL_TIME_WINDOW_CALLS = 10;
-    /** Steadier: the least of a mean of few calls would be luck, and all after it look slow. */
+    /** Calls; the least of a mean of few would be chance, and all later ones would look slow. */
     private static final int LONG_CALL_TIME_WINDOW_CALLS = 40;
-    private static final int STRAIN_WINDOW_CALLS = 10;
+    private static final int SLOWDOWN_WINDOW_CALLS = 10;
     private static final int USUAL_WINDOW_CALLS = 40;
-    /** The quickest time drifts up, so that a lasting change is believed. */
+    /** Factor by which the quickest time rises with each call, so that a lasting change is taken in. */
     private static final double QUICKEST_DRIFT_PER_CALL = 1.0005;
-    /** Uncapped, one call that hung would count for thirty. */
-    private static final double MAX_STRAIN = 4;
-    private static final double STRAINED = 2;
-    private static final double USUAL_FACTOR = 3;
+    /** Ratio of times. Without a cap, one call that hung would outweigh many that did not. */
+    private static final double MAX_SLOWDOWN = 4;
+    /** Ratio of times up to which calls vary without an overload of the dependency. */
+    private static final double MAX_NORMAL_SLOWDOWN = 2;
+    /** Calls allowed for each usual one at a slowdown of 1, as their number varies by chance. */
+    private static final double CALLS_PER_USUAL_CALL = 3;
+    /** Of the usable calls in flight. */
     private static final double MIN_SHARE = 0.0625;
     /** The dependency averages the calls over the span of the quota, so spending a quarter of it ahead stays clear. */
     private static final double BURST_SHARE_OF_SPAN = 0.25;
     /** Half as much for calls that can be skipped, so that those that can't find room. */
     private static final double SKIPPABLE_BURST_SHARE_OF_SPAN = 0.125;
-    private static final double MAX_CALLS_PER_PACE = 4;
+    /** Bounds the calls in flight in a burst, before call-seconds have added up. */
+    private static final double MAX_CALLS_PER_TARGET = 4;
     /** A call that never comes back must leave time for a retry. */
     private static final double MAX_TIMEOUT_PER_CALL_TIME = 4;
 
     private final AdmissionContext context;
     private final ExponentialMean callTime = new ExponentialMean(CALL_TIME_WINDOW_CALLS);
     private final ExponentialMean longCallTime = new ExponentialMean(LONG_CALL_TIME_WINDOW_CALLS);
-    /** What a call takes when nothing crowds it. */
+    /** Seconds that a call takes while the dependency is not overloaded. */
     private double quickestSeconds = Double.POSITIVE_INFINITY;
-    private final ExponentialMean strain = new ExponentialMean(STRAIN_WINDOW_CALLS);
-    /** Calls in flight without strain: a crowd must not teach it. */
+    private final ExponentialMean slowdown = new ExponentialMean(SLOWDOWN_WINDOW_CALLS);
+    /** Calls in flight without a slowdown; not learned while the dependency is overloaded. */
     private final ExponentialMean usualInFlight = new ExponentialMean(USUAL_WINDOW_CALLS);
-    private double pace;
-    /** Call-seconds beyond the pace. */
+    private double targetInFlight;
+    /** Call-seconds beyond the target. */
     private double spentCallSeconds;
     private double spentAt;
 
-    DependencyPace(AdmissionContext context) {
+    DependencyCallLimit(AdmissionContext context) {
         this.context = context;
-        pace = mostInFlight() * INITIAL_SHARE;
+        targetInFlight = usableInFlight() * INITIAL_SHARE;
     }
 
-    private double mostInFlight() {
+    private double usableInFlight() {
         AdmissionSettings settings = context.settings();
         double quota = settings.dependencyCallQuota();
         boolean limited = quota > 0 && settings.dependencyTopology() == DependencyTopology.SHARED;
@@ -77,44 +85,44 @@
         follow(seconds / quickestSeconds, inFlight);
     }
 
-    /** A failure tells of a crowd at the dependency as the longest call does. */
+    /** A failure is a sign of overload of the dependency, as the slowest call is. */
     void callFailed(int inFlight) {
-        follow(MAX_STRAIN, inFlight);
+        follow(MAX_SLOWDOWN, inFlight);
     }
 
-    /** A lost connection tells of no crowd. */
+    /** A lost connection is no sign of overload. */
     void connectionLost(int inFlight) {
-        follow(strain.value(), inFlight);
+        follow(slowdown.value(), inFlight);
     }
 
     void callTimedOut(double seconds) {
         callTime.add(seconds, context.now());
     }
 
-    private void follow(double timesQuickest, int inFlight) {
-        strain.add(Math.min(MAX_STRAIN, timesQuickest), context.now());
-        if (strain.value() <= STRAINED) {
+    private void follow(double callSlowdown, int inFlight) {
+        slowdown.add(Math.min(MAX_SLOWDOWN, callSlowdown), context.now());
+        if (slowdown.value() <= MAX_NORMAL_SLOWDOWN) {
             usualInFlight.add(inFlight, context.now());
-            pace = mostInFlight();
+            targetInFlight = usableInFlight();
         } else {
-            pace = Math.min(mostInFlight(), Math.max(mostInFlight() * MIN_SHARE,
-                    USUAL_FACTOR * usualInFlight.value() / strain.value()));
+            targetInFlight = Math.min(usableInFlight(), Math.max(usableInFlight() * MIN_SHARE,
+                    CALLS_PER_USUAL_CALL * usualInFlight.value() / slowdown.value()));
         }
     }
 
-    /** Whether a call may be made now, given the calls that the dependency has in hand. */
+    /** Whether a call may be made now, given the calls that the dependency is at work on. */
     boolean allowsCall(boolean skippable, int atDependency) {
-        if (pace == Double.POSITIVE_INFINITY) {
+        if (targetInFlight == Double.POSITIVE_INFINITY) {
             return true;
         }
-        spentCallSeconds = Math.max(0, spentCallSeconds + (atDependency - pace) * (context.now() - spentAt));
+        spentCallSeconds = Math.max(0, spentCallSeconds + (atDependency - targetInFlight) * (context.now() - spentAt));
         spentAt = context.now();
-        double burst = pace * context.settings().dependencyQuotaSpanSeconds()
+        double burst = targetInFlight * context.settings().dependencyQuotaSpanSeconds()
                 * (skippable ? SKIPPABLE_BURST_SHARE_OF_SPAN : BURST_SHARE_OF_SPAN);
         // With nothing spent one call is made, or what was slow would never be known to have recovered.
         // The second bound acts in a burst, before call-seconds have added up: both are needed.
         return spentCallSeconds + Math.min(callTime.value(), burst) <= burst
-                && atDependency < Math.max(1, MAX_CALLS_PER_PACE * pace);
+                && atDependency < Math.max(1, MAX_CALLS_PER_TARGET * targetInFlight);
     }
 
     /** Seconds that a call takes lately; 0 as long as that is not known. */
--- a/src/main/java/topazladder/admission/DependencyLimiter.java
+++ b/src/main/java/topazladder/admission/DependencyLimiter.java
@@ -2,12 +2,13 @@
 
 import topazladder.admission.TrackedRequest.Phase;
 import topazladder.request.Decision;
+import topazladder.request.GiveUpReason;
 import topazladder.request.Outcome;
 
 /**
- * Makes the dependency calls of runs at the {@link DependencyPace}, retries them with backoff, and skips those that can
- * be skipped rather than let them wait for longer than a call takes. A call that has an effect is retried only if the
- * last one proves to have had none.
+ * Makes the dependency calls of runs within the {@link DependencyCallLimit}, retries them with backoff, and skips
+ * those that can be skipped rather than let them wait for longer than a call takes. A call that has an effect is
+ * retried only if the last one proves to have had none.
  */
 final class DependencyLimiter implements Stage {
     /** The backoff is drawn from half to one and a half times its mean. */
@@ -16,16 +17,17 @@
     private final AdmissionContext context;
     private final MemoryBudget memory;
     private final DependencyCalls calls;
-    private final DependencyPace pace;
+    private final DependencyCallLimit callLimit;
     private final ConcurrencyLimiter cores;
     private final RequestEndings endings;
 
-    DependencyLimiter(AdmissionContext context, MemoryBudget memory, DependencyCalls calls, DependencyPace pace,
+    DependencyLimiter(AdmissionContext context, MemoryBudget memory, DependencyCalls calls,
+            DependencyCallLimit callLimit,
             ConcurrencyLimiter cores, RequestEndings endings) {
         this.context = context;
         this.memory = memory;
         this.calls = calls;
-        this.pace = pace;
+        this.callLimit = callLimit;
         this.cores = cores;
         this.endings = endings;
     }
@@ -49,12 +51,12 @@
 
     private void callSkipOrWait(TrackedRequest request) {
         // One is always made, however slow the last were: with none made, that would be believed for ever.
-        double expectedSeconds = calls.inFlight() > 0 ? pace.callSeconds() : 0;
+        double expectedSeconds = calls.inFlight() > 0 ? callLimit.callSeconds() : 0;
         if (context.now() + expectedSeconds >= request.usefulUntil) {
             skipOrGiveUp(request);
-        } else if (pace.allowsCall(request.canSkipCall(), calls.atDependency())) {
+        } else if (callLimit.allowsCall(request.canSkipCall(), calls.atDependency())) {
             call(request);
-        } else if (context.now() - request.awaitingCallSince > pace.callSeconds() && request.canSkipCall()) {
+        } else if (context.now() - request.awaitingCallSince > callLimit.callSeconds() && request.canSkipCall()) {
             skipOrGiveUp(request);
         }
     }
@@ -63,37 +65,37 @@
         calls.stopWaiting(request);
         memory.move(request, Phase.CALLING);
         calls.begin();
-        double maxTimeout = request.isRetrySafe() ? pace.maxTimeoutOfRetryableCall() : Double.POSITIVE_INFINITY;
+        double maxTimeout = request.isRetrySafe() ? callLimit.maxTimeoutOfRetryableCall() : Double.POSITIVE_INFINITY;
         context.emit(new Decision.CallDependency(request.request,
                 Math.min(request.usefulUntil - context.now(), maxTimeout)));
     }
 
-    /** Goes on without the call where a degraded answer earns something, else gives the request up. */
+    /** Goes on without the call where a degraded answer has a value, else gives the request up. */
     private void skipOrGiveUp(TrackedRequest request) {
         calls.stopWaiting(request);
         if (request.canSkipCall() && context.now() < request.usefulUntil) {
             context.emit(new Decision.SkipDependencyCall(request.request));
             cores.returnToCores(request);
         } else {
-            endings.giveUp(request);
+            endings.giveUp(request, GiveUpReason.DEPENDENCY_UNAVAILABLE);
         }
     }
 
     void callEnded(TrackedRequest request, Outcome outcome, double seconds) {
         calls.end();
         if (outcome == Outcome.SUCCEEDED) {
-            pace.callSucceeded(seconds, calls.inFlight());
+            callLimit.callSucceeded(seconds, calls.inFlight());
             cores.returnToCores(request);
             return;
         }
         if (outcome == Outcome.CONNECTION_LOST) {
-            pace.connectionLost(calls.inFlight());
+            callLimit.connectionLost(calls.inFlight());
         } else {
-            pace.callFailed(calls.inFlight());
+            callLimit.callFailed(calls.inFlight());
         }
         if (outcome == Outcome.TIMED_OUT) {
             calls.linger(lingersUntil());
-            pace.callTimedOut(seconds);
+            callLimit.callTimedOut(seconds);
         }
         memory.move(request, Phase.AWAITING_CALL);
         if (!request.answered) {
@@ -106,8 +108,8 @@
         boolean mayRetry = outcome.provesNoEffect() || request.isRetrySafe() && outcome != Outcome.TIMED_OUT;
         boolean worthRetrying = !request.canSkipCall() || connectionLost && request.callRetries == 0;
         if (mayRetry && worthRetrying) {
-            // Retried at once after a rejection, a few requests would read the dependency to death.
-            double backoffSeconds = (connectionLost ? 0 : Math.max(context.tickSeconds(), pace.callSeconds()))
+            // Retried at once after a rejection, a few requests would overload the dependency with reads.
+            double backoffSeconds = (connectionLost ? 0 : Math.max(context.tickSeconds(), callLimit.callSeconds()))
                     * ++request.callRetries;
             request.nextCallAt =
                     context.now() + backoffSeconds * (MIN_BACKOFF_JITTER + context.random().nextDouble());
--- a/src/main/java/topazladder/admission/DrainGate.java
+++ b/src/main/java/topazladder/admission/DrainGate.java
@@ -1,5 +1,7 @@
 package topazladder.admission;
 
+import topazladder.request.GiveUpReason;
+
 /**
  * Graceful shutdown: from the notice on, nothing is admitted that came after the grace or could not end in time. What
  * was admitted before is answered before the stop, by the tick at the latest.
@@ -21,7 +23,7 @@
     public void admit(TrackedRequest request) {
         statistics.read(request.request);
         if (schedule.isTooLate(request)) {
-            endings.giveUp(request);
+            endings.giveUp(request, GiveUpReason.DRAINING);
         } else {
             next.admit(request);
         }
--- a/src/main/java/topazladder/admission/IdempotencyGuard.java
+++ b/src/main/java/topazladder/admission/IdempotencyGuard.java
@@ -3,7 +3,8 @@
 import java.util.List;
 import topazladder.admission.TrackedRequest.Phase;
 import topazladder.request.Decision;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.GiveUpReason;
+import topazladder.request.RequestClass.Idempotency;
 
 /**
  * Lets no request with an idempotency key run twice within the window of its key. A duplicate is answered from the
@@ -39,12 +40,12 @@
 
     @Override
     public void admit(TrackedRequest request) {
-        if (request.requestClass.idempotency() != Repeats.IDEMPOTENT_BY_KEY) {
+        if (request.requestClass.idempotency() != Idempotency.IDEMPOTENT_BY_KEY) {
             next.admit(request);
             return;
         }
         TrackedRequest original = registry.find(request.request.original());
-        if (original != null && !original.hasRun) {
+        if (original != null && !original.mayHaveTakenEffect) {
             memory.move(request, Phase.WAITING_FOR_ORIGINAL);
             original.followers.add(request);
         } else if (request.request.duplicate() && !registry.endedUnrunNow(request.request.original())) {
@@ -57,7 +58,8 @@
     private void admitFirst(TrackedRequest request) {
         double windowSeconds = request.requestClass.idempotencyWindowSeconds();
         if (!memory.hasRoomForAnotherKey()) {
-            retryAdvice.reject(request, windowSeconds / RETRY_AFTERS_PER_WINDOW, false);
+            retryAdvice.reject(request, windowSeconds / RETRY_AFTERS_PER_WINDOW, false,
+                    GiveUpReason.IDEMPOTENCY_KEY_MEMORY);
             endings.close(request);
             return;
         }
@@ -78,7 +80,7 @@
     /** Forgets the key of a request that ends without a run, so that a retry may run. */
     void onClosing(TrackedRequest request) {
         // Also past its window: a duplicate that came within it and is read now would wait for a run that never was.
-        if (!request.hasRun && request.keyRememberedUntil > 0) {
+        if (!request.mayHaveTakenEffect && request.keyRememberedUntil > 0) {
             keys.forget(request);
             context.emit(new Decision.ForgetIdempotencyKey(request.request));
         }
@@ -88,7 +90,7 @@
     void releaseFollowers(TrackedRequest original) {
         List<TrackedRequest> waiting = original.followers.stream()
                 .filter(follower -> follower.phase == Phase.WAITING_FOR_ORIGINAL).toList();
-        if (original.hasRun) {
+        if (original.mayHaveTakenEffect) {
             waiting.forEach(this::answerFromOriginal);
         } else if (!waiting.isEmpty()) {
             TrackedRequest successor = waiting.get(0);
--- a/src/main/java/topazladder/admission/IdleConnectionPolicy.java
+++ b/src/main/java/topazladder/admission/IdleConnectionPolicy.java
@@ -12,7 +12,6 @@
  * place.
  */
 final class IdleConnectionPolicy {
-    private static final double START_SECONDS = 1;
     /** The gauge of core use is an average over this time. */
     private static final double UPDATE_SECONDS = 0.5;
     /** Long enough that it is more than a lull. */
@@ -28,7 +27,7 @@
     private final ExponentialMean newcomers = new ExponentialMean(NEWCOMERS_WINDOW_UPDATES);
     private final ExponentialMean coreUse = new ExponentialMean(CORE_USE_WINDOW_UPDATES);
     private boolean closing;
-    private double nextUpdateAt = START_SECONDS;
+    private double nextUpdateAt = AdmissionContext.START_SECONDS;
 
     IdleConnectionPolicy(AdmissionContext context, WorkloadStatistics statistics, ConcurrencyLimiter cores) {
         this.context = context;
--- a/src/main/java/topazladder/admission/MemoryGuard.java
+++ b/src/main/java/topazladder/admission/MemoryGuard.java
@@ -1,5 +1,7 @@
 package topazladder.admission;
 
+import topazladder.request.GiveUpReason;
+
 /**
  * Rejects what does not fit into the memory. A request is charged from its reading on, so its rejection frees memory.
  */
@@ -20,7 +22,7 @@
         if (memory.hasRoomFor(0)) {
             next.admit(request);
         } else {
-            endings.giveUp(request);
+            endings.giveUp(request, GiveUpReason.OUT_OF_MEMORY);
         }
     }
 }
--- a/src/main/java/topazladder/admission/PeerEstimates.java
+++ b/src/main/java/topazladder/admission/PeerEstimates.java
@@ -15,12 +15,12 @@
 
     private final AdmissionContext context;
     private final WorkloadStatistics statistics;
-    private final DependencyPace pace;
+    private final DependencyCallLimit callLimit;
 
-    PeerEstimates(AdmissionContext context, WorkloadStatistics statistics, DependencyPace pace) {
+    PeerEstimates(AdmissionContext context, WorkloadStatistics statistics, DependencyCallLimit callLimit) {
         this.context = context;
         this.statistics = statistics;
-        this.pace = pace;
+        this.callLimit = callLimit;
     }
 
     /** What this server has measured itself; nothing while it is warming up. */
@@ -31,7 +31,7 @@
             return estimates;
         }
         statistics.collectRunTimes(estimates);
-        pace.collect(estimates);
+        callLimit.collect(estimates);
         statistics.collectCompletionRate(estimates);
         return estimates;
     }
@@ -40,7 +40,7 @@
     void learn(List<LearnedEstimate> estimates) {
         for (LearnedEstimate estimate : estimates) {
             if (estimate.kind() == Kind.CALLS_IN_FLIGHT) {
-                pace.learn(estimate);
+                callLimit.learn(estimate);
             } else {
                 statistics.learn(estimate);
             }
--- a/src/main/java/topazladder/admission/RequestRegistry.java
+++ b/src/main/java/topazladder/admission/RequestRegistry.java
@@ -20,7 +20,7 @@
 
     void remove(TrackedRequest tracked) {
         inFlight.remove(tracked.request);
-        if (!tracked.hasRun) {
+        if (!tracked.mayHaveTakenEffect) {
             endedUnrunNow.add(tracked.request);
         }
     }
--- a/src/main/java/topazladder/admission/TrackedRequest.java
+++ b/src/main/java/topazladder/admission/TrackedRequest.java
@@ -35,18 +35,22 @@
     final double arrivedAt;
     /** When its final answer is due. */
     final double deadline;
-    /** Past this an answer earns nothing any more. */
+    /** Past this an answer has no value any more. */
     final double usefulUntil;
 
     /** Changed by {@link MemoryBudget#move} only, as the memory that it takes depends on it. */
     Phase phase = Phase.QUEUED;
-    /** Whether its final answer is given, or nobody waits for one; set by whoever answers, never reset. */
+    /**
+     * Whether no answer is to be given any more, as the final one is given or the caller is gone. The run may go on all
+     * the same. Set by whoever answers, never reset.
+     */
     boolean answered;
 
     /**
-     * Whether it may have had its effect. Set by {@link ConcurrencyLimiter}; reset as its end proves that it had none.
+     * Whether it may have had its effect. Set by {@link ConcurrencyLimiter} at its start; reset where its end proves
+     * that it had none.
      */
-    boolean hasRun;
+    boolean mayHaveTakenEffect;
     /** Owned by {@link ConcurrencyLimiter}. */
     double startedAt;
 
@@ -57,10 +61,10 @@
      */
     double keyRememberedUntil;
 
-    /** Without a sign of its run by then, its start is taken for lost. Owned by {@link UncertainStarts}. */
-    double signExpectedBy = Double.POSITIVE_INFINITY;
-    /** When it is started again to show that it never ran. Owned by {@link UncertainStarts}. */
-    double startAgainAt = Double.POSITIVE_INFINITY;
+    /** Without a report from its run by then, it is answered as failed. Owned by {@link UncertainStarts}. */
+    double confirmationDueAt = Double.POSITIVE_INFINITY;
+    /** When its start is sent again to settle whether the first was read. Owned by {@link UncertainStarts}. */
+    double resendStartAt = Double.POSITIVE_INFINITY;
 
     /** Since when it waits for its dependency call to be allowed. Owned by {@link DependencyLimiter}. */
     double awaitingCallSince;
@@ -85,13 +89,13 @@
         return phase == Phase.CALLING || phase == Phase.AWAITING_CALL;
     }
 
-    /** Whether an answer without its dependency call earns something. */
+    /** Whether an answer without its dependency call has a value. */
     boolean canSkipCall() {
         return requestClass.degradedValueShare() > 0;
     }
 
     /** Whether it may run, or its dependency call be made, more than once. */
     boolean isRetrySafe() {
-        return requestClass.idempotency() == RequestClass.Repeats.RETRY_SAFE;
+        return requestClass.idempotency() == RequestClass.Idempotency.RETRY_SAFE;
     }
 }
--- a/src/main/java/topazladder/admission/WorkloadStatistics.java
+++ b/src/main/java/topazladder/admission/WorkloadStatistics.java
@@ -20,8 +20,6 @@
     private static final double OBJECTIVES_UNTIL_OWN_RATE = 2;
     /** A wrong run time from a peer must not make hopeless what could start at once. */
     private static final double MAX_LEARNED_RUN_TIME_PER_OBJECTIVE = 0.6;
-    /** Seconds from the start in which the own rate of completions is not relied on. */
-    private static final double START_SECONDS = 1;
 
     private final AdmissionContext context;
     private final Map<RequestClass, ExponentialMean> runTimes = new LinkedHashMap<>();
@@ -64,7 +62,7 @@
         return runTimes.get(requestClass).value();
     }
 
-    /** Whether nothing more can be earned with the request if it starts after the wait. */
+    /** Whether the answer to the request has no value any more if it starts after the wait. */
     boolean endsTooLate(TrackedRequest request, double waitSeconds) {
         return context.now() + waitSeconds + runSeconds(request.requestClass) > request.usefulUntil;
     }
@@ -97,7 +95,7 @@
         boolean starting = context.now() < OBJECTIVES_UNTIL_OWN_RATE * context.shortestObjectiveSeconds();
         double heard = starting ? peersCompletionRate * context.serverSpeed() : 0;
         double rate = Math.max(completionRate(), heard);
-        return context.now() < START_SECONDS && heard <= 0 ? 0 : rate;
+        return context.now() < AdmissionContext.START_SECONDS && heard <= 0 ? 0 : rate;
     }
 
     /**
--- a/src/main/java/topazladder/config/SettingsReader.java
+++ b/src/main/java/topazladder/config/SettingsReader.java
@@ -201,24 +201,25 @@
         }
         Set<String> names = new HashSet<>();
         String[] calls = lines.getOrDefault("Extra.CallsByClass", "").split(",");
-        String[] poorer = lines.getOrDefault("Extra.ClassSkipWorth", "").split(",");
+        String[] degradedShares = lines.getOrDefault("Extra.ClassSkipWorth", "").split(",");
         for (int i = 0; i < count; i++) {
-            String at = "Classes." + i + ".";
-            double outer = above0(at + "DeadlineNs", required(at + "DeadlineNs"));
-            String name = lines.getOrDefault(at + "Name", "offering-" + i);
+            String prefix = "Classes." + i + ".";
+            double deadlineSeconds = above0(prefix + "DeadlineNs", required(prefix + "DeadlineNs"));
+            String name = lines.getOrDefault(prefix + "Name", "offering-" + i);
             if (!names.add(name)) {
-                throw new InvalidSettingsException(at + "Name is given twice: " + name);
+                throw new InvalidSettingsException(prefix + "Name is given twice: " + name);
             }
-            RequestClass.Repeats repeats = repeats(at + "Idempotency");
-            if (repeats == RequestClass.Repeats.IDEMPOTENT_BY_KEY) {
+            RequestClass.Idempotency idempotency = idempotency(prefix + "Idempotency");
+            if (idempotency == RequestClass.Idempotency.IDEMPOTENT_BY_KEY) {
                 // Without a window nothing would be remembered, and each repeat would run.
-                above0(at + "WindowNs", required(at + "WindowNs"));
+                above0(prefix + "WindowNs", required(prefix + "WindowNs"));
             }
-            requestClasses.add(new RequestClass(name, repeats, optional(at + "TargetNs", outer), outer,
-                    optional(at + "Importance", 1), optional(at + "LateWorth", 0),
-                    optional(at + "WindowNs", 0), i < calls.length && calls[i].equals("true"),
-                    i < poorer.length && !poorer[i].isEmpty()
-                            ? number("Extra.ClassSkipWorth", poorer[i]) : 0));
+            requestClasses.add(
+                    new RequestClass(name, idempotency, optional(prefix + "TargetNs", deadlineSeconds), deadlineSeconds,
+                            optional(prefix + "Importance", 1), optional(prefix + "LateWorth", 0),
+                            optional(prefix + "WindowNs", 0), i < calls.length && calls[i].equals("true"),
+                            i < degradedShares.length && !degradedShares[i].isEmpty()
+                                    ? number("Extra.ClassSkipWorth", degradedShares[i]) : 0));
         }
     }
 
@@ -226,24 +227,24 @@
         int count = items("Orgs.count", (int) optional("Orgs.count", 0));
         Set<String> names = new HashSet<>();
         for (int i = 0; i < count; i++) {
-            String at = "Orgs." + i + ".";
-            String name = lines.getOrDefault(at + "Name", "customer-" + i);
+            String prefix = "Orgs." + i + ".";
+            String name = lines.getOrDefault(prefix + "Name", "customer-" + i);
             if (!names.add(name)) {
-                throw new InvalidSettingsException(at + "Name is given twice: " + name);
+                throw new InvalidSettingsException(prefix + "Name is given twice: " + name);
             }
-            tenants.add(new Tenant(name, optional(at + "Share", 0), optional(at + "QuotaPerS", 0)));
+            tenants.add(new Tenant(name, optional(prefix + "Share", 0), optional(prefix + "QuotaPerS", 0)));
         }
     }
 
-    private RequestClass.Repeats repeats(String path) {
+    private RequestClass.Idempotency idempotency(String path) {
         String value = lines.get(path);
         if (value == null) {
             throw new InvalidSettingsException(path + " is missing");
         }
         return switch (value) {
-            case "safe" -> RequestClass.Repeats.RETRY_SAFE;
-            case "keyed" -> RequestClass.Repeats.IDEMPOTENT_BY_KEY;
-            case "unsafe" -> RequestClass.Repeats.AT_MOST_ONCE;
+            case "safe" -> RequestClass.Idempotency.RETRY_SAFE;
+            case "keyed" -> RequestClass.Idempotency.IDEMPOTENT_BY_KEY;
+            case "unsafe" -> RequestClass.Idempotency.AT_MOST_ONCE;
             default -> throw new InvalidSettingsException(path + " should be safe, keyed or unsafe: " + value);
         };
     }
@@ -256,9 +257,9 @@
         return number(path, value);
     }
 
-    private double optional(String path, double other) {
+    private double optional(String path, double defaultValue) {
         String value = lines.get(path);
-        return value == null || value.isEmpty() ? other : number(path, value);
+        return value == null || value.isEmpty() ? defaultValue : number(path, value);
     }
 
     private static double number(String path, String value) {
--- a/src/main/java/topazladder/delivery/Consumer.java
+++ b/src/main/java/topazladder/delivery/Consumer.java
@@ -17,7 +17,7 @@
 import topazladder.delivery.Outcomes.Outcome;
 import topazladder.delivery.Outcomes.What;
 import topazladder.delivery.Outcomes.Why;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 import topazladder.service.AdmissionLevel;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
@@ -211,7 +211,7 @@
             // One without an effect is run again when it comes again; one with an effect goes on, and its result is
             // kept.
             if (was == Phase.IN_MODULE && o.inFlight != null
-                    && o.mapped.requestClass().idempotency() == Repeats.RETRY_SAFE) {
+                    && o.mapped.requestClass().idempotency() == Idempotency.RETRY_SAFE) {
                 dispatcher.callerDisconnected(o.inFlight);
             }
         }
--- a/src/main/java/topazladder/delivery/Mapping.java
+++ b/src/main/java/topazladder/delivery/Mapping.java
@@ -7,7 +7,7 @@
 import topazladder.config.QueueSettings.Fields;
 import topazladder.config.SettingsReader;
 import topazladder.request.RequestClass;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 import topazladder.service.IncomingRequest;
 
 /** Makes a request of a message, or says why it is none. It never guesses: what is missing or wild has no default. */
@@ -54,7 +54,7 @@
         if (tenants && tenant == null) {
             return Mapped.none("no customer");
         }
-        boolean fingerprinted = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
+        boolean fingerprinted = requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY;
         String fingerprint = fingerprinted ? word(f.idempotencyKey(), d) : null;
         if (fingerprinted && fingerprint == null) {
             return Mapped.none("no fingerprint");
--- a/src/main/java/topazladder/delivery/Outcomes.java
+++ b/src/main/java/topazladder/delivery/Outcomes.java
@@ -1,7 +1,7 @@
 package topazladder.delivery;
 
 import topazladder.config.QueueSettings;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 import topazladder.service.Response.Status;
 
 /**
@@ -40,21 +40,21 @@
      * @param status null where the request could not be decided on
      * @param tries before this one
      */
-    static Outcome of(Status status, Repeats repeats, int tries, QueueSettings terms, boolean leaving) {
+    static Outcome of(Status status, Idempotency repeats, int tries, QueueSettings terms, boolean leaving) {
         if (status == null) {
             return dead(Why.UNUSABLE);
         }
         return switch (status) {
             case SERVED -> ACKNOWLEDGE;
             // One that has an effect and was broken off may have run: another run could be the second.
-            case FAILED -> repeats == Repeats.RETRY_SAFE ? again(repeats, tries, terms, leaving)
+            case FAILED -> repeats == Idempotency.RETRY_SAFE ? again(repeats, tries, terms, leaving)
                     : dead(Why.MAY_HAVE_RUN);
             case REJECTED -> again(repeats, tries, terms, leaving);
         };
     }
 
-    private static Outcome again(Repeats repeats, int tries, QueueSettings terms, boolean leaving) {
-        if (leaving && repeats != Repeats.AT_MOST_ONCE) {
+    private static Outcome again(Idempotency repeats, int tries, QueueSettings terms, boolean leaving) {
+        if (leaving && repeats != Idempotency.AT_MOST_ONCE) {
             return new Outcome(What.HAND_BACK, Why.NONE);
         }
         if (tries + 1 >= terms.maxAttempts()) {
@@ -64,7 +64,7 @@
             return new Outcome(What.DELAY, Why.NONE);
         }
         // Sent back, a binding one would come again as redelivered, and nobody could tell that it never ran.
-        return repeats == Repeats.AT_MOST_ONCE ? dead(Why.NO_SAFE_WAY_BACK) : new Outcome(What.RETURN, Why.NONE);
+        return repeats == Idempotency.AT_MOST_ONCE ? dead(Why.NO_SAFE_WAY_BACK) : new Outcome(What.RETURN, Why.NONE);
     }
 
     static Outcome dead(Why why) {
--- a/src/main/java/topazladder/net/WarmUpCaller.java
+++ b/src/main/java/topazladder/net/WarmUpCaller.java
@@ -9,7 +9,7 @@
 import topazladder.net.codec.CallerFrameEncoder;
 import topazladder.net.codec.CallerProtocol;
 import topazladder.request.RequestClass;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 
 /** Stands in for the callers of the warm-up: sends requests of all classes in turn, a few at once. */
 final class WarmUpCaller {
@@ -61,7 +61,7 @@
 
     private byte[] request(int number, RequestClass requestClass) {
         String reference = String.format("%016x", number);
-        boolean keyed = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
+        boolean keyed = requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY;
         boolean hasTenants = !settings.tenants().isEmpty();
         List<String> fields = List.of(
                 CallerProtocol.REQUEST_CLASS, requestClass.name(),
--- a/src/main/java/topazladder/request/Decision.java
+++ b/src/main/java/topazladder/request/Decision.java
@@ -29,16 +29,24 @@
      *
      * @param retryAfterSeconds seconds that its caller should wait before it tries this server again; 0 for no advice
      * @param doNotRetryElsewhere whether the caller is advised not to try another server either
+     * @param reason which rule rejected it; not sent to the caller
      */
-    record Reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere) implements OnRequest {
+    record Reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere, GiveUpReason reason)
+            implements
+                OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
             handler.reject(request, retryAfterSeconds, doNotRetryElsewhere);
         }
     }
 
-    /** Answer that the request failed: it may have had its effect. */
-    record Fail(Request request) implements OnRequest {
+    /**
+     * Answer that the request failed: it may have had its effect. For a request that is already answered no answer is
+     * sent; it then means that its run gets no dependency call and may be ended.
+     *
+     * @param reason which rule failed it; not sent to the caller
+     */
+    record Fail(Request request, GiveUpReason reason) implements OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
             handler.fail(request);
--- a/src/main/java/topazladder/service/DecisionExecutor.java
+++ b/src/main/java/topazladder/service/DecisionExecutor.java
@@ -5,7 +5,7 @@
 import org.slf4j.LoggerFactory;
 import topazladder.request.DecisionHandler;
 import topazladder.request.Request;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 import topazladder.service.Counters.Count;
 
 /** Carries out the admission controller's decisions, through the ports of the instance. */
@@ -89,7 +89,7 @@
         InFlightRequest inFlight = inFlightRequests.affect(request);
         counters.add(Count.CALLS_MADE);
         inFlight.startCall(clock.getAsDouble());
-        boolean retrySafe = request.requestClass().idempotency() == Repeats.RETRY_SAFE;
+        boolean retrySafe = request.requestClass().idempotency() == Idempotency.RETRY_SAFE;
         dependency.call(inFlight.requestId(), timeoutSeconds, retrySafe, inFlight.callBody());
     }
 
--- a/src/main/java/topazladder/service/RequestDispatcher.java
+++ b/src/main/java/topazladder/service/RequestDispatcher.java
@@ -12,7 +12,7 @@
 import topazladder.request.Outcome;
 import topazladder.request.Request;
 import topazladder.request.RequestClass;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 import topazladder.request.Tenant;
 import topazladder.service.Counters.Count;
 
@@ -152,7 +152,7 @@
         }
         byte[] digest = null;
         IdempotencyRecord record = null;
-        if (requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY) {
+        if (requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY) {
             digest = idempotencyStore.digest(incoming);
             record = idempotencyStore.find(incoming.idempotencyKey(), incoming.arrivedAtUnixSeconds());
         }
@@ -168,7 +168,7 @@
     }
 
     private boolean isValid(IncomingRequest incoming, RequestClass requestClass, double waitedSeconds) {
-        boolean needsKey = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY;
+        boolean needsKey = requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY;
         boolean knownTenant = tenants.isEmpty() || incoming.tenant() != null && tenants.containsKey(incoming.tenant());
         return knownTenant && !inFlightRequests.contains(incoming.requestId())
                 && needsKey == (incoming.idempotencyKey() != null) && isPossibleWait(waitedSeconds);
--- a/src/test/java/topazladder/admission/AdmissionScenario.java
+++ b/src/test/java/topazladder/admission/AdmissionScenario.java
@@ -14,14 +14,16 @@
 import topazladder.request.Outcome;
 import topazladder.request.Request;
 import topazladder.request.RequestClass;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 
 /** One admission controller with a clock of its own, whose events and decisions are written down. */
 final class AdmissionScenario {
-    static final RequestClass READ = new RequestClass("read", Repeats.RETRY_SAFE, 2, 5, 1, 0, 0, true, 0.5);
-    static final RequestClass PLACE = new RequestClass("place", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
-    static final RequestClass LATE = new RequestClass("late", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0.5, 12, true, 0);
-    static final RequestClass ISSUE = new RequestClass("issue", Repeats.AT_MOST_ONCE, 2, 5, 10, 0, 0, true, 0);
+    static final RequestClass READ = new RequestClass("read", Idempotency.RETRY_SAFE, 2, 5, 1, 0, 0, true, 0.5);
+    static final RequestClass PLACE =
+            new RequestClass("place", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
+    static final RequestClass LATE =
+            new RequestClass("late", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0.5, 12, true, 0);
+    static final RequestClass ISSUE = new RequestClass("issue", Idempotency.AT_MOST_ONCE, 2, 5, 10, 0, 0, true, 0);
     private static final List<RequestClass> CLASSES = List.of(READ, PLACE, LATE, ISSUE);
     private static final double TICK_SECONDS = 0.1;
     private static final double MEMORY_KILOBYTES = 10;
--- a/src/test/java/topazladder/admission/RandomTraffic.java
+++ b/src/test/java/topazladder/admission/RandomTraffic.java
@@ -18,7 +18,7 @@
 import topazladder.request.Outcome;
 import topazladder.request.Request;
 import topazladder.request.RequestClass;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 
 /**
  * Plays random events to one admission controller, some of them impossible ones, with calm and crowded spells and a
@@ -26,11 +26,11 @@
  */
 final class RandomTraffic {
     private static final List<RequestClass> CLASSES = List.of(
-            new RequestClass("read", Repeats.RETRY_SAFE, 2, 5, 1, 0, 0, true, 0.5),
-            new RequestClass("search", Repeats.RETRY_SAFE, 1.5, 4, 2, 0.3, 0, true, 0),
-            new RequestClass("place", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0),
-            new RequestClass("late", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0.5, 3, true, 0.2),
-            new RequestClass("issue", Repeats.AT_MOST_ONCE, 2, 5, 10, 0, 0, true, 0));
+            new RequestClass("read", Idempotency.RETRY_SAFE, 2, 5, 1, 0, 0, true, 0.5),
+            new RequestClass("search", Idempotency.RETRY_SAFE, 1.5, 4, 2, 0.3, 0, true, 0),
+            new RequestClass("place", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0),
+            new RequestClass("late", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0.5, 3, true, 0.2),
+            new RequestClass("issue", Idempotency.AT_MOST_ONCE, 2, 5, 10, 0, 0, true, 0));
     private static final int STEPS_PER_SPELL = 1000;
     private static final int REMEMBERED_REQUESTS = 64;
 
@@ -103,7 +103,7 @@
 
     private void arrive() {
         RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
-        boolean duplicate = requestClass.idempotency() == Repeats.IDEMPOTENT_BY_KEY && random.nextInt(4) == 0;
+        boolean duplicate = requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY && random.nextInt(4) == 0;
         Request original = duplicate ? recent.stream().filter(r -> r.requestClass() == requestClass)
                 .filter(controller::isInFlight).findFirst().orElse(null) : null;
         Request request = new Request(requestClass, null, random.nextDouble(), 5 + 10 * random.nextDouble(),
--- a/src/test/java/topazladder/delivery/DeliveryTest.java
+++ b/src/test/java/topazladder/delivery/DeliveryTest.java
@@ -22,7 +22,7 @@
 import topazladder.config.SettingsReader;
 import topazladder.delivery.Delivery.Properties;
 import topazladder.delivery.Mapping.Mapped;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 import topazladder.service.Response.Status;
 
 /** What a message comes to as a request, and what its request comes to as an outcome. */
@@ -132,7 +132,7 @@
             "FAILED, IDEMPOTENT_BY_KEY, 0, true, true, DEAD_LETTER, MAY_HAVE_RUN",
             "FAILED, AT_MOST_ONCE, 0, true, false, DEAD_LETTER, MAY_HAVE_RUN",
             "-, RETRY_SAFE, 0, true, false, DEAD_LETTER, UNUSABLE"})
-    void eachAnswerHasOneOutcome(String how, Repeats repeats, int tries, boolean delay, boolean leaving,
+    void eachAnswerHasOneOutcome(String how, Idempotency repeats, int tries, boolean delay, boolean leaving,
             String what,
             String why) {
         Outcomes.Outcome o = Outcomes.of(how.equals("-") ? null : Status.valueOf(how), repeats, tries,
--- a/src/test/java/topazladder/service/IdempotencyStoreTest.java
+++ b/src/test/java/topazladder/service/IdempotencyStoreTest.java
@@ -5,12 +5,12 @@
 import org.junit.jupiter.api.Test;
 import topazladder.request.Request;
 import topazladder.request.RequestClass;
-import topazladder.request.RequestClass.Repeats;
+import topazladder.request.RequestClass.Idempotency;
 
 /** What is remembered of runs, apart from the admission controller's decisions. */
 class IdempotencyStoreTest {
     private static final RequestClass PLACE =
-            new RequestClass("place", Repeats.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
+            new RequestClass("place", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0);
 
     private final IdempotencyStore store = new IdempotencyStore(10 << 20);
 
