--- a/src/main/java/topazladder/config/ClusterSection.java
+++ b/src/main/java/topazladder/config/ClusterSection.java
@@ -86,14 +86,14 @@
     private List<Lease> leases(Hall section) {
         List<Lease> leases = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Duty duty : section.getDutiesList()) {
+        for (Duty lease : section.getDutiesList()) {
             String key = "hall.duties[" + leases.size() + "].";
-            SettingsChecks.uniqueName(key + "name", duty.getName(), names);
+            SettingsChecks.uniqueName(key + "name", lease.getName(), names);
             double durationSeconds =
-                    SettingsChecks.inRange(key + "lease", duty.hasLease() ? duty.getLease() : 10, 0.5, 600);
+                    SettingsChecks.inRange(key + "lease", lease.hasLease() ? lease.getLease() : 10, 0.5, 600);
             double maxConsecutiveLosses = SettingsChecks.inRange(key + "most_losses",
-                    duty.hasMostLosses() ? duty.getMostLosses() : 3, 1, 16);
-            leases.add(new Lease(duty.getName(), durationSeconds, (int) maxConsecutiveLosses, task(key, duty)));
+                    lease.hasMostLosses() ? lease.getMostLosses() : 3, 1, 16);
+            leases.add(new Lease(lease.getName(), durationSeconds, (int) maxConsecutiveLosses, task(key, lease)));
         }
         if (leases.size() > MAX_LEASES) {
             throw new InvalidSettingsException("hall.duties should be " + MAX_LEASES + " at most: " + leases.size());
@@ -111,21 +111,21 @@
         }
     }
 
-    private Task task(String key, Duty duty) {
-        return switch (duty.getWhatCase()) {
+    private Task task(String key, Duty lease) {
+        return switch (lease.getWhatCase()) {
             case TOUCH -> new ClusterSettings.Touch(
-                    Address.of(key + "touch.address", duty.getTouch().getAddress()),
+                    Address.of(key + "touch.address", lease.getTouch().getAddress()),
                     SettingsChecks.inRange(key + "touch.every",
-                            duty.getTouch().hasEvery() ? duty.getTouch().getEvery() : 1, 0.01, 3600));
+                            lease.getTouch().hasEvery() ? lease.getTouch().getEvery() : 1, 0.01, 3600));
             case PROBE -> {
-                if (!duty.getProbe().getService().equals("index")) {
+                if (!lease.getProbe().getService().equals("index")) {
                     throw new InvalidSettingsException(
-                            key + "probe.service should be index: '" + duty.getProbe().getService() + "'");
+                            key + "probe.service should be index: '" + lease.getProbe().getService() + "'");
                 }
                 yield new ClusterSettings.Probe(SettingsChecks.inRange(key + "probe.every",
-                        duty.getProbe().hasEvery() ? duty.getProbe().getEvery() : 1, 0.01, 3600));
+                        lease.getProbe().hasEvery() ? lease.getProbe().getEvery() : 1, 0.01, 3600));
             }
-            case CONSUME -> consume(key, duty.getConsume());
+            case CONSUME -> consume(key, lease.getConsume());
             case CONDUCT -> new ClusterSettings.ConductRollouts();
             case WHAT_NOT_SET -> throw new InvalidSettingsException(
                     key + "should say what it is: touch, probe, consume or conduct");
--- a/src/main/java/topazladder/disruption/ThroughputMeter.java
+++ b/src/main/java/topazladder/disruption/ThroughputMeter.java
@@ -13,7 +13,7 @@
 public final class ThroughputMeter {
     /** Short enough that an instance that returns is soon seen to serve. */
     private static final double WINDOW_SECONDS = 3;
-    private static final double CAPACITY_HALF_LIFE_SECONDS = 3600;
+    private static final double CAPACITY_HALVING_SECONDS = 3600;
     private static final int MIN_SAMPLES = 2;
 
     /**
@@ -59,7 +59,7 @@
 
     private void updateCapacity(double now, double span, double served) {
         if (!Double.isNaN(capacityAt)) {
-            capacity *= Math.pow(0.5, Math.max(0, now - capacityAt) / CAPACITY_HALF_LIFE_SECONDS);
+            capacity *= Math.pow(0.5, Math.max(0, now - capacityAt) / CAPACITY_HALVING_SECONDS);
         }
         capacityAt = now;
         if (span >= WINDOW_SECONDS / 2) {
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -138,7 +138,7 @@
             }
 
             @Override
-            public void nudge(MemberIdentity to) {
+            public void wakeUp(MemberIdentity to) {
                 world.say(to.name(), new Saying.Nudge());
             }
 
--- a/src/main/java/topazladder/replication/LeaseReplication.java
+++ b/src/main/java/topazladder/replication/LeaseReplication.java
@@ -25,7 +25,7 @@
         void reply(MemberIdentity to, LeaseResponse response);
 
         /** Has the member ask at once. */
-        void nudge(MemberIdentity to);
+        void wakeUp(MemberIdentity to);
     }
 
     private final ReplicatedLog log;
@@ -107,7 +107,7 @@
         } else if (step instanceof Step.Reply reply) {
             messages.reply(reply.member(), reply.response());
         } else if (step instanceof Step.WakeUp wakeUp) {
-            messages.nudge(wakeUp.member());
+            messages.wakeUp(wakeUp.member());
         }
     }
 
--- a/src/main/java/topazladder/wire/SimulatedServer.java
+++ b/src/main/java/topazladder/wire/SimulatedServer.java
@@ -76,15 +76,15 @@
     }
 
     private void check(ArrivalRecord arrival) {
-        String ticket = "ticket " + arrival.id();
+        String description = "ticket " + arrival.id();
         if (arrival.requestClass() >= settings.requestClasses().size()) {
-            throw new MalformedWireException(ticket + " is of an unknown class: " + arrival.requestClass());
+            throw new MalformedWireException(description + " is of an unknown class: " + arrival.requestClass());
         }
         if (!settings.tenants().isEmpty() && arrival.tenant() >= settings.tenants().size()) {
-            throw new MalformedWireException(ticket + " is of an unknown tenant: " + arrival.tenant());
+            throw new MalformedWireException(description + " is of an unknown tenant: " + arrival.tenant());
         }
         if (!arrival.isPossible()) {
-            throw new MalformedWireException(ticket + " has an impossible field");
+            throw new MalformedWireException(description + " has an impossible field");
         }
     }
 
--- a/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
+++ b/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void nudge(MemberIdentity to) {
+        public void wakeUp(MemberIdentity to) {
             // no member is there
         }
 
