--- a/src/main/java/topazladder/config/PeeringSection.java
+++ b/src/main/java/topazladder/config/PeeringSection.java
@@ -3,9 +3,7 @@
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.HashSet;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import topazladder.config.ExtensionSettings.Peer;
 import topazladder.config.ExtensionSettings.Peering;
@@ -16,8 +14,6 @@
 final class PeeringSection {
     private static final int MAX_PEERS = 1000;
     private static final int MAX_NAME_LENGTH = 100;
-    /** By the names that settings files have; in the order in which the error lists them. */
-    private static final Map<String, LearnedEstimate.Kind> KINDS = kinds();
 
     private PeeringSection() {}
 
@@ -66,21 +62,9 @@
     private static Set<LearnedEstimate.Kind> excludedKinds(topazladder.config.proto.Peering section) {
         Set<LearnedEstimate.Kind> excluded = EnumSet.noneOf(LearnedEstimate.Kind.class);
         for (String name : section.getLeaveOutList()) {
-            LearnedEstimate.Kind kind = KINDS.get(name);
-            if (kind == null) {
-                throw new InvalidSettingsException(
-                        "peering.leave_out should be one of " + KINDS.keySet() + ": " + name);
-            }
-            excluded.add(kind);
+            excluded.add(EstimateKindNames.kind(name).orElseThrow(() -> new InvalidSettingsException(
+                    "peering.leave_out should be one of " + EstimateKindNames.all() + ": " + name)));
         }
         return excluded;
     }
-
-    private static Map<String, LearnedEstimate.Kind> kinds() {
-        Map<String, LearnedEstimate.Kind> kinds = new LinkedHashMap<>();
-        kinds.put("RUN_TIME", LearnedEstimate.Kind.RUN_TIME);
-        kinds.put("CALLS_IN_HAND", LearnedEstimate.Kind.CALLS_IN_FLIGHT);
-        kinds.put("OUTGOING", LearnedEstimate.Kind.COMPLETION_RATE);
-        return kinds;
-    }
 }
--- a/src/main/java/topazladder/delivery/Consumer.java
+++ b/src/main/java/topazladder/delivery/Consumer.java
@@ -261,11 +261,19 @@
         if (outcome.what() == What.ACKNOWLEDGE && replyTo != null && !replyTo.isEmpty()) {
             reply(o, replyTo, a.body());
         } else {
-            settle(o, outcome, status == null ? "it can't be decided on" : status.name().toLowerCase(Locale.ROOT),
-                    a.retryAfterSeconds());
+            settle(o, outcome, status == null ? "it can't be decided on" : reasonWord(status), a.retryAfterSeconds());
         }
     }
 
+    /** The word for the status in the header {@link #REASON}, which brokers and their users already know. */
+    static String reasonWord(Status status) {
+        return switch (status) {
+            case SERVED -> "honoured";
+            case REJECTED -> "deferred";
+            case FAILED -> "broken_off";
+        };
+    }
+
     private int tries(Open o) {
         return o.mapped.tries() + remembered.returns(o.delivery, o.mapped.tries());
     }
--- a/src/main/java/topazladder/experiment/PeerExperiment.java
+++ b/src/main/java/topazladder/experiment/PeerExperiment.java
@@ -11,6 +11,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.IntStream;
+import topazladder.config.EstimateKindNames;
 import topazladder.emulator.PeerTrial;
 import topazladder.emulator.PeerTrial.Condition;
 import topazladder.emulator.PeerTrial.Outcome;
@@ -64,7 +65,8 @@
                         .row()).append(" |\n");
             }
             for (Map.Entry<Kind, Result> e : alone(condition, seeds).entrySet()) {
-                lost.append("| ").append(condition).append(", only ").append(e.getKey()).append(" | ")
+                lost.append("| ").append(condition).append(", only ")
+                        .append(EstimateKindNames.name(e.getKey())).append(" | ")
                         .append(e.getValue().lost().row()).append(" |\n");
             }
         }
--- a/src/test/java/topazladder/delivery/DeliveryTest.java
+++ b/src/test/java/topazladder/delivery/DeliveryTest.java
@@ -213,4 +213,11 @@
         jitter.reset();
         assertThat(jitter.next()).isLessThan(0.1);
     }
+
+    // Renaming the statuses once changed the text of this header, which brokers' users may read.
+    @ParameterizedTest
+    @CsvSource({"SERVED, honoured", "REJECTED, deferred", "FAILED, broken_off"})
+    void reasonOfADeadLetterKeepsItsWords(Status status, String word) {
+        assertThat(Consumer.reasonWord(status)).isEqualTo(word);
+    }
 }
