--- a/src/main/java/topazladder/request/Decision.java
+++ b/src/main/java/topazladder/request/Decision.java
@@ -1,22 +1,22 @@
 package topazladder.request;
 
 /**
- * What the admission controller has decided. The decisions that one event leads to are carried out in the order in
- * which they were made, each by the method of {@link DecisionHandler} that has its name.
+ * A decision of the admission controller. The decisions returned for one event are applied in list order; each kind is
+ * applied by the {@link DecisionHandler} method of the same name.
  */
 public sealed interface Decision {
 
-    /** Calls the one method of the handler that carries out this decision. */
+    /** Dispatches this decision to the matching method of the handler. */
     void applyTo(DecisionHandler handler);
 
-    /** A decision about one request. */
+    /** A decision that concerns one request. */
     sealed interface OnRequest extends Decision {
 
-        /** The request decided on, which was in flight when the decision was made. */
+        /** The request, which was in flight when the decision was made. */
         Request request();
     }
 
-    /** Start the run of the request, or start it again after a lost link. */
+    /** Start the run of the request, or resend its start after the connection to the runtime was lost. */
     record Start(Request request) implements OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
@@ -25,11 +25,11 @@
     }
 
     /**
-     * Answer that the request was rejected: it had no effect, and may be tried again.
+     * Answer that the request was rejected: it had no effect and may be retried.
      *
-     * @param retryAfterSeconds seconds that its caller should wait before it tries this server again; 0 for no advice
-     * @param doNotRetryElsewhere whether the caller is advised not to try another server either
-     * @param reason which rule rejected it; not sent to the caller
+     * @param retryAfterSeconds seconds the caller should wait before it retries on this server; 0 for no advice
+     * @param doNotRetryElsewhere whether the caller is advised not to retry on another server either
+     * @param reason the rule that rejected the request; not sent to the caller
      */
     record Reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere, GiveUpReason reason)
             implements
@@ -41,10 +41,10 @@
     }
 
     /**
-     * Answer that the request failed: it may have had its effect. For a request that is already answered no answer is
-     * sent; it then means that its run gets no dependency call and may be ended.
+     * Answer that the request failed: it may have had its effect. No answer is sent for a request that is already
+     * answered; for such a request the decision means that its run gets no dependency call and may be ended.
      *
-     * @param reason which rule failed it; not sent to the caller
+     * @param reason the rule that failed the request; not sent to the caller
      */
     record Fail(Request request, GiveUpReason reason) implements OnRequest {
         @Override
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Take the run off the cores; its work is lost. */
+    /** Cancel the run and free its core; the work done so far is discarded. */
     record CancelRun(Request request) implements OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Answer a duplicate with the result of the request that it repeats, once that is known. */
+    /** Answer a duplicate with the result of its original request, once that result is known. */
     record AnswerFromOriginal(Request request) implements OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Keep the idempotency key of the request and, later, its result.
+     * Store the idempotency key of the request and, once known, its result.
      *
-     * @param windowSeconds seconds from now for which they are kept
+     * @param windowSeconds seconds from now for which both are kept
      */
     record RememberIdempotencyKey(Request request, double windowSeconds) implements OnRequest {
         @Override
@@ -81,7 +81,7 @@
         }
     }
 
-    /** Forget the idempotency key of a request that has ended without having run, so that a retry may run. */
+    /** Delete the idempotency key of a request that ended without a run, so that a retry may run. */
     record ForgetIdempotencyKey(Request request) implements OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
@@ -90,9 +90,9 @@
     }
 
     /**
-     * Make the dependency call that the run of the request waits for.
+     * Make the dependency call that the run of the request is waiting for.
      *
-     * @param timeoutSeconds seconds until the call is given up
+     * @param timeoutSeconds seconds after which the call times out
      */
     record CallDependency(Request request, double timeoutSeconds) implements OnRequest {
         @Override
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Go on with the run without the dependency call that it waits for; its answer is a degraded one. */
+    /** Resume the run without the dependency call that it is waiting for; its answer is degraded. */
     record SkipDependencyCall(Request request) implements OnRequest {
         @Override
         public void applyTo(DecisionHandler handler) {
@@ -110,9 +110,9 @@
     }
 
     /**
-     * Post the admission level with every answer from now on.
+     * Attach the admission level to every answer from now on.
      *
-     * @param level the rank from 0 to 1 under which requests are rejected
+     * @param level the rank, from 0 to 1, below which requests are rejected
      */
     record PostAdmissionLevel(double level) implements Decision {
         @Override
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Answer health checks with this from now on. */
+    /** Report this health state to health checks from now on. */
     record SetHealth(boolean healthy) implements Decision {
         @Override
         public void applyTo(DecisionHandler handler) {
@@ -130,7 +130,7 @@
     }
 
     /**
-     * Close callers' connections that idle for long, from now on.
+     * Set the idle timeout of callers' connections.
      *
      * @param idleSeconds seconds without a request after which a connection is closed
      */
@@ -142,9 +142,9 @@
     }
 
     /**
-     * Call the controller's tick once.
+     * Schedule one tick of the controller.
      *
-     * @param delaySeconds seconds from now
+     * @param delaySeconds seconds from now until the tick
      */
     record ScheduleTick(double delaySeconds) implements Decision {
         @Override
--- a/src/main/java/topazladder/request/DecisionHandler.java
+++ b/src/main/java/topazladder/request/DecisionHandler.java
@@ -1,44 +1,44 @@
 package topazladder.request;
 
-/** Carries out decisions, one method for each kind; {@link Decision} says what each asks for and its units. */
+/** Applies decisions, with one method per kind; {@link Decision} documents each kind and its units. */
 public interface DecisionHandler {
 
-    /** Carries out {@link Decision.Start}. */
+    /** Applies {@link Decision.Start}. */
     void start(Request request);
 
-    /** Carries out {@link Decision.Reject}. */
+    /** Applies {@link Decision.Reject}. */
     void reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere);
 
-    /** Carries out {@link Decision.Fail}. */
+    /** Applies {@link Decision.Fail}. */
     void fail(Request request);
 
-    /** Carries out {@link Decision.CancelRun}. */
+    /** Applies {@link Decision.CancelRun}. */
     void cancelRun(Request request);
 
-    /** Carries out {@link Decision.AnswerFromOriginal}. */
+    /** Applies {@link Decision.AnswerFromOriginal}. */
     void answerFromOriginal(Request request);
 
-    /** Carries out {@link Decision.RememberIdempotencyKey}. */
+    /** Applies {@link Decision.RememberIdempotencyKey}. */
     void rememberIdempotencyKey(Request request, double windowSeconds);
 
-    /** Carries out {@link Decision.ForgetIdempotencyKey}. */
+    /** Applies {@link Decision.ForgetIdempotencyKey}. */
     void forgetIdempotencyKey(Request request);
 
-    /** Carries out {@link Decision.CallDependency}. */
+    /** Applies {@link Decision.CallDependency}. */
     void callDependency(Request request, double timeoutSeconds);
 
-    /** Carries out {@link Decision.SkipDependencyCall}. */
+    /** Applies {@link Decision.SkipDependencyCall}. */
     void skipDependencyCall(Request request);
 
-    /** Carries out {@link Decision.PostAdmissionLevel}. */
+    /** Applies {@link Decision.PostAdmissionLevel}. */
     void postAdmissionLevel(double level);
 
-    /** Carries out {@link Decision.SetHealth}. */
+    /** Applies {@link Decision.SetHealth}. */
     void setHealth(boolean healthy);
 
-    /** Carries out {@link Decision.CloseIdleConnections}. */
+    /** Applies {@link Decision.CloseIdleConnections}. */
     void closeIdleConnections(double idleSeconds);
 
-    /** Carries out {@link Decision.ScheduleTick}. */
+    /** Applies {@link Decision.ScheduleTick}. */
     void scheduleTick(double delaySeconds);
 }
--- a/src/main/java/topazladder/request/LearnedEstimate.java
+++ b/src/main/java/topazladder/request/LearnedEstimate.java
@@ -1,23 +1,23 @@
 package topazladder.request;
 
 /**
- * One thing that a server has measured, as handed on to a peer and taken in from there.
+ * An estimate that a server measured and that servers exchange with their peers.
  *
- * @param kind what was measured, which also gives the unit of the value
- * @param subject the name of the request class that it holds for, or empty
- * @param value in the unit of its kind
- * @param weight samples that the value stands for, of those that still count
- * @param age seconds since the last of them
+ * @param kind the measured quantity, which determines the unit of the value
+ * @param subject name of the request class that the estimate applies to, or empty
+ * @param value the estimate, in the unit of its kind
+ * @param weight number of samples behind the value, counting those that still contribute to it
+ * @param age seconds since the last sample
  */
 public record LearnedEstimate(Kind kind, String subject, double value, double weight, double age) {
 
-    /** What may be measured. */
+    /** The measured quantity. */
     public enum Kind {
-        /** Seconds that a run of the request class takes. */
+        /** Mean run time of the request class, in seconds. */
         RUN_TIME,
-        /** Dependency calls in flight on this server while the dependency is not strained. */
+        /** Mean number of dependency calls in flight on one server while the dependency is not overloaded. */
         CALLS_IN_FLIGHT,
-        /** Requests completed a second on this server. */
+        /** Requests completed per second on one server. */
         COMPLETION_RATE
     }
 }
--- a/src/main/java/topazladder/request/Outcome.java
+++ b/src/main/java/topazladder/request/Outcome.java
@@ -2,21 +2,21 @@
 
 /** How a run or a dependency call ended. */
 public enum Outcome {
-    /** It has a result. */
+    /** It returned a result. */
     SUCCEEDED(false),
-    /** It failed, and may have had its effect. */
+    /** It failed and may have had its effect. */
     FAILED(false),
-    /** The dependency rejected the call unread. */
+    /** The dependency rejected the call without processing it. */
     REJECTED(true),
-    /** The call was given up after its timeout; it may have had its effect. */
+    /** The call exceeded its timeout; it may have had its effect. */
     TIMED_OUT(false),
     /** The dependency could not be reached. */
     UNREACHABLE(true),
-    /** The connection of the call broke; it may have had its effect. */
+    /** The connection was lost during the call; the call may have had its effect. */
     CONNECTION_LOST(false),
-    /** The run was stopped, or ended because nobody waits for it any more. */
+    /** The run was cancelled, or ended because nobody waits for its result any more. */
     CANCELLED(false),
-    /** Nothing was started, as the request was over. */
+    /** Nothing was started, as the request had already ended. */
     NOT_STARTED(true);
 
     private final boolean provesNoEffect;
@@ -25,7 +25,7 @@
         this.provesNoEffect = provesNoEffect;
     }
 
-    /** Whether this proves that nothing was done, so that a run or call with an effect may be retried. */
+    /** Whether this outcome proves that there was no effect, so that a run or call that has one may be retried. */
     public boolean provesNoEffect() {
         return provesNoEffect;
     }
--- a/src/main/java/topazladder/request/Request.java
+++ b/src/main/java/topazladder/request/Request.java
@@ -1,6 +1,6 @@
 package topazladder.request;
 
-/** One request as it was read. It never changes, and equals itself alone. */
+/** One attempt of a request as it was read from its caller. Immutable, and compared by identity. */
 public final class Request {
     private final RequestClass requestClass;
     private final Tenant tenant;
@@ -13,15 +13,16 @@
     private final Request original;
 
     /**
-     * A request.
+     * Creates a request.
      *
-     * @param tenant who sent it, or null where a deployment has no tenants
-     * @param rank from 0 to under 1, what callers compare with the posted admission level
-     * @param memoryKilobytes kilobytes that it takes while queued
-     * @param queuedSeconds seconds between its arrival at the machine and its reading
-     * @param remainingSeconds seconds for which its caller still waits for this attempt, or 0 where that is not told
+     * @param requestClass its class, never null
+     * @param tenant the tenant that sent it, or null in a deployment without tenants
+     * @param rank at least 0 and below 1; callers compare it with the posted admission level
+     * @param memoryKilobytes kilobytes of memory that it occupies while queued
+     * @param queuedSeconds seconds between its arrival at the machine and its being read
+     * @param remainingSeconds seconds for which its caller still waits for this attempt, or 0 if unknown
      * @param retry whether it is marked as a retry or a hedged request
-     * @param duplicate whether its idempotency key is remembered from an earlier request
+     * @param duplicate whether its idempotency key is already stored for an earlier request
      * @param original that earlier request while it is in flight, else null
      */
     public Request(RequestClass requestClass, Tenant tenant, double rank, double memoryKilobytes, double queuedSeconds,
@@ -37,32 +38,32 @@
         this.original = original;
     }
 
-    /** Its class, which never is null. */
+    /** Its class, never null. */
     public RequestClass requestClass() {
         return requestClass;
     }
 
-    /** Who sent it, or null where a deployment has no tenants. */
+    /** The tenant that sent it, or null in a deployment without tenants. */
     public Tenant tenant() {
         return tenant;
     }
 
-    /** From 0 to under 1, what callers compare with the posted admission level. */
+    /** At least 0 and below 1; callers compare it with the posted admission level. */
     public double rank() {
         return rank;
     }
 
-    /** Kilobytes that it takes while queued. */
+    /** Kilobytes of memory that it occupies while queued. */
     public double memoryKilobytes() {
         return memoryKilobytes;
     }
 
-    /** Seconds between its arrival at the machine and its reading. */
+    /** Seconds between its arrival at the machine and its being read. */
     public double queuedSeconds() {
         return queuedSeconds;
     }
 
-    /** Seconds for which its caller still waits for this attempt, or 0 where that is not told. */
+    /** Seconds for which its caller still waits for this attempt, or 0 if unknown. */
     public double remainingSeconds() {
         return remainingSeconds;
     }
@@ -72,12 +73,12 @@
         return retry;
     }
 
-    /** Whether its idempotency key is remembered from an earlier request. */
+    /** Whether its idempotency key is already stored for an earlier request. */
     public boolean duplicate() {
         return duplicate;
     }
 
-    /** The request that it repeats while that is in flight, else null. */
+    /** The request that it duplicates while that one is in flight, else null. */
     public Request original() {
         return original;
     }
--- a/src/main/java/topazladder/request/package-info.java
+++ b/src/main/java/topazladder/request/package-info.java
@@ -1,6 +1,5 @@
 /**
- * What the parts of the program say to each other about requests: a request as it was read, its class and tenant, how
- * its run or its dependency call ended, and what the admission controller decides on it. Immutable values without any
- * logic of their own.
+ * Request types shared by all packages: a request and its class and tenant, the outcome of its run or dependency call,
+ * and the decisions of the admission controller. All are immutable values without logic.
  */
 package topazladder.request;
