--- a/src/main/java/topazladder/wire/DecisionBatch.java
+++ b/src/main/java/topazladder/wire/DecisionBatch.java
@@ -7,13 +7,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The batch of decisions that answers one batch of events, under construction. Reused from batch to batch. */
+/** Encodes the batch of decisions that answers one batch of events. One instance is reused for all batches. */
 final class DecisionBatch {
-    /** Length and number of records. */
-    private static final int HEAD_BYTES = 8;
+    /** The length of the batch and its number of records, 4 bytes each. */
+    private static final int HEADER_BYTES = 8;
     private static final int INITIAL_BYTES = 1 << 14;
-    /** Above the longest record. */
-    private static final int ROOM_FOR_RECORD_BYTES = 2048;
+    /** Upper bound of the length of one record. */
+    private static final int MAX_RECORD_BYTES = 2048;
+    /** Longer messages of {@link #FATAL} records are truncated. */
     private static final int MAX_TEXT_BYTES = 1000;
 
     private static final int SET_HEALTH = 320;
@@ -35,12 +36,12 @@
     private int records;
 
     void clear() {
-        buffer.clear().position(HEAD_BYTES);
+        buffer.clear().position(HEADER_BYTES);
         records = 0;
     }
 
     void writeTo(OutputStream out) throws IOException {
-        buffer.putInt(0, buffer.position() - HEAD_BYTES);
+        buffer.putInt(0, buffer.position() - HEADER_BYTES);
         buffer.putInt(Integer.BYTES, records);
         out.write(buffer.array(), 0, buffer.position());
     }
@@ -50,7 +51,7 @@
     }
 
     void reject(int server, long id, double retryAfterSeconds, boolean doNotRetryElsewhere) {
-        record(REJECT, server).putLong(id).putLong(nanoseconds(retryAfterSeconds)).put(bit(doNotRetryElsewhere));
+        record(REJECT, server).putLong(id).putLong(nanoseconds(retryAfterSeconds)).put(toByte(doNotRetryElsewhere));
     }
 
     void fail(int server, long id) {
@@ -85,21 +86,21 @@
         record(POST_ADMISSION_LEVEL, server).putFloat((float) level);
     }
 
-    /** The second flag says that checks are answered with this without asking the runtime. */
+    /** The second flag, always set, lets health checks be answered with this state without asking the runtime. */
     void setHealth(int server, boolean healthy) {
-        record(SET_HEALTH, server).put(bit(healthy)).put(bit(true));
+        record(SET_HEALTH, server).put(toByte(healthy)).put(toByte(true));
     }
 
     void closeIdleConnections(int server, double idleSeconds) {
         record(CLOSE_IDLE_CONNECTIONS, server).putLong(nanoseconds(idleSeconds));
     }
 
-    /** The last field is the tag of the timer, which is not used. */
+    /** The last field is the tag of the tick, which is not used and written as 0. */
     void scheduleTick(int server, double delaySeconds) {
         record(SCHEDULE_TICK, server).putLong(nanoseconds(delaySeconds)).putLong(0);
     }
 
-    /** Tells that the decisions of this server have failed, and that it makes none any more. */
+    /** Reports that the controller of this server has failed and makes no further decisions. */
     void fatal(int server, String message) {
         byte[] bytes = message.getBytes(StandardCharsets.UTF_8);
         int length = Math.min(bytes.length, MAX_TEXT_BYTES);
@@ -107,10 +108,10 @@
     }
 
     private ByteBuffer record(int code, int server) {
-        if (buffer.remaining() < ROOM_FOR_RECORD_BYTES) {
+        if (buffer.remaining() < MAX_RECORD_BYTES) {
             int position = buffer.position();
-            byte[] wider = Arrays.copyOf(buffer.array(), buffer.capacity() * 2);
-            buffer = ByteBuffer.wrap(wider).order(ByteOrder.LITTLE_ENDIAN).position(position);
+            byte[] larger = Arrays.copyOf(buffer.array(), buffer.capacity() * 2);
+            buffer = ByteBuffer.wrap(larger).order(ByteOrder.LITTLE_ENDIAN).position(position);
         }
         records++;
         return buffer.putShort((short) code).putInt(server);
@@ -120,7 +121,7 @@
         return Math.max(0, Math.round(seconds * SimulatedServer.NANOSECONDS_PER_SECOND));
     }
 
-    private static byte bit(boolean yes) {
-        return (byte) (yes ? 1 : 0);
+    private static byte toByte(boolean value) {
+        return (byte) (value ? 1 : 0);
     }
 }
--- a/src/main/java/topazladder/wire/EventCode.java
+++ b/src/main/java/topazladder/wire/EventCode.java
@@ -1,6 +1,6 @@
 package topazladder.wire;
 
-/** Codes of the records that come in. */
+/** Record codes of the events that the simulator sends. */
 final class EventCode {
     static final int SERVER_STARTED = 256;
     static final int REQUEST_ARRIVED = 257;
--- a/src/main/java/topazladder/wire/MalformedWireException.java
+++ b/src/main/java/topazladder/wire/MalformedWireException.java
@@ -1,6 +1,8 @@
 package topazladder.wire;
 
-/** What came in is no message of the simulator's protocol; the message says what was wrong. Ends the program. */
+/**
+ * Thrown for input that violates the simulator's protocol. The message says what is wrong; the program ends.
+ */
 public final class MalformedWireException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/topazladder/wire/OutcomeCode.java
+++ b/src/main/java/topazladder/wire/OutcomeCode.java
@@ -2,7 +2,7 @@
 
 import topazladder.request.Outcome;
 
-/** The numbers that stand for outcomes on the wire, most of them those of system errors. */
+/** Maps the outcome codes of the protocol to outcomes. Most codes are the errno values of Linux. */
 final class OutcomeCode {
 
     private OutcomeCode() {}
@@ -17,7 +17,7 @@
             case 111 -> Outcome.UNREACHABLE;
             case 114 -> Outcome.NOT_STARTED;
             case 125 -> Outcome.CANCELLED;
-            default -> throw new MalformedWireException("unknown ending " + code);
+            default -> throw new MalformedWireException("unknown outcome code: code=" + code);
         };
     }
 }
--- a/src/main/java/topazladder/wire/SimulatedServer.java
+++ b/src/main/java/topazladder/wire/SimulatedServer.java
@@ -15,8 +15,8 @@
 import topazladder.request.Request;
 
 /**
- * One simulated server: owns its admission controller, and maps tickets' ids to requests and the simulator's clock to
- * seconds since the start of the server, and back.
+ * One simulated server. It owns an admission controller, maps the simulator's request ids to {@link Request}s and back,
+ * and converts the simulator's clock to seconds since the start of the server.
  */
 final class SimulatedServer {
     static final double NANOSECONDS_PER_SECOND = 1e9;
@@ -25,10 +25,10 @@
     private final long startedAtNanoseconds;
     private final DecisionBatch batch;
     private final DecisionHandler decisionWriter = new DecisionWriter();
-    /** Emptied at the end of each batch of what the controller has no longer in flight. */
+    /** Requests by id. At the end of each batch the requests that are no longer in flight are removed. */
     private final Map<Long, Request> requests = new HashMap<>();
     private final Map<Request, Long> ids = new HashMap<>();
-    /** Named in this batch, so perhaps over; emptied at the end of each. */
+    /** Requests that this batch concerned and that may have ended; cleared at the end of each batch. */
     private final List<Request> touched = new ArrayList<>();
     private SettingsReader settings;
     private AdmissionController controller;
@@ -40,13 +40,16 @@
         this.batch = batch;
     }
 
-    /** A fault in the decisions is reported on the wire and ends this server; a fault of the wire ends the program. */
-    void guarded(Runnable step) {
+    /**
+     * Handles one event unless this server has failed. An exception of the controller is reported to the simulator and
+     * ends this server; malformed input and invalid settings are rethrown and end the program.
+     */
+    void handle(Runnable event) {
         if (failed) {
             return;
         }
         try {
-            step.run();
+            event.run();
         } catch (MalformedWireException | InvalidSettingsException e) {
             throw e;
         } catch (RuntimeException e) {
@@ -63,7 +66,7 @@
     }
 
     void requestArrived(long clock, ArrivalRecord arrival) {
-        check(arrival);
+        validate(arrival);
         Request request = new Request(settings.requestClasses().get(arrival.requestClass()),
                 settings.tenants().isEmpty() ? null : settings.tenants().get(arrival.tenant()),
                 arrival.rank(), arrival.memoryKilobytes(), arrival.queuedNanoseconds() / NANOSECONDS_PER_SECOND,
@@ -75,16 +78,23 @@
         write(controller.requestArrived(seconds(clock), request));
     }
 
-    private void check(ArrivalRecord arrival) {
-        String description = "ticket " + arrival.id();
-        if (arrival.requestClass() >= settings.requestClasses().size()) {
-            throw new MalformedWireException(description + " is of an unknown class: " + arrival.requestClass());
+    private void validate(ArrivalRecord arrival) {
+        String source = " server=" + number + " request=" + arrival.id();
+        int classes = settings.requestClasses().size();
+        if (arrival.requestClass() >= classes) {
+            throw new MalformedWireException("unknown request class:" + source + " class=" + arrival.requestClass()
+                    + ", expected an index below " + classes);
         }
-        if (!settings.tenants().isEmpty() && arrival.tenant() >= settings.tenants().size()) {
-            throw new MalformedWireException(description + " is of an unknown tenant: " + arrival.tenant());
+        int tenants = settings.tenants().size();
+        if (tenants > 0 && arrival.tenant() >= tenants) {
+            throw new MalformedWireException("unknown tenant:" + source + " tenant=" + arrival.tenant()
+                    + ", expected an index below " + tenants);
         }
-        if (!arrival.isPossible()) {
-            throw new MalformedWireException(description + " has an impossible field");
+        if (!arrival.isValid()) {
+            throw new MalformedWireException("request field out of range:" + source + " rank=" + arrival.rank()
+                    + " memory_kb=" + arrival.memoryKilobytes() + " queued_ns=" + arrival.queuedNanoseconds()
+                    + " remaining_ns=" + arrival.remainingNanoseconds()
+                    + ", expected a rank from 0 to 1 and no negative value");
         }
     }
 
@@ -127,7 +137,10 @@
         write(controller.drain(seconds(clock), nanosecondsToStop / NANOSECONDS_PER_SECOND));
     }
 
-    /** Forgets the requests that are over, at the end of a batch, as later records of a batch may still name them. */
+    /**
+     * Removes the requests that have ended. Called at the end of a batch, as later records of the same batch may still
+     * refer to them.
+     */
     void forgetEnded() {
         for (Request request : touched) {
             if (failed || !controller.isInFlight(request)) {
@@ -145,7 +158,7 @@
         return (clock - startedAtNanoseconds) / NANOSECONDS_PER_SECOND;
     }
 
-    /** Writes decisions under the ids of their requests. */
+    /** Encodes decisions into the batch, with requests replaced by their ids. */
     private final class DecisionWriter implements DecisionHandler {
 
         private long id(Request request) {
--- a/src/main/java/topazladder/wire/SimulatorHost.java
+++ b/src/main/java/topazladder/wire/SimulatorHost.java
@@ -17,8 +17,8 @@
 import topazladder.request.Outcome;
 
 /**
- * Reads batches of events from the simulator, lets each simulated server decide, and writes one batch of decisions for
- * each. Owns the servers.
+ * Runs simulated servers for a simulator: reads batches of events, passes each event to the admission controller of its
+ * server, and writes one batch of decisions for each batch of events.
  */
 public final class SimulatorHost {
     private static final int MAX_BATCH_BYTES = 1 << 30;
@@ -27,32 +27,32 @@
 
     private final DataInputStream in;
     private final OutputStream out;
-    /** Emptied as servers are killed. */
+    /** Running servers by number; a killed server is removed. */
     private final Map<Integer, SimulatedServer> servers = new HashMap<>();
     private final DecisionBatch decisions = new DecisionBatch();
 
-    /** A host that reads the one stream and writes to the other; it closes neither. */
+    /** Creates a host that reads events from {@code in} and writes decisions to {@code out}; it closes neither. */
     public SimulatorHost(InputStream in, OutputStream out) {
         this.in = new DataInputStream(new BufferedInputStream(in, INPUT_BUFFER_BYTES));
         this.out = out;
     }
 
     /**
-     * Returns at the end of input.
+     * Processes batches until the end of input.
      *
-     * @throws MalformedWireException if what is read is no message of the protocol
+     * @throws MalformedWireException if the input violates the protocol
      */
     public void run() throws IOException {
         for (ByteBuffer batch = nextBatch(); batch != null; batch = nextBatch()) {
             long clock = batch.getLong();
             decisions.clear();
-            decide(batch, clock);
+            handleBatch(batch, clock);
             decisions.writeTo(out);
             out.flush();
         }
     }
 
-    /** Null at the end of input. */
+    /** Returns the next batch without its length, or null at the end of input. */
     private ByteBuffer nextBatch() throws IOException {
         int first = in.read();
         if (first < 0) {
@@ -63,17 +63,18 @@
             in.readFully(rest);
             long length = first | (rest[0] & 0xffL) << 8 | (rest[1] & 0xffL) << 16 | (rest[2] & 0xffL) << 24;
             if (length > MAX_BATCH_BYTES) {
-                throw new MalformedWireException("a batch of " + length + " bytes is past belief");
+                throw new MalformedWireException(
+                        "batch too long: length_bytes=" + length + ", expected at most " + MAX_BATCH_BYTES);
             }
             byte[] batch = new byte[(int) length + CLOCK_BYTES];
             in.readFully(batch);
             return ByteBuffer.wrap(batch).order(ByteOrder.LITTLE_ENDIAN);
         } catch (EOFException e) {
-            throw new MalformedWireException("input ends inside a batch");
+            throw new MalformedWireException("input ended within a batch of events, expected a complete batch");
         }
     }
 
-    private void decide(ByteBuffer batch, long clock) {
+    private void handleBatch(ByteBuffer batch, long clock) {
         Set<SimulatedServer> touched = new LinkedHashSet<>();
         while (batch.hasRemaining()) {
             int position = batch.position();
@@ -83,13 +84,13 @@
                     touched.add(server);
                 }
             } catch (BufferUnderflowException e) {
-                throw new MalformedWireException("a record at byte " + position + " of a batch is cut short");
+                throw new MalformedWireException("event record truncated: batch_offset_bytes=" + position);
             }
         }
         touched.forEach(SimulatedServer::forgetEnded);
     }
 
-    /** Returns the server that decided, or null if it was killed. */
+    /** Handles the next record; returns its server, or null if the record killed the server. */
     private SimulatedServer handleEvent(ByteBuffer batch, long clock) {
         int code = Short.toUnsignedInt(batch.getShort());
         int number = batch.getInt();
@@ -97,11 +98,13 @@
             return startServer(batch, clock, number);
         }
         if (code < EventCode.SERVER_STARTED || code > EventCode.SERVER_KILLED) {
-            throw new MalformedWireException("unknown record code " + code);
+            throw new MalformedWireException("unknown event code: code=" + code + " server=" + number
+                    + ", expected " + EventCode.SERVER_STARTED + " to " + EventCode.SERVER_KILLED);
         }
         SimulatedServer server = servers.get(number);
         if (server == null) {
-            throw new MalformedWireException("record " + code + " for a server that was not started: " + number);
+            throw new MalformedWireException(
+                    "event for a server that is not running: server=" + number + " code=" + code);
         }
         if (code == EventCode.SERVER_KILLED) {
             servers.remove(number);
@@ -116,45 +119,45 @@
         String settings = readText(batch, batch.getInt());
         SimulatedServer server = new SimulatedServer(number, clock, decisions);
         servers.put(number, server);
-        server.guarded(() -> server.start(seed, settings));
+        server.handle(() -> server.start(seed, settings));
         return server;
     }
 
-    /** Reads the fields first, so that the next record is found even where the server has failed. */
+    /** Reads all fields even if the server has failed and ignores the event, so that the next record is found. */
     private static void handleEvent(int code, ByteBuffer batch, long clock, SimulatedServer server) {
         switch (code) {
             case EventCode.REQUEST_ARRIVED -> {
                 ArrivalRecord arrival = ArrivalRecord.read(batch);
-                server.guarded(() -> server.requestArrived(clock, arrival));
+                server.handle(() -> server.requestArrived(clock, arrival));
             }
             case EventCode.RUN_ENDED -> {
                 long id = batch.getLong();
                 long elapsed = batch.getLong();
                 Outcome outcome = readOutcome(batch);
-                server.guarded(() -> server.runEnded(clock, id, outcome, elapsed));
+                server.handle(() -> server.runEnded(clock, id, outcome, elapsed));
             }
             case EventCode.DEPENDENCY_CALL_REQUESTED -> {
                 long id = batch.getLong();
-                server.guarded(() -> server.dependencyCallRequested(clock, id));
+                server.handle(() -> server.dependencyCallRequested(clock, id));
             }
             case EventCode.DEPENDENCY_CALL_ENDED -> {
                 long id = batch.getLong();
                 Outcome outcome = readOutcome(batch);
                 long elapsed = batch.getLong();
-                server.guarded(() -> server.dependencyCallEnded(clock, id, outcome, elapsed));
+                server.handle(() -> server.dependencyCallEnded(clock, id, outcome, elapsed));
             }
             case EventCode.DRAIN -> {
-                long toStop = batch.getLong();
-                server.guarded(() -> server.drain(clock, toStop));
+                long nanosecondsToStop = batch.getLong();
+                server.handle(() -> server.drain(clock, nanosecondsToStop));
             }
             case EventCode.CALLER_DISCONNECTED -> {
                 long id = batch.getLong();
-                server.guarded(() -> server.callerDisconnected(clock, id));
+                server.handle(() -> server.callerDisconnected(clock, id));
             }
             default -> {
                 batch.getLong(); // the tag of the tick, which is not used
                 double[] gauges = readGauges(batch);
-                server.guarded(() -> server.tick(clock, gauges));
+                server.handle(() -> server.tick(clock, gauges));
             }
         }
     }
--- a/src/main/java/topazladder/wire/package-info.java
+++ b/src/main/java/topazladder/wire/package-info.java
@@ -1,14 +1,14 @@
 /**
- * The simulator's protocol on standard input and output: batches of events for many simulated servers come in, and one
- * batch of decisions goes out for each.
+ * The simulator's binary protocol on standard input and output. The simulator sends batches of events for many
+ * simulated servers, and each batch is answered by one batch of decisions.
  *
- * <p>All numbers are little-endian, times are in nanoseconds. A batch of events is its length (unsigned, 4 bytes,
- * without this head), the simulator's clock (8 bytes) and that many bytes of records; a batch of decisions is its
- * length, its number of records and the records. A record is a code (2 bytes), the number of the server (4 bytes), and
- * fields that depend on the code.
+ * <p>All numbers are little-endian and all times are in nanoseconds. A batch of events consists of the length of its
+ * records (unsigned, 4 bytes), the simulator's clock (8 bytes) and the records. A batch of decisions consists of the
+ * length of its records, their number (4 bytes each) and the records. A record consists of a code (2 bytes), the number
+ * of the server (4 bytes) and fields that depend on the code.
  *
- * <p>This is the edge where the simulator's words meet ours: a ticket is a {@link topazladder.request.Request}, its
- * subject and caller are not used, and its idempotency key comes as the id of the original. The settings come as text
- * that {@link topazladder.config.SettingsReader} reads.
+ * <p>The simulator calls a {@link topazladder.request.Request} a ticket. The subject and the caller of a ticket are not
+ * used, and its idempotency key is sent as the id of the original ticket. Settings are sent as text, which
+ * {@link topazladder.config.SettingsReader} parses.
  */
 package topazladder.wire;
