--- a/src/main/java/topazladder/admission/AdmissionContext.java
+++ b/src/main/java/topazladder/admission/AdmissionContext.java
@@ -7,15 +7,15 @@
 import topazladder.request.RequestClass;
 
 /**
- * What all rules of one controller share: the settings, the time of the event being handled, the source of chance and
- * the decisions that the event has led to so far. Owns the time and the decisions; no rule changes either but by
- * emitting a decision.
+ * State shared by all rules of one controller: the settings, the time of the current event, the random generator and
+ * the decisions emitted so far for that event. Rules change none of it except by emitting decisions.
  */
 final class AdmissionContext {
-    /** Seconds from the start of the server in which its own rates are not relied on yet. */
+    /** Seconds after the start of the server during which its measured rates are not used yet. */
     static final double START_SECONDS = 1;
+    /** Lower bound of the tick interval, whatever the settings say. */
     private static final double MIN_TICK_SECONDS = 0.01;
-    /** Leaves room for a tick that comes late, and costs few timers. */
+    /** Four ticks per answer slack tolerate a late tick and still need few timers. */
     private static final double TICKS_PER_ANSWER_SLACK = 4;
     private static final double DEFAULT_LATENCY_OBJECTIVE_SECONDS = 1;
 
@@ -39,12 +39,12 @@
         return settings;
     }
 
-    /** The one source of chance; the order of its draws is part of the decisions. */
+    /** The only random generator of the controller; the order of its draws affects the decisions. */
     RandomGenerator random() {
         return random;
     }
 
-    /** Seconds since the start of the server, at the event being handled. */
+    /** Time of the current event, in seconds since the start of the server. */
     double now() {
         return now;
     }
@@ -53,30 +53,30 @@
         now = seconds;
     }
 
-    /** Seconds between two ticks. */
+    /** Interval between ticks, in seconds. */
     double tickSeconds() {
         return tickSeconds;
     }
 
-    /** The shortest latency objective of all request classes, in seconds: the span over which load is judged. */
+    /** The shortest latency objective of all request classes, in seconds; load is measured over this time span. */
     double shortestObjectiveSeconds() {
         return shortestObjectiveSeconds;
     }
 
     /**
-     * Speed of this server as a fraction of a warm one's, from the slowest warm-up that the settings allow:
-     * {@code min(1, coldSpeed + (1 - coldSpeed) * now / warmUpSeconds)}.
+     * Speed of this server as a fraction of the speed of a warm one, assuming the slowest warm-up that the settings
+     * allow: {@code min(1, coldSpeed + (1 - coldSpeed) * now / warmUpSeconds)}.
      */
     double serverSpeed() {
-        double from = settings.coldStart() ? settings.coldSpeed() : 1;
-        return Math.min(1, from + (1 - from) * now / settings.warmUpSeconds());
+        double initialSpeed = settings.coldStart() ? settings.coldSpeed() : 1;
+        return Math.min(1, initialSpeed + (1 - initialSpeed) * now / settings.warmUpSeconds());
     }
 
     void emit(Decision decision) {
         emitted.add(decision);
     }
 
-    /** The decisions since the last call, in the order in which they were emitted. */
+    /** Returns and clears the decisions emitted since the last call, in the order in which they were emitted. */
     List<Decision> takeEmitted() {
         List<Decision> result = List.copyOf(emitted);
         emitted.clear();
--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -12,24 +12,24 @@
 import topazladder.request.Request;
 
 /**
- * Decides what one server admits, runs and rejects. One controller lives in each server process and shares nothing. Its
- * caller reports each event by one method, with the time in seconds since the start of the server, and carries out the
- * decisions that it returns, in their order. It does no I/O, takes time and chance from outside, and belongs to one
- * thread.
+ * Decides which requests one server admits, runs and rejects. Each server process has its own controller and shares no
+ * state with others. The caller of the controller reports every event with one method call, passing the time in seconds
+ * since the start of the server, and applies the returned decisions in order. The controller does no I/O, gets its time
+ * and its random numbers from the caller, and must be used by a single thread.
  *
- * <p>A request passes the stages in the order of the constructor's list, each a rule in a class of its own:
+ * <p>A request passes through these stages in order, each of which implements one rule:
  *
  * <ol>
  * <li>{@link IdempotencyGuard}: no request with an idempotency key runs twice;
- * <li>{@link DrainGate}: in a graceful shutdown nothing is admitted that could not end in time;
- * <li>{@link MemoryGuard}: what is in flight fits into the memory;
- * <li>{@link AdmissionLevel}: under load, the requests of low rank are rejected;
- * <li>{@link AdmissionQueue}: the others wait for a core, for as long as that pays;
- * <li>{@link ConcurrencyLimiter}: so many run at once;
- * <li>{@link DependencyLimiter}: so many call the dependency at once, for those whose run asks for it.
+ * <li>{@link DrainGate}: during a graceful shutdown, a request that could not finish in time is not admitted;
+ * <li>{@link MemoryGuard}: the requests in flight fit into the memory;
+ * <li>{@link AdmissionLevel}: under overload, requests of low rank are rejected;
+ * <li>{@link AdmissionQueue}: other requests wait for a core as long as they can still finish in time;
+ * <li>{@link ConcurrencyLimiter}: the number of concurrent runs is limited;
+ * <li>{@link DependencyLimiter}: the number of concurrent dependency calls is limited.
  * </ol>
  *
- * <p>What reports an event too late, or for a request that is over, changes nothing.
+ * <p>An event for a request that has already ended, or that does not apply to its current phase, is ignored.
  */
 public final class AdmissionController {
     private final AdmissionContext context;
@@ -48,7 +48,7 @@
     private final ConcurrencyLimiter concurrencyLimiter;
     private final DependencyLimiter dependencyLimiter;
 
-    /** A controller at time 0; {@link #start} begins its work. */
+    /** Creates a controller at time 0; call {@link #start} before reporting any other event. */
     public AdmissionController(RandomGenerator random, AdmissionSettings settings) {
         RequestEndings endings = new Endings();
         context = new AdmissionContext(random, settings);
@@ -63,7 +63,7 @@
         peerEstimates = new PeerEstimates(context, statistics, callLimit);
         uncertainStarts = new UncertainStarts(context, statistics, registry);
 
-        // From the last stage to the first, as each hands on to the next.
+        // Built from the last stage to the first, as each stage holds a reference to the next.
         concurrencyLimiter = new ConcurrencyLimiter(context, memory, queue, calls);
         dependencyLimiter = new DependencyLimiter(context, memory, calls, callLimit, concurrencyLimiter, endings);
         idleConnections = new IdleConnectionPolicy(context, statistics, concurrencyLimiter);
@@ -76,7 +76,7 @@
                 new IdempotencyGuard(context, registry, keys, memory, retryAdvice, endings, drainGate);
     }
 
-    /** The server is up: health checks are good from now on, and ticks begin. */
+    /** The server has started: it reports itself healthy from now on and schedules its first tick. */
     public List<Decision> start(double time) {
         return decide(time, () -> {
             context.emit(new Decision.SetHealth(true));
@@ -84,7 +84,7 @@
         });
     }
 
-    /** A request was read. */
+    /** A request was read from its caller. */
     public List<Decision> requestArrived(double time, Request request) {
         return decide(time, () -> {
             TrackedRequest tracked = new TrackedRequest(request, context.now());
@@ -95,7 +95,7 @@
         });
     }
 
-    /** The run of the request waits for a dependency call, off the cores. */
+    /** The run of the request asks for a dependency call; it occupies no core while it waits for the call. */
     public List<Decision> dependencyCallRequested(double time, Request request) {
         return decide(time, request, tracked -> {
             if (tracked.phase != Phase.RUNNING) {
@@ -105,8 +105,9 @@
             concurrencyLimiter.leaveCores(tracked);
             admissionQueue.startWhatHasRoom();
             if (tracked.answered) {
-                // No call is made for a result that nobody waits for. This lets whoever runs it end the run at its
-                // call; a service's dispatcher sends no second answer, and its runtime ends such a run by itself.
+                // No call is made for a result that nobody waits for. The decision lets the host of the controller end
+                // the run at its call. The dispatcher of a service sends no second answer for it, and its runtime ends
+                // such a run by itself.
                 context.emit(new Decision.Fail(request, GiveUpReason.ALREADY_ANSWERED));
             } else {
                 dependencyLimiter.admit(tracked);
@@ -114,7 +115,7 @@
         });
     }
 
-    /** The link to the runtime broke after the start was written; nothing shows that the runtime read it. */
+    /** The connection to the runtime was lost after the start was written, so the runtime may not have read it. */
     public List<Decision> startUncertain(double time, Request request) {
         return decide(time, request, tracked -> {
             if (tracked.phase == Phase.RUNNING) {
@@ -123,7 +124,7 @@
         });
     }
 
-    /** The dependency call of the request ended, after so many seconds. */
+    /** The dependency call of the request ended after the given number of seconds. */
     public List<Decision> dependencyCallEnded(double time, Request request, Outcome outcome, double elapsedSeconds) {
         return decide(time, request, tracked -> {
             if (tracked.phase == Phase.CALLING) {
@@ -132,19 +133,19 @@
         });
     }
 
-    /** The run of the request ended, or its original's for a duplicate, after so many seconds. */
+    /** The run of the request, or for a duplicate that of its original, ended after the given number of seconds. */
     public List<Decision> runEnded(double time, Request request, Outcome outcome, double elapsedSeconds) {
         return decide(time, request, tracked -> {
             if (outcome == Outcome.SUCCEEDED && !tracked.answered && tracked.phase == Phase.RUNNING) {
                 statistics.completed(tracked.requestClass, elapsedSeconds);
             }
-            // Without an effect a retry may run after all.
+            // After an outcome without an effect a retry may run.
             tracked.mayHaveTakenEffect &= !outcome.provesNoEffect();
             close(tracked);
         });
     }
 
-    /** Nobody waits for the answer any more. */
+    /** The caller of the request has disconnected and no longer waits for its answer. */
     public List<Decision> callerDisconnected(double time, Request request) {
         return decide(time, request, tracked -> {
             tracked.answered = true;
@@ -156,7 +157,7 @@
         });
     }
 
-    /** The time for which {@link Decision.ScheduleTick} asked has come. */
+    /** A tick scheduled by {@link Decision.ScheduleTick} is due. */
     public List<Decision> tick(double time, RuntimeGauges gauges) {
         return decide(time, () -> {
             answerWhatIsDue();
@@ -171,7 +172,7 @@
         });
     }
 
-    /** The server is to shut down: all that is in flight will be answered before the stop. */
+    /** Begins a graceful shutdown: every request in flight is answered before the server stops. */
     public List<Decision> drain(double time, double secondsToStop) {
         return decide(time, () -> {
             drain.begin(secondsToStop);
@@ -179,18 +180,18 @@
         });
     }
 
-    /** What was measured here and holds for other servers too; empty while there is too little. */
+    /** The estimates measured by this server that apply to its peers too; empty until there are enough samples. */
     public List<LearnedEstimate> learnedEstimates(double time) {
         context.setNow(Math.max(context.now(), time));
         return peerEstimates.own();
     }
 
-    /** Takes in what peers measured, where nothing was measured here yet. */
+    /** Takes estimates measured by peers as starting values of those that this server has not measured itself yet. */
     public List<Decision> learn(double time, List<LearnedEstimate> estimates) {
         return decide(time, () -> peerEstimates.learn(estimates));
     }
 
-    /** Whether the request can still be named in a decision. */
+    /** Whether the request is in flight, so that further decisions may concern it. */
     public boolean isInFlight(Request request) {
         return registry.contains(request);
     }
@@ -228,7 +229,7 @@
         stopWork(request);
     }
 
-    /** Rejects a request that may be tried again, as it had no effect or is retry-safe; fails any other. */
+    /** Rejects a request that may be retried, as it had no effect or is retry-safe; fails any other. */
     private void answerWithoutResult(TrackedRequest request, GiveUpReason reason) {
         if (!request.mayHaveTakenEffect || request.isRetrySafe()) {
             retryAdvice.reject(request, reason);
@@ -239,8 +240,8 @@
     }
 
     /**
-     * Cancels a run on the cores where that can be done; else it goes on, and its end is reported later, as it is for a
-     * run off the cores. Without a run the request is over.
+     * Cancels a run that occupies a core if the runtime supports that. A run that is not cancelled, or that waits for
+     * its dependency call, stays in flight until its end is reported. A request without a run is closed at once.
      */
     private void stopWork(TrackedRequest request) {
         switch (request.phase) {
@@ -248,7 +249,7 @@
                 statistics.gaveUpRun(request.requestClass, context.now() - request.startedAt);
                 cancelRun(request);
             }
-            // The end of its run is still to be reported.
+            // The request is closed once the end of its run is reported.
             case CALLING, AWAITING_CALL -> dependencyLimiter.abandon(request);
             default -> close(request);
         }
@@ -260,7 +261,7 @@
         }
     }
 
-    /** Passes the stages from the last to the first, and lets in what the end of the request makes room for. */
+    /** Releases what each stage holds for the request, last stage first, and starts queued requests that now fit. */
     private void close(TrackedRequest request) {
         dependencyLimiter.onClosing(request);
         concurrencyLimiter.onClosing(request);
@@ -272,7 +273,7 @@
         admissionQueue.startWhatHasRoom();
     }
 
-    /** Lets the stages end requests, without showing that to the controller's callers. */
+    /** Gives the stages access to {@code giveUp} and {@code close} without making them public. */
     private final class Endings implements RequestEndings {
         @Override
         public void giveUp(TrackedRequest request, GiveUpReason reason) {
--- a/src/main/java/topazladder/admission/AdmissionLevel.java
+++ b/src/main/java/topazladder/admission/AdmissionLevel.java
@@ -7,23 +7,25 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Rejects requests of low rank under load, after "Using Proof-of-Work to Manage Backpressure" (2021). The level counts
- * steps, and each step has a cut, the lowest rank that is admitted. The paper's work factor is
+ * Rejects requests of low rank under overload, following "Using Proof-of-Work to Manage Backpressure" (2021). The level
+ * is a number of steps, and each step has a rank cut, the lowest rank that is admitted. The paper's work factor is
  *
  * <pre>{@code log2((capacity / completionRate) * (waiting / queueTarget))}</pre>
  *
- * with the capacity as requests admitted a second times two to the power of the level, completionRate (the paper's
- * outgoing) as requests completed a second, waiting (len(B)) as requests that are queued or lie unread, and queueTarget
- * (K) as the length that the queue should have. The rounded factor is the level that there should be; the level moves
- * by one step an update. Each step up sets the cut to the median rank of those read at or above it, so that it halves
- * what is admitted; a step down restores the cut before. A request ranked under the cut is rejected.
+ * where capacity is the rate of admitted requests times two to the power of the level, completionRate ("outgoing" in
+ * the paper) is the rate of completed requests, waiting ("len(B)") is the number of queued and unread requests, and
+ * queueTarget ("K") is the target length of the queue. The rounded work factor is the target level, towards which the
+ * level moves by one step per update. A step up raises the cut to the median rank of the requests read at or above the
+ * old cut, which halves the admitted requests; a step down restores the previous cut. Requests ranked below the cut are
+ * rejected.
  *
- * <p>The median counts rejected requests too, and old requests fade. While cores idle, nothing is completed, or the
- * queue is short, the level falls to 0 at once: idle cores are worse than a jump.
+ * <p>The median includes rejected requests, and older requests count less. While cores are idle, no request completes
+ * or the queue is short, the level drops to 0 at once, as idle cores are worse than a sudden change of the level.
  */
 final class AdmissionLevel implements Stage {
-    /** Callers heed a level for a limited time: with so many updates within it, one that is out of date is rare. */
+    /** Callers apply a posted level for a limited time; four updates within it rarely leave them with a stale level. */
     private static final double UPDATES_PER_VALIDITY = 4;
+    /** Target level that resets the level to 0 at once instead of stepwise. */
     private static final int NO_LEVEL = -1;
 
     private final AdmissionContext context;
@@ -34,7 +36,7 @@
     private final Stage next;
     private final RankHistogram ranks = new RankHistogram();
     private final DecayingRate admitted;
-    /** The cuts that steps down restore, latest first; their number is the level. */
+    /** Cuts to be restored by steps down, most recent first; their number is the current level. */
     private final Deque<Double> previousCuts = new ArrayDeque<>();
     private double cut;
     private double nextUpdateAt = AdmissionContext.START_SECONDS;
@@ -90,11 +92,11 @@
         }
     }
 
-    /** The steps that the level should stand at, or {@link #NO_LEVEL}. */
+    /** The target level, or {@link #NO_LEVEL}. */
     private int workFactor() {
         double completionRate = statistics.completionRate();
         double queueTarget = statistics.queueTarget();
-        // Where reading is the bottleneck, the queue stands before it.
+        // If reading requests is the bottleneck, they pile up unread rather than in the queue.
         double waiting = queue.size() + statistics.unreadRequests();
         if (completionRate <= 0 || cores.isIdle() || waiting <= queueTarget) {
             return NO_LEVEL;
--- a/src/main/java/topazladder/admission/AdmissionQueue.java
+++ b/src/main/java/topazladder/admission/AdmissionQueue.java
@@ -4,11 +4,11 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Queues requests for a core for as long as that pays: one that could not end while its answer earns anything is given
- * up at once. The wait is estimated as the requests ahead of it over the requests started a second.
+ * Queues requests until a core is free. A request that could not finish while its answer still has a value is given up
+ * at once. Its expected wait is the number of requests ahead of it divided by the rate at which requests are started.
  *
- * <p>While nothing runs, a request is started however long runs took lately: else a server that was slow for a while
- * would never learn that it is not.
+ * <p>While nothing runs, a request is started whatever the recent run times. Otherwise a server that was slow for a
+ * while would reject everything and never measure that it has recovered.
  */
 final class AdmissionQueue implements Stage {
     private final AdmissionContext context;
@@ -31,7 +31,8 @@
     @Override
     public void admit(TrackedRequest request) {
         queue.add(request);
-        // What lay unread until its answer has no value is not run even on idle cores: it would only be stopped again.
+        // A request that stayed unread until its answer lost its value is not started even on idle cores, as it would
+        // be cancelled at once.
         if (context.now() >= request.usefulUntil
                 || cores.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
             endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
