--- a/src/main/java/topazladder/admission/AdmissionSettings.java
+++ b/src/main/java/topazladder/admission/AdmissionSettings.java
@@ -4,36 +4,35 @@
 import topazladder.request.RequestClass;
 
 /**
- * What the admission controller is told of its machine, its callers and its dependency. Immutable, and checked when it
- * is built: numbers are not negative, and a server has cores.
+ * Settings of the admission controller: properties of its machine, its callers and its dependency. Immutable, and
+ * validated on construction: no number is negative, and there is a positive number of cores.
  *
- * @param requestClasses the classes of requests that come, in any order; none by default
- * @param cores cores of the machine; 1 by default
+ * @param requestClasses all request classes, in any order; none by default
+ * @param cores number of cores of the machine; 1 by default
  * @param memoryKilobytes kilobytes of memory for requests and idempotency keys; unbounded by default
- * @param runMemoryFactor how many times the memory of a queued request it takes once its run has started; 1 by
- *     default
- * @param idempotencyKeyKilobytes kilobytes that a remembered idempotency key takes; 0 by default
- * @param tickSeconds the shortest time between two ticks that the host can keep, in seconds; 0.001 by default
- * @param answerSlackSeconds seconds that an answer may take to its caller after it was decided; 0 by default
- * @param drainGraceSeconds seconds after the notice to shut down in which requests still arrive in good faith; 0
- *     by default
- * @param collapseFactor runs for each core at which a warm server collapses; 2 by default
+ * @param runMemoryFactor memory of a started request, as a multiple of its memory while queued; 1 by default
+ * @param idempotencyKeyKilobytes kilobytes of memory that a stored idempotency key occupies; 0 by default
+ * @param tickSeconds shortest tick interval that the host supports, in seconds; 0.001 by default
+ * @param answerSlackSeconds seconds that an answer may take to reach its caller after the decision; 0 by default
+ * @param drainGraceSeconds seconds after the shutdown notice during which callers may not know of it yet, so that their
+ *     requests are still admitted; 0 by default
+ * @param collapseFactor runs per core at which the throughput of a warm server collapses; 2 by default
  * @param coldStart whether the server starts cold and warms up; false by default
- * @param coldSpeed speed of a cold server at its start, as a fraction of a warm one's; 0 by default
- * @param warmUpSeconds seconds that a cold server takes at most to warm up; 1 by default
- * @param retryAfterAllowed whether callers understand the advice when to retry; false by default
- * @param maxRetryAfterSeconds the longest advice when to retry, in seconds; 0 by default
- * @param runCancellation whether a run can be stopped; UNSUPPORTED by default
- * @param admissionLevelUnit the unit in which callers read the posted level; NONE by default
- * @param admissionLevelValiditySeconds seconds for which callers heed a posted level; 1 by default
- * @param maxConnectionIdleSeconds seconds after which an idle connection is closed in any case; never by default
- * @param callers callers that the whole fleet has; 0 by default
- * @param dependencyTopology what the dependency calls go to; NONE by default
- * @param dependencyCallQuota dependency calls that this server may have in flight, averaged over the quota's span;
- *     0, for no quota, by default
- * @param dependencyQuotaSpanSeconds seconds over which the dependency averages the calls in flight; 5 by default
- * @param abandonedCallLingerSeconds seconds for which the dependency still works on a call that was given up; 0 by
+ * @param coldSpeed speed of a cold server at its start, as a fraction of the speed of a warm one; 0 by default
+ * @param warmUpSeconds longest time that a cold server needs to warm up, in seconds; 1 by default
+ * @param retryAfterAllowed whether callers understand Retry-After advice; false by default
+ * @param maxRetryAfterSeconds upper bound of Retry-After, in seconds; 0 by default
+ * @param runCancellation whether and how a run can be cancelled; UNSUPPORTED by default
+ * @param admissionLevelUnit unit in which callers interpret the posted admission level; NONE by default
+ * @param admissionLevelValiditySeconds seconds for which callers apply a posted admission level; 1 by default
+ * @param maxConnectionIdleSeconds longest idle time of a connection before it is closed, in seconds; unlimited by
  *     default
+ * @param callers number of callers of the whole fleet; 0 by default
+ * @param dependencyTopology what the dependency calls are sent to; NONE by default
+ * @param dependencyCallQuota dependency calls that this server may have in flight, averaged over
+ *     {@code dependencyQuotaSpanSeconds}; 0, which means no quota, by default
+ * @param dependencyQuotaSpanSeconds seconds over which the dependency averages the calls in flight; 5 by default
+ * @param abandonedCallLingerSeconds seconds for which the dependency keeps working on an abandoned call; 0 by default
  */
 public record AdmissionSettings(
         List<RequestClass> requestClasses,
@@ -60,47 +59,48 @@
         double dependencyQuotaSpanSeconds,
         double abandonedCallLingerSeconds) {
 
-    /** Whether and how the runtime can take a run off the cores before it ends. */
+    /** Whether and how the runtime can cancel a run before it ends. */
     public enum RunCancellation {
-        /** A run that has started goes on to its end. */
+        /** A started run cannot be cancelled. */
         UNSUPPORTED,
-        /** The run ends at once. */
+        /** A cancelled run ends at once. */
         DROP,
-        /** The run stands still and gives up its core. */
+        /** A cancelled run is suspended and releases its core. */
         PAUSE
     }
 
-    /** The unit in which callers understand a posted level. */
+    /** The unit in which callers interpret a posted admission level. */
     public enum AdmissionLevelUnit {
-        /** The least rank, from 0 to 1, that is admitted. */
+        /** The lowest admitted rank, from 0 to 1. */
         MIN_RANK,
-        /** Tokens; not posted by this controller. */
+        /** Tokens; this controller does not post levels in this unit. */
         TOKENS,
-        /** A bias of the callers' choice; not posted by this controller. */
+        /** A bias applied when callers choose a server; this controller does not post levels in this unit. */
         BIAS,
-        /** Callers understand no level: it is only enforced. */
+        /** Callers do not understand a level, so it is enforced but not posted. */
         NONE
     }
 
-    /** What the calls of the runs go to. */
+    /** What dependency calls are sent to. */
     public enum DependencyTopology {
-        /** Runs call nothing. */
+        /** Runs make no dependency calls. */
         NONE,
-        /** One dependency that all servers of the fleet share, each with a quota of its own. */
+        /** One dependency shared by all servers of the fleet, with a quota for each server. */
         SHARED,
-        /** The next tier, which protects itself. */
+        /** The next tier, which does its own overload protection. */
         NEXT_HOP
     }
 
     /**
-     * Checks the numbers and copies the list.
+     * Validates the numbers and copies the list.
      *
-     * @throws IllegalArgumentException that names the setting, its value and what would be right
+     * @throws IllegalArgumentException if a number is out of range; the message names the setting, its value and the
+     *     valid range
      */
     public AdmissionSettings {
         requestClasses = List.copyOf(requestClasses);
         if (!(cores > 0)) {
-            throw new IllegalArgumentException("cores should be above 0: " + cores);
+            throw new IllegalArgumentException("setting out of range: cores=" + cores + ", expected a number above 0");
         }
         requireNotNegative("memoryKilobytes", memoryKilobytes);
         requireNotNegative("runMemoryFactor", runMemoryFactor);
@@ -122,16 +122,17 @@
 
     private static void requireNotNegative(String name, double value) {
         if (!(value >= 0)) {
-            throw new IllegalArgumentException(name + " should not be negative: " + value);
+            throw new IllegalArgumentException(
+                    "setting out of range: " + name + "=" + value + ", expected 0 or a positive number");
         }
     }
 
-    /** A builder with all defaults. */
+    /** Creates a builder in which every setting has its default value. */
     public static Builder builder() {
         return new Builder();
     }
 
-    /** The same settings for a server that starts cold, or for one that is warm already. */
+    /** Returns a copy of these settings for a server that starts cold or warm. */
     public AdmissionSettings withColdStart(boolean cold) {
         return toBuilder().coldStart(cold).build();
     }
@@ -164,7 +165,7 @@
         return builder;
     }
 
-    /** Collects settings; each setter overwrites a default and is named after the record's component. */
+    /** Builds settings. Each setter is named after the record component whose default it overwrites. */
     public static final class Builder {
         private List<RequestClass> requestClasses = List.of();
         private double cores = 1;
@@ -330,7 +331,11 @@
             return this;
         }
 
-        /** Throws {@link IllegalArgumentException} where a number is out of its range. */
+        /**
+         * Builds the settings.
+         *
+         * @throws IllegalArgumentException if a number is out of range
+         */
         public AdmissionSettings build() {
             return new AdmissionSettings(requestClasses, cores, memoryKilobytes, runMemoryFactor,
                     idempotencyKeyKilobytes, tickSeconds, answerSlackSeconds, drainGraceSeconds, collapseFactor,
--- a/src/main/java/topazladder/admission/ConcurrencyLimiter.java
+++ b/src/main/java/topazladder/admission/ConcurrencyLimiter.java
@@ -4,27 +4,29 @@
 import topazladder.request.Decision;
 
 /**
- * Limits how many requests run at once. The limit starts at the number of cores. It grows by one where all that was
- * running for half a second left cores idle while requests waited, as where runs wait for a disk, and falls back by one
- * otherwise. A request is started where all of these hold:
+ * Limits the number of concurrent runs. The limit starts at the number of cores. Every half second it grows by one if
+ * the cores were not fully used although the limit was reached and requests were queued all the time, as happens when
+ * runs wait for a disk. Otherwise it shrinks by one, down to the number of cores. A request is started if all of these
+ * hold:
  *
  * <ul>
- * <li>running &lt; limit, and running and other work together too, where the other work counts for at most half of the
- * limit, or a flood of reads would leave nothing running;
- * <li>running and waiting for the dependency &lt; what the server survives, as all of them may come back to the cores
- * at once: {@code cores * (1 + (collapseFactor - 1) * serverSpeed) * 0.75};
- * <li>its memory fits in.
+ * <li>running &lt; limit, and running + other work &lt; limit, where other work counts for at most half of the limit;
+ * without that bound, a flood of reads would leave nothing running;
+ * <li>running + waiting for the dependency &lt; the concurrency that the server sustains, as all waiting runs may
+ * return to the cores at once: {@code cores * (1 + (collapseFactor - 1) * serverSpeed) * 0.75};
+ * <li>its run fits into the memory.
  * </ul>
  */
 final class ConcurrencyLimiter implements Stage {
-    /** The concurrency at which a server collapses is an average over some time; the rest is for peaks. */
+    /** The collapse concurrency is a time average, so a quarter of it is left as headroom for peaks. */
     private static final double SAFE_SHARE_OF_COLLAPSE = 0.75;
     private static final double MAX_OTHER_WORK_PER_LIMIT = 0.5;
-    /** One read at a time is ordinary and takes no room from runs. */
+    /** One read at a time is normal and does not reduce the number of runs. */
     private static final double ORDINARY_OTHER_WORK = 1;
     private static final int OTHER_WORK_WINDOW_TICKS = 4;
-    /** The gauge of core use is an average over this time. */
+    /** Averaging period of the core use gauge. */
     private static final double UPDATE_SECONDS = 0.5;
+    /** Core use below which the cores count as not fully used. */
     private static final double IDLE_CORE_USE = 0.9;
 
     private final AdmissionContext context;
@@ -33,9 +35,15 @@
     private final DependencyCalls calls;
     private int running;
     private double limit;
-    /** What else wants a core: reads, health checks, handshakes. Crowded out, they would leave the server blind. */
+    /**
+     * Mean number of reads, health checks and handshakes that need a core. If runs starved them, the server would no
+     * longer notice new requests.
+     */
     private final ExponentialMean otherWork = new ExponentialMean(OTHER_WORK_WINDOW_TICKS);
-    /** At every tick since the last update: a queue of a moment would let the limit creep up against a late gauge. */
+    /**
+     * Whether the limit was reached and requests were queued at every tick since the last update. If a momentary queue
+     * were enough, the limit would creep up while the core use gauge lags behind.
+     */
     private boolean atLimitSinceUpdate;
     private double nextUpdateAt = AdmissionContext.START_SECONDS;
 
@@ -59,7 +67,7 @@
         return running + calls.pending() < maxConcurrency();
     }
 
-    /** Running and waiting requests that this server survives. */
+    /** The number of running requests and requests waiting for the dependency that this server sustains. */
     private double maxConcurrency() {
         double collapseFactor = context.settings().collapseFactor();
         return context.settings().cores() * (1 + (collapseFactor - 1) * context.serverSpeed()) * SAFE_SHARE_OF_COLLAPSE;
@@ -74,13 +82,13 @@
         context.emit(new Decision.Start(request.request));
     }
 
-    /** The run has left the cores for its dependency call. */
+    /** The run released its core to wait for a dependency call. */
     void leaveCores(TrackedRequest request) {
         running--;
         memory.move(request, Phase.AWAITING_CALL);
     }
 
-    /** The run comes back to the cores, whether there is room or not. */
+    /** The run resumes on the cores, even if that exceeds the limit. */
     void returnToCores(TrackedRequest request) {
         running++;
         memory.move(request, Phase.RUNNING);
@@ -92,17 +100,17 @@
         }
     }
 
-    /** Requests on the cores. */
+    /** Number of runs on the cores. */
     int running() {
         return running;
     }
 
-    /** Reads, health checks and handshakes that want a core, on average. */
+    /** Mean number of reads, health checks and handshakes that need a core. */
     double otherWork() {
         return otherWork.value();
     }
 
-    /** Whether neither runs nor other work fill the cores. */
+    /** Whether runs and other work together leave at least part of a core unused. */
     boolean isIdle() {
         return running + otherWork.value() < context.settings().cores();
     }
--- a/src/main/java/topazladder/admission/DecayingRate.java
+++ b/src/main/java/topazladder/admission/DecayingRate.java
@@ -1,41 +1,41 @@
 package topazladder.admission;
 
 /**
- * Events a second, of which the recent ones count most: {@code mass / (span * (1 - exp(-age / span)))}, where the mass
- * of each event fades by {@code exp(-elapsed / span)} and the age is that of the rate itself, so that a young rate is
- * not too low. Reading the rate fades the mass too.
+ * Exponentially decaying rate of events per second: {@code weight / (span * (1 - exp(-age / span)))}. The weight of
+ * each event decays by {@code exp(-elapsed / span)}. The age is the time since the rate was created; dividing by the
+ * second factor keeps a recently created rate from being too low. Reading the rate applies the decay too.
  */
 final class DecayingRate {
     private final double spanSeconds;
     private final double startedAt;
-    private double mass;
-    private double fadedAt;
+    private double weight;
+    private double decayedAt;
 
     DecayingRate(double spanSeconds, double startedAt) {
         this.spanSeconds = spanSeconds;
         this.startedAt = startedAt;
-        fadedAt = startedAt;
+        decayedAt = startedAt;
     }
 
     void add(double events, double now) {
-        fade(now);
-        mass += events;
+        decay(now);
+        weight += events;
     }
 
-    /** Events a second; 0 at the start. */
+    /** Events per second; 0 at the time of creation. */
     double perSecond(double now) {
-        fade(now);
-        double seen = 1 - Math.exp(-(now - startedAt) / spanSeconds);
-        return seen <= 0 ? 0 : mass / (spanSeconds * seen);
+        decay(now);
+        double observedShare = 1 - Math.exp(-(now - startedAt) / spanSeconds);
+        return observedShare <= 0 ? 0 : weight / (spanSeconds * observedShare);
     }
 
-    /** Events that the rate stands for, the faded ones in part. */
-    double mass() {
-        return mass;
+    /** Sum of the decayed weights of all events. */
+    double weight() {
+        return weight;
     }
 
-    private void fade(double now) {
-        mass *= Math.exp(-(now - fadedAt) / spanSeconds);
-        fadedAt = now;
+    private void decay(double now) {
+        weight *= Math.exp(-(now - decayedAt) / spanSeconds);
+        decayedAt = now;
     }
 }
--- a/src/main/java/topazladder/admission/WorkloadStatistics.java
+++ b/src/main/java/topazladder/admission/WorkloadStatistics.java
@@ -129,7 +129,7 @@
 
     void collectCompletionRate(List<LearnedEstimate> estimates) {
         if (completionRate() > 0) {
-            estimates.add(new LearnedEstimate(Kind.COMPLETION_RATE, "", completionRate(), completions.mass(), 0));
+            estimates.add(new LearnedEstimate(Kind.COMPLETION_RATE, "", completionRate(), completions.weight(), 0));
         }
     }
 }
