--- a/src/main/java/topazladder/admission/DependencyCallLimit.java
+++ b/src/main/java/topazladder/admission/DependencyCallLimit.java
@@ -6,63 +6,71 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * Limits how many dependency calls this server has in flight on average. The slowdown is how many times as long as the
- * quickest calls the recent ones took, at most {@code MAX_SLOWDOWN}; a failed call counts as that. While the slowdown
- * is at most {@code MAX_NORMAL_SLOWDOWN}, the target is the usable share of the quota. Beyond it, the target is
+ * Limits the mean number of dependency calls that this server has in flight. The slowdown is the ratio of the time of
+ * recent calls to the baseline call time, capped at {@code MAX_SLOWDOWN}; a failed call counts as the cap. While the
+ * slowdown is at most {@code MAX_NORMAL_SLOWDOWN}, the target is the usable share of the quota. Above that, the target
+ * is
  *
  * <pre>{@code
- * min(usable, max(usable * MIN_SHARE, CALLS_PER_USUAL_CALL * usualInFlight / slowdown))
+ * min(usable, max(usable * MIN_SHARE, CALLS_PER_BASELINE_CALL * baselineInFlight / slowdown))
  * usable = quota * USABLE_SHARE_OF_QUOTA
  * }</pre>
  *
- * with the usual number of calls in flight without a slowdown. The minimum still finds out that the overload of the
- * dependency is over. The target follows at once, as a cut that stayed would waste what the dependency can do.
+ * where baselineInFlight is the mean number of calls in flight without a slowdown. The minimum leaves enough calls to
+ * detect that the dependency has recovered. The target is recomputed with every call, as a reduction that lasted
+ * longer would leave capacity of the dependency unused.
  *
- * <p>The target is enforced as a token bucket of call-seconds: calls in flight beyond the target spend it, calls below
- * it refill it. Without a quota nothing is limited.
+ * <p>The target is enforced with a token bucket of call-seconds, which calls above the target drain and calls below the
+ * target refill. Without a quota, calls are not limited.
  */
 final class DependencyCallLimit {
-    /** Of the quota: the rest is for calls already made that take longer than expected. */
+    /** Fraction of the quota in use; the rest is headroom for calls in flight that take longer than expected. */
     private static final double USABLE_SHARE_OF_QUOTA = 0.6;
-    /** Of the usable calls in flight, until a call has ended. */
+    /** Initial target, as a fraction of the usable calls in flight, until the first call has ended. */
     private static final double INITIAL_SHARE = 0.25;
-    /** Calls, few so that the mean follows a change. */
+    /** Small, so that the mean follows changes quickly. */
     private static final int CALL_TIME_WINDOW_CALLS = 10;
-    /** Calls; the least of a mean of few would be chance, and all later ones would look slow. */
+    /**
+     * Large, as the baseline is the minimum of this mean: the minimum of a mean of few calls would be an outlier, next
+     * to which all later calls would look slow.
+     */
     private static final int LONG_CALL_TIME_WINDOW_CALLS = 40;
     private static final int SLOWDOWN_WINDOW_CALLS = 10;
-    private static final int USUAL_WINDOW_CALLS = 40;
-    /** Factor by which the quickest time rises with each call, so that a lasting change is taken in. */
-    private static final double QUICKEST_DRIFT_PER_CALL = 1.0005;
-    /** Ratio of times. Without a cap, one call that hung would outweigh many that did not. */
+    private static final int BASELINE_WINDOW_CALLS = 40;
+    /** Factor by which the baseline call time rises with each call, so that it adapts to a permanent slowdown. */
+    private static final double BASELINE_GROWTH_PER_CALL = 1.0005;
+    /** Without this cap, a single call that hung would outweigh many normal ones. */
     private static final double MAX_SLOWDOWN = 4;
-    /** Ratio of times up to which calls vary without an overload of the dependency. */
+    /** Call times vary up to this ratio without an overload of the dependency. */
     private static final double MAX_NORMAL_SLOWDOWN = 2;
-    /** Calls allowed for each usual one at a slowdown of 1, as their number varies by chance. */
-    private static final double CALLS_PER_USUAL_CALL = 3;
-    /** Of the usable calls in flight. */
+    /** Headroom over the baseline number of calls in flight, which varies randomly. */
+    private static final double CALLS_PER_BASELINE_CALL = 3;
+    /** Minimum target, as a fraction of the usable calls in flight. */
     private static final double MIN_SHARE = 0.0625;
-    /** The dependency averages the calls over the span of the quota, so spending a quarter of it ahead stays clear. */
+    /**
+     * Bucket size, as a fraction of the call-seconds that the target allows per quota span. The dependency averages
+     * calls over that span, so a burst of a quarter of it stays within the quota.
+     */
     private static final double BURST_SHARE_OF_SPAN = 0.25;
-    /** Half as much for calls that can be skipped, so that those that can't find room. */
+    /** Half the bucket size for calls that can be skipped, which reserves the rest for calls that cannot. */
     private static final double SKIPPABLE_BURST_SHARE_OF_SPAN = 0.125;
-    /** Bounds the calls in flight in a burst, before call-seconds have added up. */
+    /** Bounds the calls in flight during a burst, before their call-seconds have accumulated. */
     private static final double MAX_CALLS_PER_TARGET = 4;
-    /** A call that never comes back must leave time for a retry. */
+    /** A call that is never answered must time out early enough for a retry. */
     private static final double MAX_TIMEOUT_PER_CALL_TIME = 4;
 
     private final AdmissionContext context;
     private final ExponentialMean callTime = new ExponentialMean(CALL_TIME_WINDOW_CALLS);
     private final ExponentialMean longCallTime = new ExponentialMean(LONG_CALL_TIME_WINDOW_CALLS);
-    /** Seconds that a call takes while the dependency is not overloaded. */
-    private double quickestSeconds = Double.POSITIVE_INFINITY;
+    /** Baseline call time, in seconds: what a call takes while the dependency is not overloaded. */
+    private double baselineCallSeconds = Double.POSITIVE_INFINITY;
     private final ExponentialMean slowdown = new ExponentialMean(SLOWDOWN_WINDOW_CALLS);
-    /** Calls in flight without a slowdown; not learned while the dependency is overloaded. */
-    private final ExponentialMean usualInFlight = new ExponentialMean(USUAL_WINDOW_CALLS);
+    /** Mean number of calls in flight without a slowdown; not updated while the dependency is overloaded. */
+    private final ExponentialMean baselineInFlight = new ExponentialMean(BASELINE_WINDOW_CALLS);
     private double targetInFlight;
-    /** Call-seconds beyond the target. */
+    /** Call-seconds above the target that the bucket has not regained yet. */
     private double spentCallSeconds;
-    private double spentAt;
+    private double spentUpdatedAt;
 
     DependencyCallLimit(AdmissionContext context) {
         this.context = context;
@@ -80,69 +88,69 @@
         callTime.add(seconds, context.now());
         longCallTime.add(seconds, context.now());
         if (longCallTime.isSettled()) {
-            quickestSeconds = Math.min(longCallTime.value(), quickestSeconds * QUICKEST_DRIFT_PER_CALL);
+            baselineCallSeconds =
+                    Math.min(longCallTime.value(), baselineCallSeconds * BASELINE_GROWTH_PER_CALL);
         }
-        follow(seconds / quickestSeconds, inFlight);
+        updateTarget(seconds / baselineCallSeconds, inFlight);
     }
 
-    /** A failure is a sign of overload of the dependency, as the slowest call is. */
+    /** Counts a failure as a call of the maximum slowdown, as it indicates overload of the dependency too. */
     void callFailed(int inFlight) {
-        follow(MAX_SLOWDOWN, inFlight);
+        updateTarget(MAX_SLOWDOWN, inFlight);
     }
 
-    /** A lost connection is no sign of overload. */
+    /** Counts a lost connection as a call of the current mean slowdown, as it does not indicate overload. */
     void connectionLost(int inFlight) {
-        follow(slowdown.value(), inFlight);
+        updateTarget(slowdown.value(), inFlight);
     }
 
     void callTimedOut(double seconds) {
         callTime.add(seconds, context.now());
     }
 
-    private void follow(double callSlowdown, int inFlight) {
+    private void updateTarget(double callSlowdown, int inFlight) {
         slowdown.add(Math.min(MAX_SLOWDOWN, callSlowdown), context.now());
         if (slowdown.value() <= MAX_NORMAL_SLOWDOWN) {
-            usualInFlight.add(inFlight, context.now());
+            baselineInFlight.add(inFlight, context.now());
             targetInFlight = usableInFlight();
         } else {
             targetInFlight = Math.min(usableInFlight(), Math.max(usableInFlight() * MIN_SHARE,
-                    CALLS_PER_USUAL_CALL * usualInFlight.value() / slowdown.value()));
+                    CALLS_PER_BASELINE_CALL * baselineInFlight.value() / slowdown.value()));
         }
     }
 
-    /** Whether a call may be made now, given the calls that the dependency is at work on. */
-    boolean allowsCall(boolean skippable, int atDependency) {
+    /** Whether a call may be made now, given the number of calls that the dependency is working on. */
+    boolean allowsCall(boolean skippable, int outstandingCalls) {
         if (targetInFlight == Double.POSITIVE_INFINITY) {
             return true;
         }
-        spentCallSeconds = Math.max(0, spentCallSeconds + (atDependency - targetInFlight) * (context.now() - spentAt));
-        spentAt = context.now();
+        double elapsedSeconds = context.now() - spentUpdatedAt;
+        spentCallSeconds = Math.max(0, spentCallSeconds + (outstandingCalls - targetInFlight) * elapsedSeconds);
+        spentUpdatedAt = context.now();
         double burst = targetInFlight * context.settings().dependencyQuotaSpanSeconds()
                 * (skippable ? SKIPPABLE_BURST_SHARE_OF_SPAN : BURST_SHARE_OF_SPAN);
-        // With nothing spent one call is made, or what was slow would never be known to have recovered.
-        // The second bound acts in a burst, before call-seconds have added up: both are needed.
+        // While nothing is spent, one call is always allowed. Otherwise the recovery of a slow dependency would never
+        // be detected. The second bound limits a burst before its call-seconds have accumulated, so both are needed.
         return spentCallSeconds + Math.min(callTime.value(), burst) <= burst
-                && atDependency < Math.max(1, MAX_CALLS_PER_TARGET * targetInFlight);
+                && outstandingCalls < Math.max(1, MAX_CALLS_PER_TARGET * targetInFlight);
     }
 
-    /** Seconds that a call takes lately; 0 as long as that is not known. */
+    /** Mean time of recent calls, in seconds; 0 while unknown. */
     double callSeconds() {
         return callTime.value();
     }
 
-    /**
-     * The longest timeout, in seconds, of a call that may be retried; unbounded as long as call times are not known.
-     */
+    /** Upper bound of the timeout of a call that may be retried, in seconds; unbounded while call times are unknown. */
     double maxTimeoutOfRetryableCall() {
         return longCallTime.isSettled() ? MAX_TIMEOUT_PER_CALL_TIME * longCallTime.value() : Double.POSITIVE_INFINITY;
     }
 
-    /** Takes in what a peer learned of the calls in flight. */
+    /** Takes a peer's estimate of the calls in flight as the starting value of the baseline. */
     void learn(LearnedEstimate estimate) {
-        usualInFlight.learn(estimate.value(), estimate.weight());
+        baselineInFlight.learn(estimate.value(), estimate.weight());
     }
 
     void collect(List<LearnedEstimate> estimates) {
-        usualInFlight.collect(Kind.CALLS_IN_FLIGHT, "", context.now(), estimates);
+        baselineInFlight.collect(Kind.CALLS_IN_FLIGHT, "", context.now(), estimates);
     }
 }
--- a/src/main/java/topazladder/admission/DependencyCalls.java
+++ b/src/main/java/topazladder/admission/DependencyCalls.java
@@ -3,12 +3,12 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Owns the account of dependency calls: which requests wait to call, and how many calls are in flight. */
+/** Tracks dependency calls: the requests waiting to make one, the calls in flight and the abandoned calls. */
 final class DependencyCalls {
-    /** Emptied by calls, by answers without one, and by endings. */
+    /** Requests leave the list when their call is made or skipped, or when they end. */
     private final List<TrackedRequest> waiting = new ArrayList<>();
-    /** When the dependency is done with the calls that were given up; emptied as that passes. */
-    private final List<Double> lingeringUntil = new ArrayList<>();
+    /** The times at which the dependency stops working on abandoned calls; past times are removed. */
+    private final List<Double> abandonedUntil = new ArrayList<>();
     private int inFlight;
 
     void await(TrackedRequest request) {
@@ -19,7 +19,7 @@
         waiting.remove(request);
     }
 
-    /** A copy, for whoever calls on the way. */
+    /** Returns a copy, so that calls can be made while it is iterated. */
     List<TrackedRequest> waiting() {
         return List.copyOf(waiting);
     }
@@ -32,26 +32,26 @@
         inFlight--;
     }
 
-    /** A call was given up, and the dependency may still be at work on it. */
-    void linger(double until) {
-        lingeringUntil.add(until);
+    /** A call was abandoned, and the dependency may work on it until the given time. */
+    void abandon(double until) {
+        abandonedUntil.add(until);
     }
 
-    void forgetLingering(double now) {
-        lingeringUntil.removeIf(until -> until <= now);
+    void removeExpired(double now) {
+        abandonedUntil.removeIf(until -> until <= now);
     }
 
-    /** Calls whose replies are awaited. */
+    /** Number of calls whose replies are awaited. */
     int inFlight() {
         return inFlight;
     }
 
-    /** Calls that the dependency has in hand, the given-up ones among them. */
-    int atDependency() {
-        return inFlight + lingeringUntil.size();
+    /** Number of calls that the dependency may be working on, including abandoned ones. */
+    int outstanding() {
+        return inFlight + abandonedUntil.size();
     }
 
-    /** Requests off the cores that may all come back to them at once. */
+    /** Number of requests that wait for the dependency, all of which may return to the cores at once. */
     int pending() {
         return inFlight + waiting.size();
     }
--- a/src/main/java/topazladder/admission/DependencyLimiter.java
+++ b/src/main/java/topazladder/admission/DependencyLimiter.java
@@ -6,12 +6,12 @@
 import topazladder.request.Outcome;
 
 /**
- * Makes the dependency calls of runs within the {@link DependencyCallLimit}, retries them with backoff, and skips
- * those that can be skipped rather than let them wait for longer than a call takes. A call that has an effect is
- * retried only if the last one proves to have had none.
+ * Makes the dependency calls of runs within the {@link DependencyCallLimit} and retries failed ones with backoff. A
+ * call that can be skipped is skipped once it has waited longer than a call takes. A call with an effect is retried
+ * only if the outcome of the previous attempt proves that it had none.
  */
 final class DependencyLimiter implements Stage {
-    /** The backoff is drawn from half to one and a half times its mean. */
+    /** The backoff is drawn uniformly from 0.5 to 1.5 times its mean. */
     private static final double MIN_BACKOFF_JITTER = 0.5;
 
     private final AdmissionContext context;
@@ -22,8 +22,7 @@
     private final RequestEndings endings;
 
     DependencyLimiter(AdmissionContext context, MemoryBudget memory, DependencyCalls calls,
-            DependencyCallLimit callLimit,
-            ConcurrencyLimiter cores, RequestEndings endings) {
+            DependencyCallLimit callLimit, ConcurrencyLimiter cores, RequestEndings endings) {
         this.context = context;
         this.memory = memory;
         this.calls = calls;
@@ -32,7 +31,7 @@
         this.endings = endings;
     }
 
-    /** Queues the call of a run that has left the cores for it. */
+    /** Queues the dependency call of a run that has released its core. */
     @Override
     public void admit(TrackedRequest request) {
         request.awaitingCallSince = context.now();
@@ -50,11 +49,12 @@
     }
 
     private void callSkipOrWait(TrackedRequest request) {
-        // One is always made, however slow the last were: with none made, that would be believed for ever.
+        // With no call in flight one is always made, however slow the last ones were. Otherwise the expected time would
+        // never be measured again.
         double expectedSeconds = calls.inFlight() > 0 ? callLimit.callSeconds() : 0;
         if (context.now() + expectedSeconds >= request.usefulUntil) {
             skipOrGiveUp(request);
-        } else if (callLimit.allowsCall(request.canSkipCall(), calls.atDependency())) {
+        } else if (callLimit.allowsCall(request.canSkipCall(), calls.outstanding())) {
             call(request);
         } else if (context.now() - request.awaitingCallSince > callLimit.callSeconds() && request.canSkipCall()) {
             skipOrGiveUp(request);
@@ -70,7 +70,7 @@
                 Math.min(request.usefulUntil - context.now(), maxTimeout)));
     }
 
-    /** Goes on without the call where a degraded answer has a value, else gives the request up. */
+    /** Resumes the run without the call if a degraded answer still has a value, else gives the request up. */
     private void skipOrGiveUp(TrackedRequest request) {
         calls.stopWaiting(request);
         if (request.canSkipCall() && context.now() < request.usefulUntil) {
@@ -94,7 +94,7 @@
             callLimit.callFailed(calls.inFlight());
         }
         if (outcome == Outcome.TIMED_OUT) {
-            calls.linger(lingersUntil());
+            calls.abandon(abandonedUntil());
             callLimit.callTimedOut(seconds);
         }
         memory.move(request, Phase.AWAITING_CALL);
@@ -108,7 +108,8 @@
         boolean mayRetry = outcome.provesNoEffect() || request.isRetrySafe() && outcome != Outcome.TIMED_OUT;
         boolean worthRetrying = !request.canSkipCall() || connectionLost && request.callRetries == 0;
         if (mayRetry && worthRetrying) {
-            // Retried at once after a rejection, a few requests would overload the dependency with reads.
+            // Without a backoff after a rejection, the retries of a few requests would keep the dependency busy with
+            // reading calls and overload it.
             double backoffSeconds = (connectionLost ? 0 : Math.max(context.tickSeconds(), callLimit.callSeconds()))
                     * ++request.callRetries;
             request.nextCallAt =
@@ -119,17 +120,21 @@
         }
     }
 
-    /** Its final answer is given: no call is made for it any more, though the dependency may be at work on one. */
+    /**
+     * Makes no further call for a request that has its final answer. A call in flight is counted as abandoned, as the
+     * dependency may still work on it.
+     */
     void abandon(TrackedRequest request) {
         if (request.phase == Phase.CALLING) {
             calls.end();
-            calls.linger(lingersUntil());
+            calls.abandon(abandonedUntil());
         }
         calls.stopWaiting(request);
         memory.move(request, Phase.AWAITING_CALL);
     }
 
-    private double lingersUntil() {
+    /** Until when the dependency may work on a call that is abandoned now. */
+    private double abandonedUntil() {
         return context.now() + context.settings().abandonedCallLingerSeconds();
     }
 
@@ -140,7 +145,7 @@
     }
 
     void tick() {
-        calls.forgetLingering(context.now());
+        calls.removeExpired(context.now());
         makeCalls();
     }
 }
--- a/src/main/java/topazladder/admission/DrainGate.java
+++ b/src/main/java/topazladder/admission/DrainGate.java
@@ -3,8 +3,8 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Graceful shutdown: from the notice on, nothing is admitted that came after the grace or could not end in time. What
- * was admitted before is answered before the stop, by the tick at the latest.
+ * During a graceful shutdown, gives up requests that arrived after the grace period or could not finish in time.
+ * Requests admitted earlier are answered before the server stops, at the latest by the tick of the controller.
  */
 final class DrainGate implements Stage {
     private final WorkloadStatistics statistics;
--- a/src/main/java/topazladder/admission/DrainSchedule.java
+++ b/src/main/java/topazladder/admission/DrainSchedule.java
@@ -1,10 +1,8 @@
 package topazladder.admission;
 
-/**
- * Owns the times of the graceful shutdown, in seconds since the start of the server; all are infinite until it begins.
- */
+/** The times of the graceful shutdown, in seconds since the start of the server; infinite until it begins. */
 final class DrainSchedule {
-    /** The tick may come late, and the answer must still get out. */
+    /** Answers are due two ticks before the stop, as a tick may be late and the answer must still be sent. */
     private static final double TICKS_BEFORE_STOP = 2;
 
     private final AdmissionContext context;
@@ -28,12 +26,12 @@
         return draining;
     }
 
-    /** The time by which all must be answered. */
+    /** The time by which every request must be answered. */
     double lastAnswerAt() {
         return stopsAt - TICKS_BEFORE_STOP * context.tickSeconds();
     }
 
-    /** Whether the request came after the grace, or its run could not end before the stop and would be failed then. */
+    /** Whether the request arrived after the grace period, or its run would not finish before the last answer. */
     boolean isTooLate(TrackedRequest request) {
         return request.arrivedAt > graceEndsAt
                 || context.now() + statistics.runSeconds(request.requestClass) >= lastAnswerAt();
--- a/src/main/java/topazladder/admission/ExponentialMean.java
+++ b/src/main/java/topazladder/admission/ExponentialMean.java
@@ -5,18 +5,18 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * A mean that follows its samples: {@code mean += (sample - mean) / n}, where n is the number of samples so far, at
- * most the window. So it is the plain mean of the first samples, and later one in which old samples fade.
+ * Mean of recent samples: {@code mean += (sample - mean) / n}, where n is the number of samples so far, capped at the
+ * window. It is the arithmetic mean until the window is full, and an exponentially weighted moving average after that.
  */
 final class ExponentialMean {
     private final int window;
     private double value;
     private int samples;
-    /** Those of the samples that were measured here: only what is all measured here is handed on. */
+    /** Number of samples measured by this server; peers get the mean only once these alone fill the window. */
     private int ownSamples;
     private double lastSampleAt;
 
-    /** A mean of nothing yet, which is 0. */
+    /** Creates a mean without samples, whose value is 0. */
     ExponentialMean(int window) {
         this.window = window;
     }
@@ -28,12 +28,15 @@
         lastSampleAt = now;
     }
 
-    /** Takes a mean over as though that many samples had come first; samples measured here overrule them in time. */
+    /**
+     * Merges a peer's mean as if it came from {@code weight} samples, as far as the window is not full yet. Samples
+     * measured by this server replace its contribution over time.
+     */
     void learn(double mean, double weight) {
-        int more = (int) Math.min(weight, window - samples);
-        if (more > 0) {
-            value = (value * samples + mean * more) / (samples + more);
-            samples += more;
+        int added = (int) Math.min(weight, window - samples);
+        if (added > 0) {
+            value = (value * samples + mean * added) / (samples + added);
+            samples += added;
         }
     }
 
@@ -41,12 +44,12 @@
         return value;
     }
 
-    /** Whether as many samples were seen as count. */
+    /** Whether the window is full. */
     boolean isSettled() {
         return samples == window;
     }
 
-    /** Adds this mean to the estimates where all that counts was measured here. */
+    /** Adds this mean to the estimates if samples measured by this server fill the window. */
     void collect(Kind kind, String subject, double now, List<LearnedEstimate> estimates) {
         if (ownSamples == window) {
             estimates.add(new LearnedEstimate(kind, subject, value, ownSamples, now - lastSampleAt));
