--- a/src/main/java/topazladder/admission/PeerEstimates.java
+++ b/src/main/java/topazladder/admission/PeerEstimates.java
@@ -6,11 +6,11 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * Exchanges with peers what holds for other servers too, as far as their machines are alike. The admission level is not
- * exchanged: it is each server's own.
+ * Exchanges estimates with peers that apply to other servers too, as far as their machines are alike. The admission
+ * level is not exchanged, as it depends on the load of each server.
  */
 final class PeerEstimates {
-    /** What fewer latency objectives have shown is too little to be handed on. */
+    /** Estimates are shared once the server has run for this multiple of the shortest latency objective. */
     private static final double MIN_AGE_IN_OBJECTIVES = 2;
 
     private final AdmissionContext context;
@@ -23,7 +23,7 @@
         this.callLimit = callLimit;
     }
 
-    /** What this server has measured itself; nothing while it is warming up. */
+    /** The estimates measured by this server itself; empty while it warms up. */
     List<LearnedEstimate> own() {
         List<LearnedEstimate> estimates = new ArrayList<>();
         boolean warmingUp = context.serverSpeed() < 1;
@@ -36,7 +36,7 @@
         return estimates;
     }
 
-    /** Takes in what peers measured, where nothing was measured here yet; it lifts no bound. */
+    /** Uses peers' estimates as starting values for missing measurements; they do not raise any limit. */
     void learn(List<LearnedEstimate> estimates) {
         for (LearnedEstimate estimate : estimates) {
             if (estimate.kind() == Kind.CALLS_IN_FLIGHT) {
--- a/src/main/java/topazladder/admission/Stage.java
+++ b/src/main/java/topazladder/admission/Stage.java
@@ -1,8 +1,8 @@
 package topazladder.admission;
 
-/** A rule that a request passes on its way to the cores. */
+/** One step of the admission of a request, which implements one rule. */
 interface Stage {
 
-    /** Keeps the request, ends it, or passes it on to the next stage. */
+    /** Holds the request, ends it or passes it on to the next stage. */
     void admit(TrackedRequest request);
 }
--- a/src/main/java/topazladder/admission/package-info.java
+++ b/src/main/java/topazladder/admission/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Admission control: what one server admits, runs and rejects, and when it calls its dependency.
+ * Admission control: which requests one server admits, runs and rejects, and when it calls its dependency.
  *
- * <p>{@link topazladder.admission.AdmissionController} is the entry point and shows the way of a request through the
- * rules, each of which is a class of its own. The core does no I/O: time and chance are handed in, the decisions are
- * returned. docs/design.md gives the mechanism and its source, docs/decisions.md a line for each rule.
+ * <p>{@link topazladder.admission.AdmissionController} is the entry point and lists the rules that a request passes;
+ * each rule is implemented by one class. The package does no I/O: time and random numbers are passed in, and decisions
+ * are returned. docs/design.md describes the mechanism and its source, docs/decisions.md lists the rules.
  *
- * <p>All times are in seconds since the start of the server, all memory is in kilobytes. One thread owns all state.
+ * <p>All times are in seconds since the start of the server, and all memory sizes are in kilobytes. All state belongs
+ * to one thread.
  */
 package topazladder.admission;
