--- a/src/main/java/topazladder/admission/IdleConnectionPolicy.java
+++ b/src/main/java/topazladder/admission/IdleConnectionPolicy.java
@@ -3,28 +3,31 @@
 import topazladder.request.Decision;
 
 /**
- * Whether idle connections of callers are closed at once or kept for as long as the settings allow. Callers that come
- * back later than a connection may idle never use it again: closed, it makes room for others. But each new connection
- * costs a handshake, so where handshakes crowd the cores all are kept.
+ * Decides whether idle connections of callers are closed at once or kept for the longest idle time that the settings
+ * allow. A caller that returns only after that time never reuses its connection, so closing it early makes room for
+ * other connections. Each new connection costs a handshake, however, so connections are kept while handshakes load the
+ * cores.
  *
- * <p>Closing begins where more callers are known than come back within the longest idle time, and cores have idled for
- * some time; it ends once newcomers crowd the cores. The two bounds lie apart, as a change costs both a handshake and a
- * place.
+ * <p>Early closing begins when the fleet has more callers than return within the longest idle time and the cores have
+ * been partly idle for some time. It ends when reads and handshakes load the cores. The two conditions are deliberately
+ * apart, which keeps the policy from alternating, as each change costs handshakes and connection slots.
  */
 final class IdleConnectionPolicy {
-    /** The gauge of core use is an average over this time. */
+    /** Averaging period of the core use gauge. */
     private static final double UPDATE_SECONDS = 0.5;
-    /** Long enough that it is more than a lull. */
+    /** 5 seconds, long enough to ignore a momentary dip of the load. */
     private static final int CORE_USE_WINDOW_UPDATES = 10;
+    /** Mean core use below which the cores count as partly idle. */
     private static final double IDLE_CORE_USE = 0.6;
-    private static final int NEWCOMERS_WINDOW_UPDATES = 4;
-    /** More than a read and a handshake on each core. */
-    private static final double MAX_NEWCOMERS_PER_CORE = 2;
+    private static final int OTHER_WORK_WINDOW_UPDATES = 4;
+    /** Two per core is more than one read and one handshake on each core at a time. */
+    private static final double MAX_OTHER_WORK_PER_CORE = 2;
 
     private final AdmissionContext context;
     private final WorkloadStatistics statistics;
     private final ConcurrencyLimiter cores;
-    private final ExponentialMean newcomers = new ExponentialMean(NEWCOMERS_WINDOW_UPDATES);
+    /** Mean number of reads, health checks and handshakes that need a core. */
+    private final ExponentialMean otherWork = new ExponentialMean(OTHER_WORK_WINDOW_UPDATES);
     private final ExponentialMean coreUse = new ExponentialMean(CORE_USE_WINDOW_UPDATES);
     private boolean closing;
     private double nextUpdateAt = AdmissionContext.START_SECONDS;
@@ -41,10 +44,10 @@
         }
         nextUpdateAt = context.now() + UPDATE_SECONDS;
         coreUse.add(gauges.coreUse(), context.now());
-        newcomers.add(cores.otherWork(), context.now());
-        boolean close = shouldClose();
-        if (close != closing) {
-            closing = close;
+        otherWork.add(cores.otherWork(), context.now());
+        boolean shouldClose = shouldClose();
+        if (shouldClose != closing) {
+            closing = shouldClose;
             context.emit(new Decision.CloseIdleConnections(
                     closing ? context.tickSeconds() : context.settings().maxConnectionIdleSeconds()));
         }
@@ -54,7 +57,7 @@
         AdmissionSettings settings = context.settings();
         double returningCallers = statistics.readRate() * settings.maxConnectionIdleSeconds();
         return settings.callers() > returningCallers
-                && newcomers.value() <= MAX_NEWCOMERS_PER_CORE * settings.cores()
+                && otherWork.value() <= MAX_OTHER_WORK_PER_CORE * settings.cores()
                 && (closing || coreUse.value() < IDLE_CORE_USE);
     }
 }
--- a/src/main/java/topazladder/admission/WorkloadStatistics.java
+++ b/src/main/java/topazladder/admission/WorkloadStatistics.java
@@ -8,17 +8,20 @@
 import topazladder.request.Request;
 import topazladder.request.RequestClass;
 
-/** Owns what is measured of the requests and their runs, as all rules use it. */
+/** Measurements of requests and runs, shared by all rules. */
 final class WorkloadStatistics {
     private static final int RUN_TIME_WINDOW_RUNS = 10;
     private static final int QUEUED_TIME_WINDOW_REQUESTS = 10;
-    /** Over fewer, a single retry would look like a fleet that is full. */
+    /** With a smaller window, a single retry would look like an overloaded fleet. */
     private static final int RETRY_SHARE_WINDOW_REQUESTS = 40;
-    /** A request that waits for half of its latency objective still has the other half to run. */
+    /** Waiting may take half of the latency objective, which leaves the other half for the run. */
     private static final double WAITING_SHARE_OF_OBJECTIVE = 0.5;
-    /** In so many latency objectives the own rate of completions has taken the place of the peers'. */
+    /** After this multiple of the shortest latency objective, the peers' completion rate is no longer used. */
     private static final double OBJECTIVES_UNTIL_OWN_RATE = 2;
-    /** A wrong run time from a peer must not make hopeless what could start at once. */
+    /**
+     * Upper bound of run times learned from peers, as a fraction of the latency objective. A wrong estimate must not
+     * make the server give up requests that it could start at once.
+     */
     private static final double MAX_LEARNED_RUN_TIME_PER_OBJECTIVE = 0.6;
 
     private final AdmissionContext context;
@@ -27,7 +30,7 @@
     private final ExponentialMean queuedSeconds = new ExponentialMean(QUEUED_TIME_WINDOW_REQUESTS);
     private final DecayingRate completions;
     private final DecayingRate reads;
-    private double peersCompletionRate;
+    private double peerCompletionRate;
 
     WorkloadStatistics(AdmissionContext context) {
         this.context = context;
@@ -37,11 +40,12 @@
         reads = new DecayingRate(context.shortestObjectiveSeconds(), context.now());
     }
 
+    /** Counts every request that is read, including duplicates. */
     void arrived(Request request) {
         retryShare.add(request.retry() ? 1 : 0, context.now());
     }
 
-    /** Counts a request that is neither a duplicate nor refused for its idempotency key. */
+    /** Counts a request that is neither a duplicate nor rejected for lack of key memory. */
     void read(Request request) {
         reads.add(1, context.now());
         queuedSeconds.add(request.queuedSeconds(), context.now());
@@ -52,65 +56,64 @@
         runTimes.get(requestClass).add(runSeconds, context.now());
     }
 
-    /** Counts a run that was given up as one that took that long, as it took at least that. */
+    /** Counts a run that was given up with its run time so far, which is a lower bound. */
     void gaveUpRun(RequestClass requestClass, double runSeconds) {
         runTimes.get(requestClass).add(runSeconds, context.now());
     }
 
-    /** Seconds that a run of the class takes on average; 0 as long as that is not known. */
+    /** Mean run time of the class, in seconds; 0 while unknown. */
     double runSeconds(RequestClass requestClass) {
         return runTimes.get(requestClass).value();
     }
 
-    /** Whether the answer to the request has no value any more if it starts after the wait. */
+    /** Whether the answer would have no value any more if the request started after the given wait. */
     boolean endsTooLate(TrackedRequest request, double waitSeconds) {
         return context.now() + waitSeconds + runSeconds(request.requestClass) > request.usefulUntil;
     }
 
-    /** The share of retries and hedged requests among those that arrived lately, from 0 to 1. */
+    /** Fraction of retries and hedged requests among recent requests, from 0 to 1. */
     double retryShare() {
         return retryShare.value();
     }
 
-    /** Requests read a second. */
+    /** Requests read per second. */
     double readRate() {
         return reads.perSecond(context.now());
     }
 
-    /**
-     * Requests that lie unread on the machine, as Little's law has it: the rate of reads times the wait before them.
-     */
+    /** Number of unread requests on the machine, by Little's law: read rate times mean time until the read. */
     double unreadRequests() {
         return readRate() * queuedSeconds.value();
     }
 
-    /** Requests completed a second. */
+    /** Requests completed per second. */
     double completionRate() {
         return completions.perSecond(context.now());
     }
 
-    /** Requests of the queue that are started a second; 0 as long as that is not known. */
+    /** Queued requests started per second; 0 while unknown. */
     double startRate() {
-        // What peers complete is known sooner than what this server does.
+        // Shortly after the start, the peers' completion rate is known before this server's own.
         boolean starting = context.now() < OBJECTIVES_UNTIL_OWN_RATE * context.shortestObjectiveSeconds();
-        double heard = starting ? peersCompletionRate * context.serverSpeed() : 0;
-        double rate = Math.max(completionRate(), heard);
-        return context.now() < AdmissionContext.START_SECONDS && heard <= 0 ? 0 : rate;
+        double learnedRate = starting ? peerCompletionRate * context.serverSpeed() : 0;
+        double rate = Math.max(completionRate(), learnedRate);
+        return context.now() < AdmissionContext.START_SECONDS && learnedRate <= 0 ? 0 : rate;
     }
 
     /**
-     * The length that the queue should have, K in the paper: what is completed in half the shortest latency objective,
-     * so that waiting leaves time to run; at least one request for each core.
+     * The target length of the queue, K in the paper that {@link AdmissionLevel} cites: the number of requests completed
+     * in half the shortest latency objective, so that queued requests still have time to run; at least one request per
+     * core.
      */
     double queueTarget() {
         return Math.max(context.settings().cores(),
                 completionRate() * context.shortestObjectiveSeconds() * WAITING_SHARE_OF_OBJECTIVE);
     }
 
-    /** Takes in what a peer learned of run times and completions, weighed for this machine. */
+    /** Takes run times and completion rates of peers as starting values, scaled by the speed of this server. */
     void learn(LearnedEstimate estimate) {
         if (estimate.kind() == Kind.COMPLETION_RATE) {
-            peersCompletionRate = estimate.value();
+            peerCompletionRate = estimate.value();
         } else if (estimate.kind() == Kind.RUN_TIME) {
             runTimes.forEach((requestClass, runTime) -> {
                 if (requestClass.name().equals(estimate.subject())) {
