--- a/src/main/java/topazladder/admission/RequestQueue.java
+++ b/src/main/java/topazladder/admission/RequestQueue.java
@@ -4,18 +4,20 @@
 import java.util.List;
 
 /**
- * Owns the list of the requests that wait for a core, and their order: higher priority weight first, against a flood of
- * cheap requests that came before the dear ones; among equals the oldest first. Once the queue has stood at twice its
- * target or more for the shortest latency objective, it is the newest first: the oldest would all come too late.
+ * Requests that wait for a core, ordered by priority weight, so that a flood of low-priority requests does not delay
+ * later ones of high priority. Requests of the same weight are started oldest first. Once the queue has been at least
+ * twice its target length for the shortest latency objective, they are started newest first, as the oldest ones would
+ * all finish too late.
  */
 final class RequestQueue {
-    private static final double FULL_QUEUE_PER_TARGET = 2;
+    /** Queue length, as a multiple of the target, from which the queue counts as too long. */
+    private static final double LONG_QUEUE_PER_TARGET = 2;
 
     private final AdmissionContext context;
     private final WorkloadStatistics statistics;
-    /** By arrival; emptied by starts and endings. */
+    /** In the order in which they were queued; a request leaves the list when it is started or ends. */
     private final List<TrackedRequest> queued = new ArrayList<>();
-    private double fullSince = Double.POSITIVE_INFINITY;
+    private double tooLongSince = Double.POSITIVE_INFINITY;
 
     RequestQueue(AdmissionContext context, WorkloadStatistics statistics) {
         this.context = context;
@@ -38,24 +40,24 @@
         return queued.isEmpty();
     }
 
-    /** A copy, for whoever ends requests on the way. */
+    /** Returns a copy, so that requests can be ended while it is iterated. */
     List<TrackedRequest> snapshot() {
         return List.copyOf(queued);
     }
 
-    /** The one to start next; the queue must not be empty. */
+    /** The request to start next; the queue must not be empty. */
     TrackedRequest first() {
         return queued.stream().reduce((a, b) -> startsAfter(a, b) ? b : a).get();
     }
 
-    /** How many others start before it. */
+    /** Number of queued requests that would be started before the given one. */
     long countAheadOf(TrackedRequest request) {
         return queued.stream().filter(other -> other != request && !startsAfter(other, request)).count();
     }
 
     void tick() {
-        fullSince = queued.size() >= FULL_QUEUE_PER_TARGET * statistics.queueTarget()
-                ? Math.min(fullSince, context.now()) : Double.POSITIVE_INFINITY;
+        tooLongSince = queued.size() >= LONG_QUEUE_PER_TARGET * statistics.queueTarget()
+                ? Math.min(tooLongSince, context.now()) : Double.POSITIVE_INFINITY;
     }
 
     private boolean startsAfter(TrackedRequest a, TrackedRequest b) {
@@ -64,7 +66,7 @@
         if (weightOfA != weightOfB) {
             return weightOfA < weightOfB;
         }
-        boolean newestFirst = context.now() - fullSince > context.shortestObjectiveSeconds();
+        boolean newestFirst = context.now() - tooLongSince > context.shortestObjectiveSeconds();
         return newestFirst ? a.arrivedAt < b.arrivedAt : a.arrivedAt > b.arrivedAt;
     }
 }
--- a/src/main/java/topazladder/admission/RetryAdvice.java
+++ b/src/main/java/topazladder/admission/RetryAdvice.java
@@ -4,23 +4,23 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Rejects requests, and advises their callers when to retry here and whether to retry elsewhere.
+ * Rejects requests and advises their callers when to retry on this server and whether to retry on another one.
  *
- * <p>Retry-After, in seconds, is at most {@link AdmissionSettings#maxRetryAfterSeconds}, and
+ * <p>Retry-After, in seconds, is capped at {@link AdmissionSettings#maxRetryAfterSeconds}, and is
  *
  * <ul>
- * <li>0, for no advice, where the settings don't allow any;
- * <li>the time until the queue is back at its target, {@code max(0, queued - target) / completions a second}, as a
- * retry before that would be rejected again;
- * <li>the shortest latency objective of all classes while the rate of completions is unknown, or the server drains;
- * <li>a tenth of the window of the request's idempotency key where there is no memory for another key, as
- * {@link IdempotencyGuard} advises by itself.
+ * <li>0, which means no advice, if the settings do not allow it;
+ * <li>the time until the queue is back at its target, {@code max(0, queued - target) / completionRate}, as an earlier
+ * retry would be rejected again;
+ * <li>the shortest latency objective of all classes while the completion rate is unknown or the server drains;
+ * <li>a tenth of the window of the idempotency key, set by {@link IdempotencyGuard}, if there is no memory for another
+ * key.
  * </ul>
  *
- * <p>Where all servers are full, each retry costs a read somewhere and makes it worse for all. Whether that is so shows
- * in how many of the requests that come are retries: a retry is always advised against another one, a first try with
- * ten times the share of retries as its probability, as a tenth of retries is sign enough. A server that drains
- * advises to go elsewhere.
+ * <p>When all servers are overloaded, each retry costs some server a read and adds to the overload. The share of
+ * retries among arriving requests indicates that state. A rejected retry is therefore always advised against retrying
+ * elsewhere, and a first attempt with a probability of ten times the share of retries, as a share of a tenth already
+ * indicates overload of the fleet. A draining server never advises against retrying elsewhere.
  */
 final class RetryAdvice {
     private static final double PROBABILITY_PER_RETRY_SHARE = 10;
@@ -37,12 +37,12 @@
         this.drain = drain;
     }
 
-    /** Rejects the request with both kinds of advice. */
+    /** Rejects the request with the advice derived from the current load. */
     void reject(TrackedRequest request, GiveUpReason reason) {
-        reject(request, queueDrainSeconds(), isFleetFull(request), reason);
+        reject(request, queueDrainSeconds(), isFleetOverloaded(request), reason);
     }
 
-    /** Rejects the request with an advice of the caller's own. */
+    /** Rejects the request with the given advice; the Retry-After is capped as the settings say. */
     void reject(TrackedRequest request, double retryAfterSeconds, boolean doNotRetryElsewhere, GiveUpReason reason) {
         AdmissionSettings settings = context.settings();
         double maxSeconds = settings.retryAfterAllowed() ? settings.maxRetryAfterSeconds() : 0;
@@ -53,15 +53,11 @@
 
     private double queueDrainSeconds() {
         double rate = drain.isDraining() ? 0 : statistics.completionRate();
-        return rate <= 0 ? secondsWithoutKnownRate()
+        return rate <= 0 ? context.shortestObjectiveSeconds()
                 : Math.max(0, queue.size() - statistics.queueTarget()) / rate;
     }
 
-    private double secondsWithoutKnownRate() {
-        return context.shortestObjectiveSeconds();
-    }
-
-    private boolean isFleetFull(TrackedRequest request) {
+    private boolean isFleetOverloaded(TrackedRequest request) {
         return !drain.isDraining() && (request.request.retry()
                 || context.random().nextDouble() < PROBABILITY_PER_RETRY_SHARE * statistics.retryShare());
     }
