--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -103,7 +103,7 @@
             }
             uncertainStarts.startConfirmed(tracked);
             concurrencyLimiter.leaveCores(tracked);
-            admissionQueue.startWhatHasRoom();
+            admissionQueue.startRequestsThatFit();
             if (tracked.answered) {
                 // No call is made for a result that nobody waits for. The decision lets the host of the controller end
                 // the run at its call. The dispatcher of a service sends no second answer for it, and its runtime ends
@@ -160,7 +160,7 @@
     /** A tick scheduled by {@link Decision.ScheduleTick} is due. */
     public List<Decision> tick(double time, RuntimeGauges gauges) {
         return decide(time, () -> {
-            answerWhatIsDue();
+            answerDueRequests();
             idempotencyGuard.tick();
             admissionLevel.tick();
             admissionQueue.tick();
@@ -198,7 +198,7 @@
 
     private List<Decision> decide(double time, Runnable event) {
         if (time > context.now()) {
-            registry.timeGoesOn();
+            registry.timeAdvanced();
         }
         context.setNow(time);
         event.run();
@@ -214,7 +214,7 @@
         });
     }
 
-    private void answerWhatIsDue() {
+    private void answerDueRequests() {
         for (TrackedRequest request : registry.snapshot()) {
             boolean due = context.now() + context.tickSeconds() >= Math.min(request.deadline, drain.lastAnswerAt());
             if (!request.answered && due) {
@@ -269,8 +269,8 @@
         idempotencyGuard.onClosing(request);
         memory.move(request, Phase.CLOSED);
         registry.remove(request);
-        idempotencyGuard.releaseFollowers(request);
-        admissionQueue.startWhatHasRoom();
+        idempotencyGuard.releaseDuplicates(request);
+        admissionQueue.startRequestsThatFit();
     }
 
     /** Gives the stages access to {@code giveUp} and {@code close} without making them public. */
--- a/src/main/java/topazladder/admission/AdmissionLevel.java
+++ b/src/main/java/topazladder/admission/AdmissionLevel.java
@@ -71,7 +71,7 @@
         nextUpdateAt = context.now() + updateSeconds;
         double before = cut;
         moveTowards(workFactor());
-        ranks.fade(Math.exp(-updateSeconds / context.shortestObjectiveSeconds()));
+        ranks.decay(Math.exp(-updateSeconds / context.shortestObjectiveSeconds()));
         if (cut != before && context.settings().admissionLevelUnit() == AdmissionLevelUnit.MIN_RANK) {
             context.emit(new Decision.PostAdmissionLevel(cut));
         }
--- a/src/main/java/topazladder/admission/AdmissionQueue.java
+++ b/src/main/java/topazladder/admission/AdmissionQueue.java
@@ -37,22 +37,22 @@
                 || cores.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
             endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
         } else {
-            startWhatHasRoom();
+            startRequestsThatFit();
         }
     }
 
     private double expectedWaitSeconds(TrackedRequest request) {
-        if (cores.hasRoomFor(request)) {
+        if (cores.canStart(request)) {
             return 0;
         }
         double startRate = statistics.startRate();
         return startRate <= 0 ? 0 : queue.countAheadOf(request) / startRate;
     }
 
-    void startWhatHasRoom() {
+    void startRequestsThatFit() {
         while (!queue.isEmpty()) {
             TrackedRequest first = queue.first();
-            if (!cores.hasRoomFor(first)) {
+            if (!cores.canStart(first)) {
                 return;
             }
             queue.remove(first);
@@ -76,6 +76,6 @@
             }
         }
         queue.tick();
-        startWhatHasRoom();
+        startRequestsThatFit();
     }
 }
--- a/src/main/java/topazladder/admission/ConcurrencyLimiter.java
+++ b/src/main/java/topazladder/admission/ConcurrencyLimiter.java
@@ -55,8 +55,8 @@
         limit = context.settings().cores();
     }
 
-    boolean hasRoomFor(TrackedRequest request) {
-        return running < limit && fitsWithOtherWork() && fitsCollapseBound() && memory.hasRoomToStart(request);
+    boolean canStart(TrackedRequest request) {
+        return running < limit && fitsWithOtherWork() && fitsCollapseBound() && memory.fitsStartOf(request);
     }
 
     private boolean fitsWithOtherWork() {
--- a/src/main/java/topazladder/admission/IdempotencyGuard.java
+++ b/src/main/java/topazladder/admission/IdempotencyGuard.java
@@ -7,15 +7,15 @@
 import topazladder.request.RequestClass.Idempotency;
 
 /**
- * Lets no request with an idempotency key run twice within the window of its key. A duplicate is answered from the
- * result of its original if that has run. If the original is still queued, the duplicate waits for what becomes of it,
- * and takes its place if that ends without a run.
+ * Ensures that no request with an idempotency key runs twice within the window of its key. If the original has run or
+ * is running, a duplicate is answered with its result. If the original has not started yet, the duplicate waits for it
+ * to end, and takes its place if it ends without a run.
  *
- * <p>A request whose key can't be remembered for want of memory is rejected, as without the key it could run twice.
+ * <p>A request whose key cannot be stored for lack of memory is rejected, as without the key it could run twice.
  */
 final class IdempotencyGuard implements Stage {
     /**
-     * Memory of keys comes free as windows end, not as load falls: after a tenth of a window there is room for some.
+     * Key memory is freed as key windows end, not as load falls, so after a tenth of a window some of it is free again.
      */
     private static final double RETRY_AFTERS_PER_WINDOW = 10;
 
@@ -47,17 +47,18 @@
         TrackedRequest original = registry.find(request.request.original());
         if (original != null && !original.mayHaveTakenEffect) {
             memory.move(request, Phase.WAITING_FOR_ORIGINAL);
-            original.followers.add(request);
-        } else if (request.request.duplicate() && !registry.endedUnrunNow(request.request.original())) {
+            original.waitingDuplicates.add(request);
+        } else if (request.request.duplicate() && !registry.endedUnstartedAtCurrentTime(request.request.original())) {
             answerFromOriginal(request);
         } else {
-            admitFirst(request);
+            admitOriginal(request);
         }
     }
 
-    private void admitFirst(TrackedRequest request) {
+    /** Admits the first request with its key and stores the key. */
+    private void admitOriginal(TrackedRequest request) {
         double windowSeconds = request.requestClass.idempotencyWindowSeconds();
-        if (!memory.hasRoomForAnotherKey()) {
+        if (!memory.fitsAnotherKey()) {
             retryAdvice.reject(request, windowSeconds / RETRY_AFTERS_PER_WINDOW, false,
                     GiveUpReason.IDEMPOTENCY_KEY_MEMORY);
             endings.close(request);
@@ -65,8 +66,8 @@
         }
         next.admit(request);
         if (request.phase != Phase.CLOSED && windowSeconds > 0) {
-            // From its reading on, not from its arrival: a duplicate that came within a short window may lie unread as
-            // long as this one did, and would run as well if the window had ended meanwhile.
+            // The window starts when the request is read, not when it arrived. A duplicate that arrived within a short
+            // window may stay unread as long as this one did, and would run too if the window had ended meanwhile.
             context.emit(new Decision.RememberIdempotencyKey(request.request, windowSeconds));
             keys.remember(request, context.now() + windowSeconds);
         }
@@ -77,26 +78,27 @@
         context.emit(new Decision.AnswerFromOriginal(request.request));
     }
 
-    /** Forgets the key of a request that ends without a run, so that a retry may run. */
+    /** Deletes the key of a request that ends without a run, so that a retry may run. */
     void onClosing(TrackedRequest request) {
-        // Also past its window: a duplicate that came within it and is read now would wait for a run that never was.
+        // The key is deleted past its window too. Otherwise a duplicate that arrived within the window and is read now
+        // would wait for a run that never started.
         if (!request.mayHaveTakenEffect && request.keyRememberedUntil > 0) {
             keys.forget(request);
             context.emit(new Decision.ForgetIdempotencyKey(request.request));
         }
     }
 
-    /** Lets the duplicates that wait for a request go on, now that it is over. */
-    void releaseFollowers(TrackedRequest original) {
-        List<TrackedRequest> waiting = original.followers.stream()
-                .filter(follower -> follower.phase == Phase.WAITING_FOR_ORIGINAL).toList();
+    /** Answers or admits the duplicates that waited for this request to end. */
+    void releaseDuplicates(TrackedRequest original) {
+        List<TrackedRequest> waiting = original.waitingDuplicates.stream()
+                .filter(duplicate -> duplicate.phase == Phase.WAITING_FOR_ORIGINAL).toList();
         if (original.mayHaveTakenEffect) {
             waiting.forEach(this::answerFromOriginal);
         } else if (!waiting.isEmpty()) {
             TrackedRequest successor = waiting.get(0);
-            successor.followers.addAll(waiting.subList(1, waiting.size()));
+            successor.waitingDuplicates.addAll(waiting.subList(1, waiting.size()));
             memory.move(successor, Phase.QUEUED);
-            admitFirst(successor);
+            admitOriginal(successor);
         }
     }
 
--- a/src/main/java/topazladder/admission/MemoryBudget.java
+++ b/src/main/java/topazladder/admission/MemoryBudget.java
@@ -3,18 +3,18 @@
 import topazladder.admission.TrackedRequest.Phase;
 
 /**
- * Owns the account of memory: {@code queued + running * runMemoryFactor + remembered keys}, in kilobytes. A request
- * that only waits takes what it took on reading; from its start to its end it takes that times the factor.
+ * Tracks memory use, in kilobytes: {@code queued + running * runMemoryFactor + stored keys}. A waiting request occupies
+ * the memory that it needed when it was read; from its start to its end it occupies that times the factor.
  */
 final class MemoryBudget {
-    /** Decisions take effect late and costs are rounded, so the last of the memory is never planned for. */
+    /** Decisions take effect with a delay and sizes are rounded, so 5 % of the memory is kept free. */
     private static final double USABLE_SHARE = 0.95;
-    private static final int COST_WINDOW_REQUESTS = 10;
+    private static final int REQUEST_SIZE_WINDOW_REQUESTS = 10;
 
     private final AdmissionContext context;
     private final RememberedKeys keys;
-    private final ExponentialMean requestKilobytes = new ExponentialMean(COST_WINDOW_REQUESTS);
-    private double takenKilobytes;
+    private final ExponentialMean requestKilobytes = new ExponentialMean(REQUEST_SIZE_WINDOW_REQUESTS);
+    private double usedKilobytes;
 
     MemoryBudget(AdmissionContext context, RememberedKeys keys) {
         this.context = context;
@@ -23,43 +23,44 @@
 
     /** Charges a request that has just arrived. */
     void charge(TrackedRequest request) {
-        takenKilobytes += cost(request);
+        usedKilobytes += sizeOf(request);
     }
 
-    /** Moves the request to another phase and charges what it takes there. */
+    /** Moves the request to another phase and charges the memory that it occupies in that phase. */
     void move(TrackedRequest request, Phase phase) {
-        takenKilobytes -= cost(request);
+        usedKilobytes -= sizeOf(request);
         request.phase = phase;
-        takenKilobytes += cost(request);
+        usedKilobytes += sizeOf(request);
     }
 
-    /** Counts a request for the mean cost. */
-    void read(TrackedRequest request) {
+    /** Adds the request to the mean request size. */
+    void recordSize(TrackedRequest request) {
         requestKilobytes.add(request.request.memoryKilobytes(), context.now());
     }
 
-    boolean hasRoomFor(double moreKilobytes) {
-        return takenKilobytes + keys.kilobytes() + moreKilobytes <= usableKilobytes();
+    /** Whether that many kilobytes more fit into the memory. */
+    boolean fits(double moreKilobytes) {
+        return usedKilobytes + keys.kilobytes() + moreKilobytes <= usableKilobytes();
     }
 
-    /** Whether the start of a queued request fits in. */
-    boolean hasRoomToStart(TrackedRequest request) {
-        return hasRoomFor(request.request.memoryKilobytes() * (context.settings().runMemoryFactor() - 1));
+    /** Whether the memory suffices to start a queued request. */
+    boolean fitsStartOf(TrackedRequest request) {
+        return fits(request.request.memoryKilobytes() * (context.settings().runMemoryFactor() - 1));
     }
 
-    /** Whether another key fits in beside what is in flight, and beside the runs that fill the cores. */
-    boolean hasRoomForAnotherKey() {
-        double toFillCores =
+    /** Whether another key fits, next to the requests in flight and next to one mean run per core. */
+    boolean fitsAnotherKey() {
+        double kilobytesOfFullCores =
                 context.settings().cores() * requestKilobytes.value() * context.settings().runMemoryFactor();
         return keys.kilobytes() + keys.kilobytesPerKey()
-                + Math.max(takenKilobytes, toFillCores) <= usableKilobytes();
+                + Math.max(usedKilobytes, kilobytesOfFullCores) <= usableKilobytes();
     }
 
     private double usableKilobytes() {
         return context.settings().memoryKilobytes() * USABLE_SHARE;
     }
 
-    private double cost(TrackedRequest request) {
+    private double sizeOf(TrackedRequest request) {
         return switch (request.phase) {
             case CLOSED -> 0;
             case QUEUED, WAITING_FOR_ORIGINAL -> request.request.memoryKilobytes();
--- a/src/main/java/topazladder/admission/MemoryGuard.java
+++ b/src/main/java/topazladder/admission/MemoryGuard.java
@@ -3,7 +3,8 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Rejects what does not fit into the memory. A request is charged from its reading on, so its rejection frees memory.
+ * Gives up requests that do not fit into the memory. A request is charged as soon as it is read, so giving it up frees
+ * memory.
  */
 final class MemoryGuard implements Stage {
     private final MemoryBudget memory;
@@ -18,8 +19,8 @@
 
     @Override
     public void admit(TrackedRequest request) {
-        memory.read(request);
-        if (memory.hasRoomFor(0)) {
+        memory.recordSize(request);
+        if (memory.fits(0)) {
             next.admit(request);
         } else {
             endings.giveUp(request, GiveUpReason.OUT_OF_MEMORY);
--- a/src/main/java/topazladder/admission/RankHistogram.java
+++ b/src/main/java/topazladder/admission/RankHistogram.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Counts requests by rank, from 0 to 1, in bins of equal width; old requests fade. */
+/** Histogram of request ranks from 0 to 1, in bins of equal width, with decaying counts. */
 final class RankHistogram {
     private static final int BINS = 256;
 
@@ -13,15 +13,15 @@
     }
 
     /** Multiplies every count by the factor, from 0 to 1. */
-    void fade(double factor) {
+    void decay(double factor) {
         Arrays.setAll(counts, bin -> counts[bin] * factor);
     }
 
-    /** The rank that halves the requests ranked at or above another, rounded up to the edge of a bin. */
+    /** The median of the ranks at or above the given rank, rounded up to the edge of a bin. */
     double medianFrom(double rank) {
-        int from = (int) Math.round(rank * BINS);
-        double half = Arrays.stream(counts, from, BINS).sum() / 2;
-        int bin = from;
+        int firstBin = (int) Math.round(rank * BINS);
+        double half = Arrays.stream(counts, firstBin, BINS).sum() / 2;
+        int bin = firstBin;
         for (double sum = 0; bin < BINS && sum < half; bin++) {
             sum += counts[bin];
         }
--- a/src/main/java/topazladder/admission/RememberedKeys.java
+++ b/src/main/java/topazladder/admission/RememberedKeys.java
@@ -3,8 +3,9 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Owns the list of remembered idempotency keys; emptied as windows end, and by requests that end without a run. */
+/** Stored idempotency keys. A key is removed when its window ends or when its request ends without a run. */
 final class RememberedKeys {
+    /** Requests whose keys are stored, ordered by the end of the key window. */
     private final PriorityQueue<TrackedRequest> requests =
             new PriorityQueue<>(Comparator.comparingDouble((TrackedRequest request) -> request.keyRememberedUntil));
     private final double kilobytesPerKey;
--- a/src/main/java/topazladder/admission/RequestEndings.java
+++ b/src/main/java/topazladder/admission/RequestEndings.java
@@ -2,15 +2,15 @@
 
 import topazladder.request.GiveUpReason;
 
-/** Ends requests, on behalf of the rules. */
+/** Lets stages end requests. */
 interface RequestEndings {
 
     /**
-     * Answers the request without a result, and stops the work on it. It is rejected if it was not started or is
-     * retry-safe, else failed. A run that can't be cancelled goes on, and keeps its place until it ends.
+     * Answers the request without a result and stops the work on it. The request is rejected if it was not started or
+     * is retry-safe, else failed. A run that cannot be cancelled continues and counts as running until it ends.
      */
     void giveUp(TrackedRequest request, GiveUpReason reason);
 
-    /** Lets every rule know that the request is over, and forgets it. */
+    /** Ends the request: every stage releases what it holds for it, and the request is no longer in flight. */
     void close(TrackedRequest request);
 }
--- a/src/main/java/topazladder/admission/RequestRegistry.java
+++ b/src/main/java/topazladder/admission/RequestRegistry.java
@@ -8,11 +8,11 @@
 import java.util.Set;
 import topazladder.request.Request;
 
-/** Owns the list of all requests in flight, in the order of their arrival; emptied as they end. */
+/** All requests in flight, in the order in which they were read. */
 final class RequestRegistry {
     private final Map<Request, TrackedRequest> inFlight = new LinkedHashMap<>();
-    /** Ended without a run at this very time; emptied as time goes on. */
-    private final Set<Request> endedUnrunNow = new HashSet<>();
+    /** Requests that ended without a run at the current time; cleared when the time advances. */
+    private final Set<Request> endedUnstartedAtCurrentTime = new HashSet<>();
 
     void add(TrackedRequest tracked) {
         inFlight.put(tracked.request, tracked);
@@ -21,15 +21,15 @@
     void remove(TrackedRequest tracked) {
         inFlight.remove(tracked.request);
         if (!tracked.mayHaveTakenEffect) {
-            endedUnrunNow.add(tracked.request);
+            endedUnstartedAtCurrentTime.add(tracked.request);
         }
     }
 
-    void timeGoesOn() {
-        endedUnrunNow.clear();
+    void timeAdvanced() {
+        endedUnstartedAtCurrentTime.clear();
     }
 
-    /** The request if it is in flight, else null; null for null. */
+    /** The tracked request if it is in flight, else null; null for null. */
     TrackedRequest find(Request request) {
         return request == null ? null : inFlight.get(request);
     }
@@ -38,16 +38,19 @@
         return inFlight.containsKey(request);
     }
 
-    /** Whether it has ended without a run at this very time, so that its key is forgotten only now. */
-    boolean endedUnrunNow(Request request) {
-        return endedUnrunNow.contains(request);
+    /**
+     * Whether the request ended without a run at the current time. Its key is deleted only now, so a duplicate read at
+     * the same time may still be marked as one.
+     */
+    boolean endedUnstartedAtCurrentTime(Request request) {
+        return endedUnstartedAtCurrentTime.contains(request);
     }
 
     Collection<TrackedRequest> all() {
         return inFlight.values();
     }
 
-    /** A copy, for whoever ends requests on the way. */
+    /** Returns a copy, so that requests can be ended while it is iterated. */
     List<TrackedRequest> snapshot() {
         return List.copyOf(inFlight.values());
     }
