--- a/src/main/java/topazladder/admission/WorkloadStatistics.java
+++ b/src/main/java/topazladder/admission/WorkloadStatistics.java
@@ -101,9 +101,8 @@
     }
 
     /**
-     * The target length of the queue, K in the paper that {@link AdmissionLevel} cites: the number of requests completed
-     * in half the shortest latency objective, so that queued requests still have time to run; at least one request per
-     * core.
+     * The target length of the queue, K in the paper that {@link AdmissionLevel} cites: the requests completed in half
+     * the shortest latency objective, so that queued requests still have time to run; at least one request per core.
      */
     double queueTarget() {
         return Math.max(context.settings().cores(),
