--- a/src/test/java/topazladder/admission/AdmissionControllerTest.java
+++ b/src/test/java/topazladder/admission/AdmissionControllerTest.java
@@ -12,11 +12,11 @@
 import topazladder.request.LearnedEstimate.Kind;
 import topazladder.request.Outcome;
 
-/** Each test plays a short scenario and compares what was decided with a trace kept for readers. */
+/** Each test runs a short scenario and compares its events and decisions with a recorded trace. */
 class AdmissionControllerTest {
 
     @Test
-    void queuedRequestIsRejectedOnceItsAnswerCanNoLongerEarnAnything() {
+    void queuedRequestIsRejectedOnceItsAnswerWouldHaveNoValue() {
         // given
         AdmissionScenario server = started().arrive("a", READ).arrive("b", READ);
         // when
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void runningRequestIsAnsweredAtItsDeadlineAlthoughItRunsOn() {
+    void runningRequestIsAnsweredAtItsDeadlineAlthoughItsRunContinues() {
         // given
         AdmissionScenario server = started().arrive("a", PLACE);
         // when
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void queuedDuplicatesOfOneIdempotencyKeyRunOnce() {
+    void queuedDuplicatesOfOneIdempotencyKeyRunOnlyOnce() {
         // given
         AdmissionScenario server = started().arrive("x", PLACE);
         // when
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void duplicateOfARequestThatNeverRanTakesItsPlace() {
+    void duplicateReplacesAnOriginalThatNeverRan() {
         // given
         AdmissionScenario server = started().arrive("x", READ);
         // when
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void dependencyCallWithAnEffectIsRetriedOnlyIfTheLastHadNone() {
+    void dependencyCallIsRetriedOnlyIfThePreviousOneHadNoEffect() {
         // given
         AdmissionScenario server = started().arrive("a", ISSUE).at(0.2).requestCall("a");
         // when
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void queuedRunningAndRememberedShareTheMemory() {
+    void queuedRequestsRunsAndStoredKeysShareTheMemory() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.memoryKilobytes(400));
         // when
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void idempotencyKeysTakeMemoryToTheEndOfTheirWindowsAlsoAfterTheRun() {
+    void idempotencyKeysOccupyMemoryUntilTheEndOfTheirWindows() {
         // given
         AdmissionScenario server = started().unrecorded(s -> {
             for (int i = 0; i < 16; i++) {
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void drainRunsNothingThatCameAfterTheGraceAndAnswersAllBeforeTheStop() {
+    void drainRejectsRequestsAfterTheGracePeriodAndAnswersAllBeforeTheStop() {
         // given
         AdmissionScenario server = started().arrive("a", PLACE).arrive("b", PLACE);
         // when
@@ -122,7 +122,7 @@
     }
 
     @Test
-    void coldServerKeepsItsConcurrencyBelowWhatItSurvives() {
+    void coldServerLimitsItsConcurrencyBelowItsCollapsePoint() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.memoryKilobytes(10000).coldStart(true)
                 .coldSpeed(0.2).warmUpSeconds(16));
@@ -135,7 +135,7 @@
     }
 
     @Test
-    void levelRisesInStepsUnderOverloadIsEnforcedAndFallsWhenTheQueueIsShort() {
+    void admissionLevelRisesInStepsUnderOverloadAndFallsWhenTheQueueIsShort() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.memoryKilobytes(100000));
         // when
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void rejectedRequestsAreNotRetriedElsewhereWhereManyAreRetries() {
+    void rejectionAdvisesAgainstRetryingElsewhereWhenManyRequestsAreRetries() {
         // given
         AdmissionScenario server = started().arrive("x", PLACE);
         // when
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void lostCallIsRetriedOnceIfRetrySafeAndTimesOutAfterFourTimesTheUsual() {
+    void retrySafeCallIsRetriedOnceAfterALostConnectionAndTimesOutAtFourTimesTheMean() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.cores(4).memoryKilobytes(10000));
         for (int i = 0; i < 40; i++) {
@@ -172,7 +172,7 @@
     }
 
     @Test
-    void callThatCannotBeSkippedIsMadeHoweverSlowTheLastWere() {
+    void callThatCannotBeSkippedIsMadeHoweverSlowThePreviousCallsWere() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.cores(4).memoryKilobytes(10000));
         for (int i = 0; i < 4; i++) {
@@ -186,7 +186,7 @@
     }
 
     @Test
-    void callsArePacedWhileTheyAreSlowAndThoseThatCanBeSkippedGiveWay() {
+    void slowCallsAreLimitedAndThoseThatCanBeSkippedAreSkippedFirst() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.dependencyTopology(DependencyTopology.SHARED)
                 .dependencyCallQuota(1).dependencyQuotaSpanSeconds(5).cores(4).memoryKilobytes(10000));
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void requestsThatWaitForACallCountAsConcurrencyThatMayComeBack() {
+    void requestsWaitingForACallCountTowardsTheConcurrencyLimit() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.memoryKilobytes(10000).coldStart(true)
                 .coldSpeed(0.2).warmUpSeconds(16).dependencyTopology(DependencyTopology.SHARED)
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void connectionsOfRareCallersAreClosedWhileCoresIdleAndKeptWhileNewcomersCrowdThem() {
+    void idleConnectionsAreClosedWhileCoresAreIdleAndKeptWhileOtherWorkLoadsThem() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.callers(100).maxConnectionIdleSeconds(30));
         for (int i = 0; i < 16; i++) {
@@ -235,7 +235,7 @@
     }
 
     @Test
-    void withNothingLearnedFromPeersAllIsDecidedAsBeforeThatWasPossible() {
+    void withoutEstimatesFromPeersDecisionsAreUnchanged() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.cores(2).memoryKilobytes(2000)
                 .dependencyTopology(DependencyTopology.SHARED).dependencyCallQuota(2));
@@ -246,7 +246,7 @@
     }
 
     @Test
-    void peersCompletionRateRejectsAtOnceWhatCannotEndInTime() {
+    void requestThatCannotFinishInTimeByThePeersCompletionRateIsRejectedAtOnce() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.memoryKilobytes(10000))
                 .learn(Kind.COMPLETION_RATE, "", 1, 30).learn(Kind.RUN_TIME, "read", 0.4, 3);
@@ -260,7 +260,7 @@
     }
 
     @Test
-    void learnedRunTimesGrowWithTheSlownessOfAColdServerAndNeverMakeHopelessWhatCouldStart() {
+    void learnedRunTimesAreScaledForAColdServerAndNeverPreventAnImmediateStart() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.memoryKilobytes(10000).coldStart(true)
                 .coldSpeed(0.2).warmUpSeconds(16))
@@ -274,7 +274,7 @@
     }
 
     @Test
-    void learnedCallsLiftNoBoundOnTheDependencyAndOwnOnesOverruleThem() {
+    void learnedCallsInFlightDoNotRaiseTheDependencyLimitAndOwnMeasurementsReplaceThem() {
         // given
         AdmissionScenario server = startedWith(settings -> settings.dependencyTopology(DependencyTopology.SHARED)
                 .dependencyCallQuota(2).dependencyQuotaSpanSeconds(5).cores(4).memoryKilobytes(10000))
@@ -290,7 +290,7 @@
     }
 
     @Test
-    void onlyWhatAWarmServerHasMeasuredItselfIsHandedOn() {
+    void onlyEstimatesMeasuredByAWarmServerItselfAreShared() {
         // given
         AdmissionScenario warm = startedWith(settings -> settings.cores(4).memoryKilobytes(10000))
                 .learn(Kind.RUN_TIME, "read", 0.9, 3).recordEstimates();
--- a/src/test/java/topazladder/admission/AdmissionControllerTraceTest.java
+++ b/src/test/java/topazladder/admission/AdmissionControllerTraceTest.java
@@ -9,16 +9,16 @@
 import topazladder.admission.AdmissionSettings.RunCancellation;
 
 /**
- * Guards against a change of any decision by a change that is meant to change none: all decisions of long random runs,
- * to the last bit of their numbers, have the digest that they had before.
+ * Guards against refactorings that change a decision unintentionally: the decisions of long random runs, with numbers
+ * compared bit for bit, must have the recorded digest.
  */
 class AdmissionControllerTraceTest {
-    private static final List<String> ALL_KINDS = List.of("answer-from-original", "call-dependency", "cancel-run",
-            "close-idle-connections", "fail", "forget-idempotency-key", "post-admission-level", "reject",
+    private static final List<String> ALL_DECISION_KINDS = List.of("answer-from-original", "call-dependency",
+            "cancel-run", "close-idle-connections", "fail", "forget-idempotency-key", "post-admission-level", "reject",
             "remember-idempotency-key", "schedule-tick", "set-health", "skip-dependency-call", "start");
 
     @Test
-    void coldServerWithASharedDependencyDecidesAsRecorded() {
+    void decisionsOfAColdServerWithASharedDependencyMatchTheRecordedDigest() {
         RandomTraffic traffic = new RandomTraffic(AdmissionSettings.builder().cores(4).memoryKilobytes(6000)
                 .runMemoryFactor(8).idempotencyKeyKilobytes(40).tickSeconds(0.02).answerSlackSeconds(0.4)
                 .drainGraceSeconds(1).collapseFactor(6).coldStart(true).coldSpeed(0.2).warmUpSeconds(16)
@@ -26,22 +26,22 @@
                 .admissionLevelUnit(AdmissionLevelUnit.MIN_RANK).maxConnectionIdleSeconds(30).callers(1000)
                 .dependencyTopology(DependencyTopology.SHARED).dependencyCallQuota(3)
                 .abandonedCallLingerSeconds(2), 20_261_201);
-        assertThat(traffic.play(40_000)).isEqualTo("d708d5d051b7573ccc4fa6f825df9405c4635ddcec9f7c60e892f96b6dbf6b70");
-        assertThat(traffic.kindsOfDecisions()).containsExactlyElementsOf(ALL_KINDS);
+        assertThat(traffic.run(40_000)).isEqualTo("d708d5d051b7573ccc4fa6f825df9405c4635ddcec9f7c60e892f96b6dbf6b70");
+        assertThat(traffic.decisionKinds()).containsExactlyElementsOf(ALL_DECISION_KINDS);
     }
 
     @Test
-    void warmServerWithinItsMemoryDecidesAsRecorded() {
+    void decisionsOfAWarmServerWithAmpleMemoryMatchTheRecordedDigest() {
         RandomTraffic traffic = new RandomTraffic(AdmissionSettings.builder().cores(2).memoryKilobytes(100_000)
                 .runMemoryFactor(2).tickSeconds(0.1).retryAfterAllowed(true).maxRetryAfterSeconds(5)
                 .admissionLevelUnit(AdmissionLevelUnit.MIN_RANK).admissionLevelValiditySeconds(2)
                 .dependencyTopology(DependencyTopology.NEXT_HOP), 7);
-        assertThat(traffic.play(40_000)).isEqualTo("9d3c1aa53cd534217f6c0f8ba6f17a00a0113f2c84a18d00643eb94505a05a8b");
+        assertThat(traffic.run(40_000)).isEqualTo("9d3c1aa53cd534217f6c0f8ba6f17a00a0113f2c84a18d00643eb94505a05a8b");
     }
 
     @Test
-    void serverWithDefaultsDecidesAsRecorded() {
-        assertThat(new RandomTraffic(AdmissionSettings.builder(), 11).play(20_000))
+    void decisionsOfAServerWithDefaultSettingsMatchTheRecordedDigest() {
+        assertThat(new RandomTraffic(AdmissionSettings.builder(), 11).run(20_000))
                 .isEqualTo("050bf0bcac8e6049591f1ddc590c5d6a122361d737b691620a40b94986cb5819");
     }
 }
--- a/src/test/java/topazladder/admission/RandomTraffic.java
+++ b/src/test/java/topazladder/admission/RandomTraffic.java
@@ -21,8 +21,9 @@
 import topazladder.request.RequestClass.Idempotency;
 
 /**
- * Plays random events to one admission controller, some of them impossible ones, with calm and crowded spells and a
- * graceful shutdown at the end. A seed plays the same each time, as long as the decisions are the same.
+ * Sends random events to one admission controller: alternating periods of normal load and overload, some events that do
+ * not apply to the state of their request, and a graceful shutdown at the end. The same seed gives the same events as
+ * long as the decisions are the same.
  */
 final class RandomTraffic {
     private static final List<RequestClass> CLASSES = List.of(
@@ -31,8 +32,8 @@
             new RequestClass("place", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0, 12, true, 0),
             new RequestClass("late", Idempotency.IDEMPOTENT_BY_KEY, 2, 5, 10, 0.5, 3, true, 0.2),
             new RequestClass("issue", Idempotency.AT_MOST_ONCE, 2, 5, 10, 0, 0, true, 0));
-    private static final int STEPS_PER_SPELL = 1000;
-    private static final int REMEMBERED_REQUESTS = 64;
+    private static final int STEPS_PER_LOAD_PERIOD = 1000;
+    private static final int MAX_RECENT_REQUESTS = 64;
 
     private final SplittableRandom random;
     private final AdmissionController controller;
@@ -40,7 +41,7 @@
     private final List<Request> running = new ArrayList<>();
     private final List<Request> calling = new ArrayList<>();
     private final Map<Request, Integer> numbers = new LinkedHashMap<>();
-    private final Set<String> kinds = new TreeSet<>();
+    private final Set<String> decisionKinds = new TreeSet<>();
     private final MessageDigest digest;
     private double now;
 
@@ -55,18 +56,18 @@
         }
     }
 
-    /** The digest of all decisions. */
-    String play(int steps) {
+    /** Runs that many steps and returns the SHA-256 digest of all decisions as hexadecimal digits. */
+    String run(int steps) {
         record(controller.start(0));
         for (int step = 0; step < steps; step++) {
-            boolean crowded = step / STEPS_PER_SPELL % 2 == 1;
-            now += random.nextDouble() * (crowded ? 0.02 : 0.12);
+            boolean overloaded = step / STEPS_PER_LOAD_PERIOD % 2 == 1;
+            now += random.nextDouble() * (overloaded ? 0.02 : 0.12);
             if (step == steps * 9 / 10) {
                 record(controller.drain(now, 20));
             }
-            event(crowded);
+            sendRandomEvent(overloaded);
             if (step % 5 == 0) {
-                record(controller.tick(now, gauges(crowded)));
+                record(controller.tick(now, gauges(overloaded)));
             }
             running.removeIf(request -> !controller.isInFlight(request));
             calling.removeIf(request -> !controller.isInFlight(request));
@@ -74,34 +75,34 @@
         return HexFormat.of().formatHex(digest.digest());
     }
 
-    /** The kinds of decisions that were made, sorted. */
-    Set<String> kindsOfDecisions() {
-        return kinds;
+    /** The kinds of the decisions made, sorted. */
+    Set<String> decisionKinds() {
+        return decisionKinds;
     }
 
-    private void event(boolean crowded) {
-        int dice = random.nextInt(100);
-        if (dice < (crowded ? 60 : 35)) {
-            arrive();
-        } else if (dice < 75) {
-            runEnds();
-        } else if (dice < 84 && !running.isEmpty()) {
+    private void sendRandomEvent(boolean overloaded) {
+        int choice = random.nextInt(100);
+        if (choice < (overloaded ? 60 : 35)) {
+            sendRandomRequest();
+        } else if (choice < 75) {
+            endRandomRun();
+        } else if (choice < 84 && !running.isEmpty()) {
             Request request = running.remove(random.nextInt(running.size()));
             record(controller.dependencyCallRequested(now, request));
-        } else if (dice < 93 && !calling.isEmpty()) {
-            callEnds(crowded);
-        } else if (dice < 95 && !recent.isEmpty()) {
-            record(controller.callerDisconnected(now, any(recent)));
-        } else if (dice < 96 && !running.isEmpty()) {
-            record(controller.startUncertain(now, any(running)));
-        } else if (dice < 97 && !recent.isEmpty()) {
-            record(controller.runEnded(now, any(recent), Outcome.NOT_STARTED, 0));
-        } else if (dice < 98) {
+        } else if (choice < 93 && !calling.isEmpty()) {
+            endRandomCall(overloaded);
+        } else if (choice < 95 && !recent.isEmpty()) {
+            record(controller.callerDisconnected(now, pickFrom(recent)));
+        } else if (choice < 96 && !running.isEmpty()) {
+            record(controller.startUncertain(now, pickFrom(running)));
+        } else if (choice < 97 && !recent.isEmpty()) {
+            record(controller.runEnded(now, pickFrom(recent), Outcome.NOT_STARTED, 0));
+        } else if (choice < 98) {
             exchangeEstimates();
         }
     }
 
-    private void arrive() {
+    private void sendRandomRequest() {
         RequestClass requestClass = CLASSES.get(random.nextInt(CLASSES.size()));
         boolean duplicate = requestClass.idempotency() == Idempotency.IDEMPOTENT_BY_KEY && random.nextInt(4) == 0;
         Request original = duplicate ? recent.stream().filter(r -> r.requestClass() == requestClass)
@@ -111,30 +112,30 @@
                 random.nextInt(3) == 0 ? random.nextDouble() * 4 : 0, random.nextInt(20) == 0, duplicate, original);
         numbers.put(request, numbers.size());
         recent.add(request);
-        if (recent.size() > REMEMBERED_REQUESTS) {
+        if (recent.size() > MAX_RECENT_REQUESTS) {
             recent.remove(0);
         }
         record(controller.requestArrived(now, request));
     }
 
-    private void runEnds() {
+    private void endRandomRun() {
         if (running.isEmpty()) {
             return;
         }
         Request request = running.remove(random.nextInt(running.size()));
         Outcome[] outcomes = {Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.SUCCEEDED,
                 Outcome.FAILED, Outcome.CANCELLED};
-        record(controller.runEnded(now, request, any(List.of(outcomes)), 0.1 + random.nextDouble() * 0.4));
+        record(controller.runEnded(now, request, pickFrom(List.of(outcomes)), 0.1 + random.nextDouble() * 0.4));
     }
 
-    private void callEnds(boolean crowded) {
+    private void endRandomCall(boolean overloaded) {
         Request request = calling.remove(random.nextInt(calling.size()));
         running.add(request);
         Outcome[] outcomes = {Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.SUCCEEDED, Outcome.SUCCEEDED,
                 Outcome.SUCCEEDED, Outcome.REJECTED, Outcome.FAILED, Outcome.TIMED_OUT, Outcome.UNREACHABLE,
                 Outcome.CONNECTION_LOST};
-        double elapsed = (0.05 + 0.05 * random.nextDouble()) * (crowded ? 6 : 1);
-        record(controller.dependencyCallEnded(now, request, any(List.of(outcomes)), elapsed));
+        double elapsed = (0.05 + 0.05 * random.nextDouble()) * (overloaded ? 6 : 1);
+        record(controller.dependencyCallEnded(now, request, pickFrom(List.of(outcomes)), elapsed));
     }
 
     private void exchangeEstimates() {
@@ -148,30 +149,30 @@
                 new LearnedEstimate(Kind.COMPLETION_RATE, "", random.nextDouble() * 10, 5, 1))));
     }
 
-    private RuntimeGauges gauges(boolean crowded) {
+    private RuntimeGauges gauges(boolean overloaded) {
         return random.nextInt(10) == 0 ? RuntimeGauges.NONE
-                : new RuntimeGauges(Map.of(RuntimeGauges.CORE_USE, crowded ? 0.7 + 0.3 * random.nextDouble()
+                : new RuntimeGauges(Map.of(RuntimeGauges.CORE_USE, overloaded ? 0.7 + 0.3 * random.nextDouble()
                         : 0.4 * random.nextDouble(), RuntimeGauges.ON_CORES, 1.0 + random.nextInt(8)));
     }
 
-    private <T> T any(List<T> list) {
+    private <T> T pickFrom(List<T> list) {
         return list.get(random.nextInt(list.size()));
     }
 
     private void record(List<Decision> decisions) {
         write("at " + now);
-        decisions.forEach(decision -> decision.applyTo(new Writer()));
+        decisions.forEach(decision -> decision.applyTo(new DigestWriter()));
     }
 
     private void write(String line) {
         digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Writes each decision into the digest, its numbers to the last bit. */
-    private final class Writer implements DecisionHandler {
+    /** Adds each decision to the digest, with its numbers at full precision. */
+    private final class DigestWriter implements DecisionHandler {
 
         private void line(String kind, Object... values) {
-            kinds.add(kind);
+            decisionKinds.add(kind);
             write(kind + " " + List.of(values));
         }
 
