--- a/src/test/java/topazladder/admission/AdmissionScenario.java
+++ b/src/test/java/topazladder/admission/AdmissionScenario.java
@@ -16,7 +16,7 @@
 import topazladder.request.RequestClass;
 import topazladder.request.RequestClass.Idempotency;
 
-/** One admission controller with a clock of its own, whose events and decisions are written down. */
+/** Drives one admission controller with a simulated clock and records its events and decisions in a transcript. */
 final class AdmissionScenario {
     static final RequestClass READ = new RequestClass("read", Idempotency.RETRY_SAFE, 2, 5, 1, 0, 0, true, 0.5);
     static final RequestClass PLACE =
@@ -39,12 +39,12 @@
         transcript.event(now, "start", controller.start(0));
     }
 
-    /** A server with one core, that has just started. */
+    /** Creates a scenario with a server that has one core and has just started. */
     static AdmissionScenario started() {
         return startedWith(settings -> settings);
     }
 
-    /** The same with some settings changed. */
+    /** Creates a scenario like {@link #started()} with some settings changed. */
     static AdmissionScenario startedWith(UnaryOperator<AdmissionSettings.Builder> change) {
         return new AdmissionScenario(change.apply(AdmissionSettings.builder().requestClasses(CLASSES).cores(1)
                 .memoryKilobytes(1000).runMemoryFactor(8).idempotencyKeyKilobytes(50).tickSeconds(TICK_SECONDS)
@@ -57,7 +57,7 @@
         return this;
     }
 
-    /** Sets the clock without a tick. */
+    /** Sets the clock without running ticks. */
     AdmissionScenario at(double time) {
         now = time;
         return this;
@@ -69,14 +69,15 @@
 
     AdmissionScenario arrive(String name, RequestClass requestClass, double rank, double queuedSeconds,
             String original) {
+        // Requests of important classes get the upper half of the ranks.
         double rankInClass = requestClass.priorityWeight() > 1 ? 0.5 + rank / 2 : rank;
-        boolean repeats = original != null;
-        Request request = new Request(requestClass, null, rankInClass, MEMORY_KILOBYTES, queuedSeconds, 0, repeats,
-                repeats, requests.get(original));
+        boolean duplicate = original != null;
+        Request request = new Request(requestClass, null, rankInClass, MEMORY_KILOBYTES, queuedSeconds, 0, duplicate,
+                duplicate, requests.get(original));
         requests.put(name, request);
         transcript.name(request, name);
-        String how = queuedSeconds > 0 ? " after " + DecisionTranscript.seconds(queuedSeconds) + " unread" : "";
-        transcript.event(now, name + " arrives" + how + (repeats ? ", repeating " + original : ""),
+        String delay = queuedSeconds > 0 ? " after " + DecisionTranscript.seconds(queuedSeconds) + " unread" : "";
+        transcript.event(now, name + " arrives" + delay + (duplicate ? ", repeating " + original : ""),
                 controller.requestArrived(now, request));
         return this;
     }
@@ -115,23 +116,23 @@
         return this;
     }
 
-    /** Takes in what a peer measured. */
+    /** Passes an estimate of a peer to the controller. */
     AdmissionScenario learn(Kind kind, String subject, double value, double weight) {
         transcript.event(now, "learns " + kind + " " + subject + " " + value,
                 controller.learn(now, List.of(new LearnedEstimate(kind, subject, value, weight, 0))));
         return this;
     }
 
-    /** Writes down what the controller would hand on to peers. */
+    /** Records the estimates that the controller would share with peers. */
     AdmissionScenario recordEstimates() {
-        StringBuilder all = new StringBuilder("estimates");
-        controller.learnedEstimates(now).forEach(estimate -> all.append(String.format(Locale.ROOT,
+        StringBuilder event = new StringBuilder("estimates");
+        controller.learnedEstimates(now).forEach(estimate -> event.append(String.format(Locale.ROOT,
                 " %s %s %.2f of %.0f", estimate.kind(), estimate.subject(), estimate.value(), estimate.weight())));
-        transcript.event(now, all.toString(), List.of());
+        transcript.event(now, event.toString(), List.of());
         return this;
     }
 
-    /** Lets the ticks come up to a time; those that decide nothing are not written down. */
+    /** Runs all ticks up to the given time; ticks that only schedule the next one are not recorded. */
     AdmissionScenario tickUntil(double time) {
         while (now + TICK_SECONDS <= time + 1e-9) {
             now += TICK_SECONDS;
@@ -143,13 +144,13 @@
         return this;
     }
 
-    /** Plays what only leads up to a scene, and leaves it out of the transcript. */
-    AdmissionScenario unrecorded(Consumer<AdmissionScenario> scene) {
-        transcript.unrecorded(() -> scene.accept(this));
+    /** Runs steps that only prepare the scenario, without recording them in the transcript. */
+    AdmissionScenario unrecorded(Consumer<AdmissionScenario> steps) {
+        transcript.unrecorded(() -> steps.accept(this));
         return this;
     }
 
-    /** Two requests for each that one core completes, their ranks spread evenly; only the ticks are written down. */
+    /** Sends two requests for each one that a core can complete, with evenly spread ranks; only ticks are recorded. */
     AdmissionScenario overload(double seconds, double runSeconds) {
         for (int i = 0; now < seconds; i++) {
             String name = "f" + i;
@@ -163,21 +164,21 @@
         return this;
     }
 
-    /** Requests of all classes, runs, calls and their ends as chance has them; a seed plays the same each time. */
+    /** Generates random arrivals, calls and ends of runs for all classes; the same seed gives the same events. */
     AdmissionScenario playRandomly(long seed, int steps) {
         RandomGenerator random = new SplittableRandom(seed);
         for (int i = 0; i < steps; i++) {
             tickUntil(now + random.nextInt(3) * TICK_SECONDS);
             List<Request> running = transcript.started().stream().filter(controller::isInFlight).toList();
             List<Request> calling = transcript.calling().stream().filter(controller::isInFlight).toList();
-            int dice = random.nextInt(10);
-            if (dice < 4 || running.isEmpty() && calling.isEmpty()) {
+            int choice = random.nextInt(10);
+            if (choice < 4 || running.isEmpty() && calling.isEmpty()) {
                 arrive("t" + i, CLASSES.get(random.nextInt(4)), random.nextDouble(), 0, null);
-            } else if (dice < 6 && !calling.isEmpty()) {
+            } else if (choice < 6 && !calling.isEmpty()) {
                 endCallRandomly(calling.get(random.nextInt(calling.size())), random);
             } else if (!running.isEmpty()) {
                 Request request = running.get(random.nextInt(running.size()));
-                if (dice < 8) {
+                if (choice < 8) {
                     transcript.started().remove(request);
                     requestCall(transcript.nameOf(request));
                 } else {
--- a/src/test/java/topazladder/admission/DecisionTranscript.java
+++ b/src/test/java/topazladder/admission/DecisionTranscript.java
@@ -11,7 +11,7 @@
 import topazladder.request.DecisionHandler;
 import topazladder.request.Request;
 
-/** Writes down events and what was decided on them, one line each, and keeps in mind what was started and called. */
+/** Records events and the decisions made for them, one per line, and tracks the runs and dependency calls started. */
 final class DecisionTranscript implements DecisionHandler {
     private final StringBuilder text = new StringBuilder();
     private final Map<Request, String> names = new LinkedHashMap<>();
@@ -26,12 +26,12 @@
         return names.get(request);
     }
 
-    /** Requests whose runs were started; whoever ends a run takes it out. */
+    /** Requests whose runs were started; the caller removes a request when its run ends. */
     Set<Request> started() {
         return started;
     }
 
-    /** Requests whose dependency calls were made; whoever ends a call takes it out. */
+    /** Requests whose dependency calls were made; the caller removes a request when its call ends. */
     Set<Request> calling() {
         return calling;
     }
@@ -41,7 +41,7 @@
         decisions.forEach(decision -> decision.applyTo(this));
     }
 
-    /** Leaves out of the text what the step writes. */
+    /** Runs the step and discards what it recorded. */
     void unrecorded(Runnable step) {
         int length = text.length();
         step.run();
@@ -56,75 +56,75 @@
         return String.format(Locale.ROOT, "%.2f s", seconds);
     }
 
-    private void decision(String decision) {
+    private void recordDecision(String decision) {
         text.append("          ").append(decision).append('\n');
     }
 
     @Override
     public void start(Request request) {
-        decision("start " + nameOf(request));
+        recordDecision("start " + nameOf(request));
         started.add(request);
     }
 
     @Override
     public void reject(Request request, double retryAfterSeconds, boolean doNotRetryElsewhere) {
-        decision("reject " + nameOf(request)
+        recordDecision("reject " + nameOf(request)
                 + (retryAfterSeconds > 0 ? ", retry after " + seconds(retryAfterSeconds) : "")
                 + (doNotRetryElsewhere ? ", do not retry elsewhere" : ""));
     }
 
     @Override
     public void fail(Request request) {
-        decision("fail " + nameOf(request));
+        recordDecision("fail " + nameOf(request));
     }
 
     @Override
     public void cancelRun(Request request) {
-        decision("cancel run of " + nameOf(request));
+        recordDecision("cancel run of " + nameOf(request));
     }
 
     @Override
     public void answerFromOriginal(Request request) {
-        decision("answer " + nameOf(request) + " from its original");
+        recordDecision("answer " + nameOf(request) + " from its original");
     }
 
     @Override
     public void rememberIdempotencyKey(Request request, double windowSeconds) {
-        decision("remember idempotency key of " + nameOf(request) + " for " + seconds(windowSeconds));
+        recordDecision("remember idempotency key of " + nameOf(request) + " for " + seconds(windowSeconds));
     }
 
     @Override
     public void forgetIdempotencyKey(Request request) {
-        decision("forget idempotency key of " + nameOf(request));
+        recordDecision("forget idempotency key of " + nameOf(request));
     }
 
     @Override
     public void callDependency(Request request, double timeoutSeconds) {
-        decision("call dependency for " + nameOf(request) + " within " + seconds(timeoutSeconds));
+        recordDecision("call dependency for " + nameOf(request) + " within " + seconds(timeoutSeconds));
         calling.add(request);
     }
 
     @Override
     public void skipDependencyCall(Request request) {
-        decision("skip dependency call of " + nameOf(request));
+        recordDecision("skip dependency call of " + nameOf(request));
     }
 
     @Override
     public void postAdmissionLevel(double level) {
-        decision(String.format(Locale.ROOT, "post admission level %.3f", level));
+        recordDecision(String.format(Locale.ROOT, "post admission level %.3f", level));
     }
 
     @Override
     public void setHealth(boolean healthy) {
-        decision("set health " + (healthy ? "good" : "bad"));
+        recordDecision("set health " + (healthy ? "good" : "bad"));
     }
 
     @Override
     public void closeIdleConnections(double idleSeconds) {
-        decision("close connections idle for " + seconds(idleSeconds));
+        recordDecision("close connections idle for " + seconds(idleSeconds));
     }
 
-    /** Left out, as every tick asks for the next. */
+    /** Not recorded, as every tick schedules the next one. */
     @Override
     public void scheduleTick(double delaySeconds) {}
 }
