--- a/src/main/java/topazladder/admission/AdmissionContext.java
+++ b/src/main/java/topazladder/admission/AdmissionContext.java
@@ -8,11 +8,11 @@
 
 /**
  * State shared by all rules of one controller: the settings, the time of the current event, the random generator and
- * the decisions emitted so far for that event. Rules change none of it except by emitting decisions.
+ * the decisions emitted so far for that event. Rules never change the time, and add decisions with {@link #emit}.
  */
 final class AdmissionContext {
     /** Seconds after the start of the server during which its measured rates are not used yet. */
-    static final double START_SECONDS = 1;
+    static final double STARTUP_SECONDS = 1;
     /** Lower bound of the tick interval, whatever the settings say. */
     private static final double MIN_TICK_SECONDS = 0.01;
     /** Four ticks per answer slack tolerate a late tick and still need few timers. */
--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -50,7 +50,7 @@
 
     /** Creates a controller at time 0; call {@link #start} before reporting any other event. */
     public AdmissionController(RandomGenerator random, AdmissionSettings settings) {
-        RequestEndings endings = new Endings();
+        RequestEndings terminator = new Terminator();
         context = new AdmissionContext(random, settings);
         statistics = new WorkloadStatistics(context);
         drain = new DrainSchedule(context, statistics);
@@ -65,15 +65,15 @@
 
         // Built from the last stage to the first, as each stage holds a reference to the next.
         concurrencyLimiter = new ConcurrencyLimiter(context, memory, queue, calls);
-        dependencyLimiter = new DependencyLimiter(context, memory, calls, callLimit, concurrencyLimiter, endings);
+        dependencyLimiter = new DependencyLimiter(context, memory, calls, callLimit, concurrencyLimiter, terminator);
         idleConnections = new IdleConnectionPolicy(context, statistics, concurrencyLimiter);
-        admissionQueue = new AdmissionQueue(context, statistics, drain, queue, concurrencyLimiter, endings);
+        admissionQueue = new AdmissionQueue(context, statistics, drain, queue, concurrencyLimiter, terminator);
         admissionLevel =
-                new AdmissionLevel(context, statistics, queue, concurrencyLimiter, endings, admissionQueue);
-        MemoryGuard memoryGuard = new MemoryGuard(memory, endings, admissionLevel);
-        DrainGate drainGate = new DrainGate(statistics, drain, endings, memoryGuard);
+                new AdmissionLevel(context, statistics, queue, concurrencyLimiter, terminator, admissionQueue);
+        MemoryGuard memoryGuard = new MemoryGuard(memory, terminator, admissionLevel);
+        DrainGate drainGate = new DrainGate(statistics, drain, terminator, memoryGuard);
         idempotencyGuard =
-                new IdempotencyGuard(context, registry, keys, memory, retryAdvice, endings, drainGate);
+                new IdempotencyGuard(context, registry, keys, memory, retryAdvice, terminator, drainGate);
     }
 
     /** The server has started: it reports itself healthy from now on and schedules its first tick. */
@@ -274,7 +274,7 @@
     }
 
     /** Gives the stages access to {@code giveUp} and {@code close} without making them public. */
-    private final class Endings implements RequestEndings {
+    private final class Terminator implements RequestEndings {
         @Override
         public void giveUp(TrackedRequest request, GiveUpReason reason) {
             AdmissionController.this.giveUp(request, reason);
--- a/src/main/java/topazladder/admission/AdmissionLevel.java
+++ b/src/main/java/topazladder/admission/AdmissionLevel.java
@@ -31,23 +31,23 @@
     private final AdmissionContext context;
     private final WorkloadStatistics statistics;
     private final RequestQueue queue;
-    private final ConcurrencyLimiter cores;
-    private final RequestEndings endings;
+    private final ConcurrencyLimiter concurrencyLimiter;
+    private final RequestEndings terminator;
     private final Stage next;
     private final RankHistogram ranks = new RankHistogram();
     private final DecayingRate admitted;
     /** Cuts to be restored by steps down, most recent first; their number is the current level. */
     private final Deque<Double> previousCuts = new ArrayDeque<>();
     private double cut;
-    private double nextUpdateAt = AdmissionContext.START_SECONDS;
+    private double nextUpdateAt = AdmissionContext.STARTUP_SECONDS;
 
     AdmissionLevel(AdmissionContext context, WorkloadStatistics statistics, RequestQueue queue,
-            ConcurrencyLimiter cores, RequestEndings endings, Stage next) {
+            ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator, Stage next) {
         this.context = context;
         this.statistics = statistics;
         this.queue = queue;
-        this.cores = cores;
-        this.endings = endings;
+        this.concurrencyLimiter = concurrencyLimiter;
+        this.terminator = terminator;
         this.next = next;
         admitted = new DecayingRate(context.shortestObjectiveSeconds(), context.now());
     }
@@ -56,7 +56,7 @@
     public void admit(TrackedRequest request) {
         ranks.add(request.request.rank());
         if (request.request.rank() < cut) {
-            endings.giveUp(request, GiveUpReason.BELOW_ADMISSION_LEVEL);
+            terminator.giveUp(request, GiveUpReason.BELOW_ADMISSION_LEVEL);
         } else {
             admitted.add(1, context.now());
             next.admit(request);
@@ -98,7 +98,7 @@
         double queueTarget = statistics.queueTarget();
         // If reading requests is the bottleneck, they pile up unread rather than in the queue.
         double waiting = queue.size() + statistics.unreadRequests();
-        if (completionRate <= 0 || cores.isIdle() || waiting <= queueTarget) {
+        if (completionRate <= 0 || concurrencyLimiter.isIdle() || waiting <= queueTarget) {
             return NO_LEVEL;
         }
         double capacity = admitted.perSecond(context.now()) * Math.pow(2, previousCuts.size());
--- a/src/main/java/topazladder/admission/AdmissionQueue.java
+++ b/src/main/java/topazladder/admission/AdmissionQueue.java
@@ -15,17 +15,17 @@
     private final WorkloadStatistics statistics;
     private final DrainSchedule drain;
     private final RequestQueue queue;
-    private final ConcurrencyLimiter cores;
-    private final RequestEndings endings;
+    private final ConcurrencyLimiter concurrencyLimiter;
+    private final RequestEndings terminator;
 
     AdmissionQueue(AdmissionContext context, WorkloadStatistics statistics, DrainSchedule drain, RequestQueue queue,
-            ConcurrencyLimiter cores, RequestEndings endings) {
+            ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator) {
         this.context = context;
         this.statistics = statistics;
         this.drain = drain;
         this.queue = queue;
-        this.cores = cores;
-        this.endings = endings;
+        this.concurrencyLimiter = concurrencyLimiter;
+        this.terminator = terminator;
     }
 
     @Override
@@ -34,15 +34,15 @@
         // A request that stayed unread until its answer lost its value is not started even on idle cores, as it would
         // be cancelled at once.
         if (context.now() >= request.usefulUntil
-                || cores.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
-            endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
+                || concurrencyLimiter.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
+            terminator.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
         } else {
             startRequestsThatFit();
         }
     }
 
     private double expectedWaitSeconds(TrackedRequest request) {
-        if (cores.canStart(request)) {
+        if (concurrencyLimiter.canStart(request)) {
             return 0;
         }
         double startRate = statistics.startRate();
@@ -52,11 +52,11 @@
     void startRequestsThatFit() {
         while (!queue.isEmpty()) {
             TrackedRequest first = queue.first();
-            if (!cores.canStart(first)) {
+            if (!concurrencyLimiter.canStart(first)) {
                 return;
             }
             queue.remove(first);
-            cores.admit(first);
+            concurrencyLimiter.admit(first);
         }
     }
 
@@ -70,9 +70,9 @@
                 continue;
             }
             if (drain.isTooLate(request)) {
-                endings.giveUp(request, GiveUpReason.DRAINING);
-            } else if (cores.running() > 0 && statistics.endsTooLate(request, 0)) {
-                endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
+                terminator.giveUp(request, GiveUpReason.DRAINING);
+            } else if (concurrencyLimiter.running() > 0 && statistics.endsTooLate(request, 0)) {
+                terminator.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
             }
         }
         queue.tick();
--- a/src/main/java/topazladder/admission/ConcurrencyLimiter.java
+++ b/src/main/java/topazladder/admission/ConcurrencyLimiter.java
@@ -45,7 +45,7 @@
      * were enough, the limit would creep up while the core use gauge lags behind.
      */
     private boolean atLimitSinceUpdate;
-    private double nextUpdateAt = AdmissionContext.START_SECONDS;
+    private double nextUpdateAt = AdmissionContext.STARTUP_SECONDS;
 
     ConcurrencyLimiter(AdmissionContext context, MemoryBudget memory, RequestQueue queue, DependencyCalls calls) {
         this.context = context;
--- a/src/main/java/topazladder/admission/DependencyCallLimit.java
+++ b/src/main/java/topazladder/admission/DependencyCallLimit.java
@@ -84,14 +84,14 @@
         return limited ? quota * USABLE_SHARE_OF_QUOTA : Double.POSITIVE_INFINITY;
     }
 
-    void callSucceeded(double seconds, int inFlight) {
-        callTime.add(seconds, context.now());
-        longCallTime.add(seconds, context.now());
+    void callSucceeded(double elapsedSeconds, int inFlight) {
+        callTime.add(elapsedSeconds, context.now());
+        longCallTime.add(elapsedSeconds, context.now());
         if (longCallTime.isSettled()) {
             baselineCallSeconds =
                     Math.min(longCallTime.value(), baselineCallSeconds * BASELINE_GROWTH_PER_CALL);
         }
-        updateTarget(seconds / baselineCallSeconds, inFlight);
+        updateTarget(elapsedSeconds / baselineCallSeconds, inFlight);
     }
 
     /** Counts a failure as a call of the maximum slowdown, as it indicates overload of the dependency too. */
@@ -104,8 +104,8 @@
         updateTarget(slowdown.value(), inFlight);
     }
 
-    void callTimedOut(double seconds) {
-        callTime.add(seconds, context.now());
+    void callTimedOut(double elapsedSeconds) {
+        callTime.add(elapsedSeconds, context.now());
     }
 
     private void updateTarget(double callSlowdown, int inFlight) {
--- a/src/main/java/topazladder/admission/DependencyLimiter.java
+++ b/src/main/java/topazladder/admission/DependencyLimiter.java
@@ -18,17 +18,17 @@
     private final MemoryBudget memory;
     private final DependencyCalls calls;
     private final DependencyCallLimit callLimit;
-    private final ConcurrencyLimiter cores;
-    private final RequestEndings endings;
+    private final ConcurrencyLimiter concurrencyLimiter;
+    private final RequestEndings terminator;
 
     DependencyLimiter(AdmissionContext context, MemoryBudget memory, DependencyCalls calls,
-            DependencyCallLimit callLimit, ConcurrencyLimiter cores, RequestEndings endings) {
+            DependencyCallLimit callLimit, ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator) {
         this.context = context;
         this.memory = memory;
         this.calls = calls;
         this.callLimit = callLimit;
-        this.cores = cores;
-        this.endings = endings;
+        this.concurrencyLimiter = concurrencyLimiter;
+        this.terminator = terminator;
     }
 
     /** Queues the dependency call of a run that has released its core. */
@@ -75,17 +75,17 @@
         calls.stopWaiting(request);
         if (request.canSkipCall() && context.now() < request.usefulUntil) {
             context.emit(new Decision.SkipDependencyCall(request.request));
-            cores.returnToCores(request);
+            concurrencyLimiter.returnToCores(request);
         } else {
-            endings.giveUp(request, GiveUpReason.DEPENDENCY_UNAVAILABLE);
+            terminator.giveUp(request, GiveUpReason.DEPENDENCY_UNAVAILABLE);
         }
     }
 
-    void callEnded(TrackedRequest request, Outcome outcome, double seconds) {
+    void callEnded(TrackedRequest request, Outcome outcome, double elapsedSeconds) {
         calls.end();
         if (outcome == Outcome.SUCCEEDED) {
-            callLimit.callSucceeded(seconds, calls.inFlight());
-            cores.returnToCores(request);
+            callLimit.callSucceeded(elapsedSeconds, calls.inFlight());
+            concurrencyLimiter.returnToCores(request);
             return;
         }
         if (outcome == Outcome.CONNECTION_LOST) {
@@ -95,7 +95,7 @@
         }
         if (outcome == Outcome.TIMED_OUT) {
             calls.abandon(abandonedUntil());
-            callLimit.callTimedOut(seconds);
+            callLimit.callTimedOut(elapsedSeconds);
         }
         memory.move(request, Phase.AWAITING_CALL);
         if (!request.answered) {
--- a/src/main/java/topazladder/admission/DrainGate.java
+++ b/src/main/java/topazladder/admission/DrainGate.java
@@ -9,13 +9,13 @@
 final class DrainGate implements Stage {
     private final WorkloadStatistics statistics;
     private final DrainSchedule schedule;
-    private final RequestEndings endings;
+    private final RequestEndings terminator;
     private final Stage next;
 
-    DrainGate(WorkloadStatistics statistics, DrainSchedule schedule, RequestEndings endings, Stage next) {
+    DrainGate(WorkloadStatistics statistics, DrainSchedule schedule, RequestEndings terminator, Stage next) {
         this.statistics = statistics;
         this.schedule = schedule;
-        this.endings = endings;
+        this.terminator = terminator;
         this.next = next;
     }
 
@@ -23,7 +23,7 @@
     public void admit(TrackedRequest request) {
         statistics.read(request.request);
         if (schedule.isTooLate(request)) {
-            endings.giveUp(request, GiveUpReason.DRAINING);
+            terminator.giveUp(request, GiveUpReason.DRAINING);
         } else {
             next.admit(request);
         }
--- a/src/main/java/topazladder/admission/IdempotencyGuard.java
+++ b/src/main/java/topazladder/admission/IdempotencyGuard.java
@@ -24,17 +24,17 @@
     private final RememberedKeys keys;
     private final MemoryBudget memory;
     private final RetryAdvice retryAdvice;
-    private final RequestEndings endings;
+    private final RequestEndings terminator;
     private final Stage next;
 
     IdempotencyGuard(AdmissionContext context, RequestRegistry registry, RememberedKeys keys, MemoryBudget memory,
-            RetryAdvice retryAdvice, RequestEndings endings, Stage next) {
+            RetryAdvice retryAdvice, RequestEndings terminator, Stage next) {
         this.context = context;
         this.registry = registry;
         this.keys = keys;
         this.memory = memory;
         this.retryAdvice = retryAdvice;
-        this.endings = endings;
+        this.terminator = terminator;
         this.next = next;
     }
 
@@ -61,7 +61,7 @@
         if (!memory.fitsAnotherKey()) {
             retryAdvice.reject(request, windowSeconds / RETRY_AFTERS_PER_WINDOW, false,
                     GiveUpReason.IDEMPOTENCY_KEY_MEMORY);
-            endings.close(request);
+            terminator.close(request);
             return;
         }
         next.admit(request);
--- a/src/main/java/topazladder/admission/IdleConnectionPolicy.java
+++ b/src/main/java/topazladder/admission/IdleConnectionPolicy.java
@@ -25,17 +25,17 @@
 
     private final AdmissionContext context;
     private final WorkloadStatistics statistics;
-    private final ConcurrencyLimiter cores;
+    private final ConcurrencyLimiter concurrencyLimiter;
     /** Mean number of reads, health checks and handshakes that need a core. */
     private final ExponentialMean otherWork = new ExponentialMean(OTHER_WORK_WINDOW_UPDATES);
     private final ExponentialMean coreUse = new ExponentialMean(CORE_USE_WINDOW_UPDATES);
     private boolean closing;
-    private double nextUpdateAt = AdmissionContext.START_SECONDS;
+    private double nextUpdateAt = AdmissionContext.STARTUP_SECONDS;
 
-    IdleConnectionPolicy(AdmissionContext context, WorkloadStatistics statistics, ConcurrencyLimiter cores) {
+    IdleConnectionPolicy(AdmissionContext context, WorkloadStatistics statistics, ConcurrencyLimiter concurrencyLimiter) {
         this.context = context;
         this.statistics = statistics;
-        this.cores = cores;
+        this.concurrencyLimiter = concurrencyLimiter;
     }
 
     void tick(RuntimeGauges gauges) {
@@ -44,7 +44,7 @@
         }
         nextUpdateAt = context.now() + UPDATE_SECONDS;
         coreUse.add(gauges.coreUse(), context.now());
-        otherWork.add(cores.otherWork(), context.now());
+        otherWork.add(concurrencyLimiter.otherWork(), context.now());
         boolean shouldClose = shouldClose();
         if (shouldClose != closing) {
             closing = shouldClose;
--- a/src/main/java/topazladder/admission/MemoryGuard.java
+++ b/src/main/java/topazladder/admission/MemoryGuard.java
@@ -8,12 +8,12 @@
  */
 final class MemoryGuard implements Stage {
     private final MemoryBudget memory;
-    private final RequestEndings endings;
+    private final RequestEndings terminator;
     private final Stage next;
 
-    MemoryGuard(MemoryBudget memory, RequestEndings endings, Stage next) {
+    MemoryGuard(MemoryBudget memory, RequestEndings terminator, Stage next) {
         this.memory = memory;
-        this.endings = endings;
+        this.terminator = terminator;
         this.next = next;
     }
 
@@ -23,7 +23,7 @@
         if (memory.fits(0)) {
             next.admit(request);
         } else {
-            endings.giveUp(request, GiveUpReason.OUT_OF_MEMORY);
+            terminator.giveUp(request, GiveUpReason.OUT_OF_MEMORY);
         }
     }
 }
--- a/src/main/java/topazladder/admission/WorkloadStatistics.java
+++ b/src/main/java/topazladder/admission/WorkloadStatistics.java
@@ -97,7 +97,7 @@
         boolean starting = context.now() < OBJECTIVES_UNTIL_OWN_RATE * context.shortestObjectiveSeconds();
         double learnedRate = starting ? peerCompletionRate * context.serverSpeed() : 0;
         double rate = Math.max(completionRate(), learnedRate);
-        return context.now() < AdmissionContext.START_SECONDS && learnedRate <= 0 ? 0 : rate;
+        return context.now() < AdmissionContext.STARTUP_SECONDS && learnedRate <= 0 ? 0 : rate;
     }
 
     /**
