--- a/src/main/java/topazladder/admission/IdleConnectionPolicy.java
+++ b/src/main/java/topazladder/admission/IdleConnectionPolicy.java
@@ -32,7 +32,8 @@
     private boolean closing;
     private double nextUpdateAt = AdmissionContext.STARTUP_SECONDS;
 
-    IdleConnectionPolicy(AdmissionContext context, WorkloadStatistics statistics, ConcurrencyLimiter concurrencyLimiter) {
+    IdleConnectionPolicy(AdmissionContext context, WorkloadStatistics statistics,
+            ConcurrencyLimiter concurrencyLimiter) {
         this.context = context;
         this.statistics = statistics;
         this.concurrencyLimiter = concurrencyLimiter;
