--- a/src/main/java/topazladder/admission/AdmissionQueue.java
+++ b/src/main/java/topazladder/admission/AdmissionQueue.java
@@ -4,58 +4,59 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Queues requests for a core for as long as that pays: one that could not end while its answer earns anything is given
- * up at once. The wait is estimated as the requests ahead of it over the requests started a second.
+ * Queues requests until a core is free. A request that could not finish while its answer still has a value is given up
+ * at once. Its expected wait is the number of requests ahead of it divided by the rate at which requests are started.
  *
- * <p>While nothing runs, a request is started however long runs took lately: else a server that was slow for a while
- * would never learn that it is not.
+ * <p>While nothing runs, a request is started whatever the recent run times. Otherwise a server that was slow for a
+ * while would reject everything and never measure that it has recovered.
  */
 final class AdmissionQueue implements Stage {
     private final AdmissionContext context;
     private final WorkloadStatistics statistics;
     private final DrainSchedule drain;
     private final RequestQueue queue;
-    private final ConcurrencyLimiter cores;
-    private final RequestEndings endings;
+    private final ConcurrencyLimiter concurrencyLimiter;
+    private final RequestEndings terminator;
 
     AdmissionQueue(AdmissionContext context, WorkloadStatistics statistics, DrainSchedule drain, RequestQueue queue,
-            ConcurrencyLimiter cores, RequestEndings endings) {
+            ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator) {
         this.context = context;
         this.statistics = statistics;
         this.drain = drain;
         this.queue = queue;
-        this.cores = cores;
-        this.endings = endings;
+        this.concurrencyLimiter = concurrencyLimiter;
+        this.terminator = terminator;
     }
 
     @Override
     public void admit(TrackedRequest request) {
         queue.add(request);
-        // What lay unread until its answer has no value is not run even on idle cores: it would only be stopped again.
+        // A request that stayed unread until its answer lost its value is not started even on idle cores, as it would
+        // be cancelled at once.
         if (context.now() >= request.usefulUntil
-                || cores.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
-            endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
+                || concurrencyLimiter.running() > 0 && statistics.endsTooLate(request, expectedWaitSeconds(request))) {
+            terminator.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
         } else {
-            startWhatHasRoom();
+            startRequestsThatFit();
         }
     }
 
     private double expectedWaitSeconds(TrackedRequest request) {
-        if (cores.hasRoomFor(request)) {
+        if (concurrencyLimiter.canStart(request)) {
             return 0;
         }
         double startRate = statistics.startRate();
         return startRate <= 0 ? 0 : queue.countAheadOf(request) / startRate;
     }
 
-    void startWhatHasRoom() {
+    void startRequestsThatFit() {
         while (!queue.isEmpty()) {
             TrackedRequest first = queue.first();
-            if (!cores.hasRoomFor(first)) {
+            if (!concurrencyLimiter.canStart(first)) {
                 return;
             }
             queue.remove(first);
-            cores.admit(first);
+            concurrencyLimiter.admit(first);
         }
     }
 
@@ -69,12 +70,12 @@
                 continue;
             }
             if (drain.isTooLate(request)) {
-                endings.giveUp(request, GiveUpReason.DRAINING);
-            } else if (cores.running() > 0 && statistics.endsTooLate(request, 0)) {
-                endings.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
+                terminator.giveUp(request, GiveUpReason.DRAINING);
+            } else if (concurrencyLimiter.running() > 0 && statistics.endsTooLate(request, 0)) {
+                terminator.giveUp(request, GiveUpReason.NO_TIME_LEFT_IN_QUEUE);
             }
         }
         queue.tick();
-        startWhatHasRoom();
+        startRequestsThatFit();
     }
 }
--- a/src/main/java/topazladder/admission/DrainGate.java
+++ b/src/main/java/topazladder/admission/DrainGate.java
@@ -3,19 +3,19 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Graceful shutdown: from the notice on, nothing is admitted that came after the grace or could not end in time. What
- * was admitted before is answered before the stop, by the tick at the latest.
+ * During a graceful shutdown, gives up requests that arrived after the grace period or could not finish in time.
+ * Requests admitted earlier are answered before the server stops, at the latest by the tick of the controller.
  */
 final class DrainGate implements Stage {
     private final WorkloadStatistics statistics;
     private final DrainSchedule schedule;
-    private final RequestEndings endings;
+    private final RequestEndings terminator;
     private final Stage next;
 
-    DrainGate(WorkloadStatistics statistics, DrainSchedule schedule, RequestEndings endings, Stage next) {
+    DrainGate(WorkloadStatistics statistics, DrainSchedule schedule, RequestEndings terminator, Stage next) {
         this.statistics = statistics;
         this.schedule = schedule;
-        this.endings = endings;
+        this.terminator = terminator;
         this.next = next;
     }
 
@@ -23,7 +23,7 @@
     public void admit(TrackedRequest request) {
         statistics.read(request.request);
         if (schedule.isTooLate(request)) {
-            endings.giveUp(request, GiveUpReason.DRAINING);
+            terminator.giveUp(request, GiveUpReason.DRAINING);
         } else {
             next.admit(request);
         }
--- a/src/main/java/topazladder/admission/MemoryGuard.java
+++ b/src/main/java/topazladder/admission/MemoryGuard.java
@@ -3,26 +3,27 @@
 import topazladder.request.GiveUpReason;
 
 /**
- * Rejects what does not fit into the memory. A request is charged from its reading on, so its rejection frees memory.
+ * Gives up requests that do not fit into the memory. A request is charged as soon as it is read, so giving it up frees
+ * memory.
  */
 final class MemoryGuard implements Stage {
     private final MemoryBudget memory;
-    private final RequestEndings endings;
+    private final RequestEndings terminator;
     private final Stage next;
 
-    MemoryGuard(MemoryBudget memory, RequestEndings endings, Stage next) {
+    MemoryGuard(MemoryBudget memory, RequestEndings terminator, Stage next) {
         this.memory = memory;
-        this.endings = endings;
+        this.terminator = terminator;
         this.next = next;
     }
 
     @Override
     public void admit(TrackedRequest request) {
-        memory.read(request);
-        if (memory.hasRoomFor(0)) {
+        memory.recordSize(request);
+        if (memory.fits(0)) {
             next.admit(request);
         } else {
-            endings.giveUp(request, GiveUpReason.OUT_OF_MEMORY);
+            terminator.giveUp(request, GiveUpReason.OUT_OF_MEMORY);
         }
     }
 }
