--- a/src/main/java/topazladder/release/Judge.java
+++ b/src/main/java/topazladder/release/Judge.java
@@ -9,158 +9,184 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Whether B does worse than A, from looks at both in the same moments. It may be asked after each look: its bounds hold
- * at all times at once (a confidence sequence by the mixture of normals, as Robbins gave it and Waudby-Smith and others
- * made it for any spread), so that looking often finds no more that is not there. That instances differ by themselves
- * is counted apart, by how far those of A lie from each other over time.
+ * Canary analysis: whether version B does worse than version A, from samples of instances of both, taken at the same
+ * moments. The verdict may be read after each sample, since the confidence bounds hold at all times at once: they are a
+ * confidence sequence from a mixture of normals (Robbins; for unknown variance Waudby-Smith and others), so that
+ * frequent looks find no more false differences. The natural spread between instances is accounted for separately, by
+ * how far the means of the instances on A lie apart.
  */
 public final class Judge {
-    private static final int LEAST_LOOKS = 5;
-    /** Looks for which the bounds are tightest. */
-    private static final double TUNED_FOR = 40;
-    /** Fewer of A tell nothing of how instances differ. */
-    private static final int LEAST_OF_A = 2;
-    private static final String ALL = "";
+    private static final int MIN_SAMPLES = 5;
+    /** Number of samples at which the bounds are tightest. */
+    private static final double TIGHTEST_AT_SAMPLES = 40;
+    /** Instances on A that are needed to estimate the spread between instances. */
+    private static final int MIN_INSTANCES_ON_A = 2;
+    /** Standard errors of the spread between instances that count as chance: few instances estimate it poorly. */
+    private static final double SPREAD_STANDARD_ERRORS = 3;
+    private static final String ALL_ZONES = "";
 
     /**
-     * What B may be worse in.
+     * By how much B may be worse.
      *
-     * @param payoff part of what is asked that it may honour less
-     * @param failed part of what is asked that it may break off more
-     * @param memory times A's that it may hold
-     * @param error chance that a B which is as good is called worse, over the whole release
+     * @param payoff drop of the served share of the offered payoff
+     * @param failed rise of the failed share of the requests
+     * @param memory ratio of B's memory to A's
+     * @param error probability that an equally good B is found worse, over the whole rollout
      */
     public record Terms(double payoff, double failed, double memory, double error) {
         public static final Terms USUAL = new Terms(0.02, 0.01, 1.5, 0.01);
     }
 
-    /** One instance at one look. */
+    /**
+     * One instance at one moment.
+     *
+     * @param moved whether it runs B
+     * @param share part of the offered payoff that it served
+     * @param failed part of the requests that failed
+     * @param megabytes of memory that the process holds
+     */
     public record Look(String name, String zone, boolean moved, double share, double failed, double megabytes) {
     }
 
-    /** What came of looks so far. */
-    public enum Verdict { UNKNOWN, WELL, WORSE }
+    /** What the samples so far show. */
+    public enum Verdict {
+        /** Too few samples, or B looks worse by chance or by less than it may. */
+        UNKNOWN,
+        /** B looks as good as A. */
+        WELL,
+        /** B is worse than it may be. */
+        WORSE
+    }
 
-    /** One difference over time, B less A; a look in which either was not there adds nothing. */
+    /** Mean and variance (Welford) of one quantity over time; for differences, B less A. */
     private static final class Series {
         private int n;
         private double mean;
         private double squares;
 
-        void add(double d) {
+        void add(double value) {
             n++;
-            double before = d - mean;
+            double before = value - mean;
             mean += before / n;
-            squares += before * (d - mean);
+            squares += before * (value - mean);
         }
 
         double deviation() {
             return n < 2 ? 0 : Math.sqrt(squares / (n - 1));
         }
 
-        /** Half the width of what the true mean is in at all times, but for that chance. */
+        /** Half the width of the interval that contains the true mean at all times, with probability 1 - error. */
         double radius(double error) {
-            if (n < LEAST_LOOKS) {
+            if (n < MIN_SAMPLES) {
                 return Double.POSITIVE_INFINITY;
             }
             double l = -2 * Math.log(error);
-            double tune = (l + Math.log(l + 1)) / TUNED_FOR;
-            double m = n * tune + 1;
-            return deviation() * Math.sqrt(2 * m / (n * (double) n * tune) * Math.log(Math.sqrt(m) / error));
+            double rho = (l + Math.log(l + 1)) / TIGHTEST_AT_SAMPLES;
+            double m = n * rho + 1;
+            return deviation() * Math.sqrt(2 * m / (n * (double) n * rho) * Math.log(Math.sqrt(m) / error));
         }
     }
 
     private final Terms terms;
-    private final Map<String, Series> payoff = new TreeMap<>(); // by zone, and of all
+    private final Map<String, Series> payoff = new TreeMap<>(); // by zone, and over all zones
     private final Series failed = new Series();
     private final Series memory = new Series();
-    private final Map<String, Series> ofA = new HashMap<>(); // by instance
+    private final Map<String, Series> servedByInstanceOnA = new HashMap<>();
+    private int instancesOnB;
     private String why = "";
 
+    /** Creates an analysis without samples. */
     public Judge(Terms terms) {
         this.terms = terms;
     }
 
-    /** All that serve at one moment. */
+    /** Adds the samples of all instances that serve at one moment; without any of A, or any of B, they are ignored. */
     public void look(List<Look> now) {
-        List<Look> a = now.stream().filter(l -> !l.moved()).toList();
+        List<Look> a = now.stream().filter(sample -> !sample.moved()).toList();
         List<Look> b = now.stream().filter(Look::moved).toList();
         if (a.isEmpty() || b.isEmpty()) {
             return;
         }
-        a.forEach(l -> ofA.computeIfAbsent(l.name(), n -> new Series()).add(l.share()));
-        payoff.computeIfAbsent(ALL, z -> new Series()).add(mean(b, Look::share) - mean(a, Look::share));
+        a.forEach(sample -> servedByInstanceOnA.computeIfAbsent(sample.name(), name -> new Series())
+                .add(sample.share()));
+        payoff.computeIfAbsent(ALL_ZONES, zone -> new Series()).add(mean(b, Look::share) - mean(a, Look::share));
         failed.add(mean(b, Look::failed) - mean(a, Look::failed));
         memory.add(mean(b, Look::megabytes) / Math.max(1, mean(a, Look::megabytes)) - 1);
-        List<String> zones = b.stream().map(Look::zone).filter(z -> !z.isEmpty()).distinct().toList();
-        for (String z : zones) {
-            List<Look> of = a.stream().filter(l -> l.zone().equals(z)).toList();
-            payoff.computeIfAbsent(z, n -> new Series()).add(mean(b.stream().filter(l -> l.zone().equals(z)).toList(),
-                    Look::share) - mean(of.isEmpty() ? a : of, Look::share));
+        List<String> zones = b.stream().map(Look::zone).filter(zone -> !zone.isEmpty()).distinct().toList();
+        for (String zone : zones) {
+            List<Look> aInZone = inZone(a, zone);
+            payoff.computeIfAbsent(zone, z -> new Series())
+                    .add(mean(inZone(b, zone), Look::share) - mean(aInZone.isEmpty() ? a : aInZone, Look::share));
         }
-        moved = b.size();
+        instancesOnB = b.size();
     }
 
-    private int moved;
+    private static List<Look> inZone(List<Look> samples, String zone) {
+        return samples.stream().filter(sample -> sample.zone().equals(zone)).toList();
+    }
 
-    private static double mean(List<Look> of, ToDoubleFunction<Look> what) {
-        return of.stream().mapToDouble(what).average().orElse(0);
+    private static double mean(List<Look> samples, ToDoubleFunction<Look> value) {
+        return samples.stream().mapToDouble(value).average().orElse(0);
     }
 
-    /** How far two groups of equally good instances lie apart by luck of which instance is in which. */
-    private double apart() {
+    /** How far the means of two groups of equally good instances may lie apart by chance of their selection. */
+    private double instanceSpread() {
         List<Double> means = new ArrayList<>();
-        ofA.values().stream().filter(s -> s.n >= LEAST_LOOKS).forEach(s -> means.add(s.mean));
-        if (means.size() < LEAST_OF_A) {
+        servedByInstanceOnA.values().stream().filter(series -> series.n >= MIN_SAMPLES)
+                .forEach(series -> means.add(series.mean));
+        if (means.size() < MIN_INSTANCES_ON_A) {
             return 0;
         }
         double mean = means.stream().mapToDouble(x -> x).average().orElse(0);
         double variance = means.stream().mapToDouble(x -> (x - mean) * (x - mean)).sum() / (means.size() - 1);
-        // Three of them, as the spread of few is itself not well known.
-        return 3 * Math.sqrt(variance * (1.0 / Math.max(1, moved) + 1.0 / means.size()));
+        return SPREAD_STANDARD_ERRORS * Math.sqrt(variance * (1.0 / Math.max(1, instancesOnB) + 1.0 / means.size()));
     }
 
-    /** What is known by now. */
+    /** The verdict by all samples so far. */
     public Verdict verdict() {
+        // The error is split over all comparisons: payoff in each zone, failures, memory.
         double error = terms.error() / (payoff.size() + 2);
-        double apart = apart();
-        for (Map.Entry<String, Series> e : payoff.entrySet()) {
-            Series s = e.getValue();
-            if (s.mean + s.radius(error) + apart < -terms.payoff()) {
-                why = String.format(Locale.ROOT, "it honours %.1f%% less of what is asked%s, give or take %.1f%%",
-                        -100 * s.mean, e.getKey().isEmpty() ? "" : " in " + e.getKey(),
-                        100 * (s.radius(error) + apart));
+        double spread = instanceSpread();
+        for (Map.Entry<String, Series> entry : payoff.entrySet()) {
+            Series series = entry.getValue();
+            if (series.mean + series.radius(error) + spread < -terms.payoff()) {
+                why = String.format(Locale.ROOT,
+                        "B serves a smaller share of the offered payoff than A%s: %.1f%% ± %.1f%% less",
+                        entry.getKey().isEmpty() ? "" : " in zone " + entry.getKey(), -100 * series.mean,
+                        100 * (series.radius(error) + spread));
                 return Verdict.WORSE;
             }
         }
         if (failed.mean - failed.radius(error) > terms.failed()) {
-            why = String.format(Locale.ROOT, "it breaks off %.1f%% more", 100 * failed.mean);
+            why = String.format(Locale.ROOT, "B fails a larger share of the requests than A: %.1f%% more",
+                    100 * failed.mean);
             return Verdict.WORSE;
         }
         if (memory.mean - memory.radius(error) > terms.memory() - 1) {
-            why = String.format(Locale.ROOT, "it holds %.1f times the memory", 1 + memory.mean);
+            why = String.format(Locale.ROOT, "B holds %.1f times the memory of A", 1 + memory.mean);
             return Verdict.WORSE;
         }
-        Series all = payoff.get(ALL);
-        return all == null || all.n < LEAST_LOOKS ? Verdict.UNKNOWN
+        Series all = payoff.get(ALL_ZONES);
+        return all == null || all.n < MIN_SAMPLES ? Verdict.UNKNOWN
                 : all.mean > -terms.payoff() && failed.mean < terms.failed() ? Verdict.WELL : Verdict.UNKNOWN;
     }
 
+    /** In what B is worse, for operators; empty until {@link #verdict} has found it. */
     public String why() {
         return why;
     }
 
+    /** Moments at which both versions were sampled. */
     public int looks() {
-        return payoff.containsKey(ALL) ? payoff.get(ALL).n : 0;
+        return payoff.containsKey(ALL_ZONES) ? payoff.get(ALL_ZONES).n : 0;
     }
 
-    /** For operators: the difference of payoff and its bounds. */
+    /** For operators: the difference in payoff and its bounds. */
     @Override
     public String toString() {
-        Series all = payoff.get(ALL);
+        Series all = payoff.get(ALL_ZONES);
         return all == null ? "nothing compared yet" : String.format(Locale.ROOT,
-                "payoff %+.2f%% ± %.2f%% after %d looks", 100 * all.mean, 100 * (Math.min(1, all.radius(terms.error()))
-                        + apart()),
-                all.n);
+                "payoff of B against A %+.2f%% ± %.2f%% after %d samples", 100 * all.mean,
+                100 * (Math.min(1, all.radius(terms.error())) + instanceSpread()), all.n);
     }
 }
--- a/src/test/java/topazladder/release/JudgeTest.java
+++ b/src/test/java/topazladder/release/JudgeTest.java
@@ -9,64 +9,77 @@
 import org.junit.jupiter.api.Test;
 import topazladder.release.Judge.Verdict;
 
-/** How often a version that is as good is called worse, and how soon one that is worse. */
+/** How often the canary analysis finds an equally good version worse, and how surely one that is worse. */
 class JudgeTest {
-    private static final int LOOKS = 200;
+    private static final int SAMPLES = 200;
 
-    /** Looks until it is called worse; LOOKS where it never is. */
-    private static int until(long seed, double less, double spoilt, double leak, String zone, int moved) {
-        SplittableRandom chance = new SplittableRandom(seed);
-        Judge judge = new Judge(Judge.Terms.USUAL);
-        double[] own = chance.doubles(10, -0.01, 0.01).toArray();
+    /**
+     * Samples until version B is found worse; SAMPLES where it never is.
+     *
+     * @param servedLoss by which B's served share is lower
+     * @param failed failed share of B's requests
+     * @param leak megabytes that B's memory grows by at each sample
+     * @param zone in which B is worse; empty for all
+     * @param instancesOnB of ten
+     */
+    private static int samplesUntilWorse(long seed, double servedLoss, double failed, double leak, String zone,
+            int instancesOnB) {
+        SplittableRandom random = new SplittableRandom(seed);
+        Judge analysis = new Judge(Judge.Terms.USUAL);
+        double[] offsets = random.doubles(10, -0.01, 0.01).toArray();
         double drift = 0;
-        for (int look = 0; look < LOOKS; look++) {
-            drift = 0.8 * drift + chance.nextDouble(-0.01, 0.01); // the day moves all of them together
-            List<Judge.Look> all = new ArrayList<>();
-            for (int i = 0; i < own.length; i++) {
-                boolean b = i < moved;
-                boolean bad = b && (zone.isEmpty() || zone.equals("zone-" + i % 2));
-                all.add(new Judge.Look("n" + i, "zone-" + i % 2, b, 0.9 + own[i] + drift + chance.nextDouble(-0.02,
-                        0.02)
-                        - (bad ? less : 0), bad ? spoilt : 0, 60 + chance.nextDouble(-5, 5) + (bad ? leak * look : 0)));
+        for (int n = 0; n < SAMPLES; n++) {
+            drift = 0.8 * drift + random.nextDouble(-0.01, 0.01); // common to all instances
+            List<Judge.Look> samples = new ArrayList<>();
+            for (int i = 0; i < offsets.length; i++) {
+                boolean isOnB = i < instancesOnB;
+                boolean isWorse = isOnB && (zone.isEmpty() || zone.equals("zone-" + i % 2));
+                double served = 0.9 + offsets[i] + drift + random.nextDouble(-0.02, 0.02)
+                        - (isWorse ? servedLoss : 0);
+                samples.add(new Judge.Look("n" + i, "zone-" + i % 2, isOnB, served, isWorse ? failed : 0,
+                        60 + random.nextDouble(-5, 5) + (isWorse ? leak * n : 0)));
             }
-            judge.look(all);
-            if (judge.verdict() == Verdict.WORSE) {
-                return look;
+            analysis.look(samples);
+            if (analysis.verdict() == Verdict.WORSE) {
+                return n;
             }
         }
-        return LOOKS;
+        return SAMPLES;
     }
 
-    private static long called(double less, double spoilt, double leak, String zone, int moved) {
-        return LongStream.range(0, 1000).filter(seed -> until(seed, less, spoilt, leak, zone, moved) < LOOKS).count();
+    /** Of 1000 rollouts, those whose version B is found worse. */
+    private static long foundWorse(double servedLoss, double failed, double leak, String zone, int instancesOnB) {
+        return LongStream.range(0, 1000)
+                .filter(seed -> samplesUntilWorse(seed, servedLoss, failed, leak, zone, instancesOnB) < SAMPLES)
+                .count();
     }
 
     @Test
-    void oneThatIsAsGoodIsHardlyEverCalledWorseHoweverOftenOneLooks() {
-        assertThat(called(0, 0, 0, "", 1)).as("of 1000, two hundred looks each").isLessThan(10);
-        assertThat(called(0, 0, 0, "", 5)).isLessThan(10);
+    void anEquallyGoodVersionIsRarelyFoundWorseThoughTheVerdictIsReadAfterEachSample() {
+        assertThat(foundWorse(0, 0, 0, "", 1)).as("of 1000, two hundred samples each").isLessThan(10);
+        assertThat(foundWorse(0, 0, 0, "", 5)).isLessThan(10);
     }
 
     @Test
-    void oneThatIsWorseIsFound() {
-        assertThat(called(0.1, 0, 0, "", 1)).as("10%% less of what is asked").isGreaterThan(990);
-        assertThat(called(0, 0.05, 0, "", 1)).as("5%% broken off").isGreaterThan(990);
-        assertThat(called(0, 0, 1, "", 1)).as("leaks").isGreaterThan(990);
-        assertThat(called(0.1, 0, 0, "zone-1", 4)).as("in one zone").isGreaterThan(990);
+    void aWorseVersionIsFound() {
+        assertThat(foundWorse(0.1, 0, 0, "", 1)).as("serves 10%% less").isGreaterThan(990);
+        assertThat(foundWorse(0, 0.05, 0, "", 1)).as("fails 5%% of the requests").isGreaterThan(990);
+        assertThat(foundWorse(0, 0, 1, "", 1)).as("leaks memory").isGreaterThan(990);
+        assertThat(foundWorse(0.1, 0, 0, "zone-1", 4)).as("serves less in one zone").isGreaterThan(990);
     }
 
     @Test
-    void oneThatIsALittleWorseIsBorne() {
-        assertThat(called(0.01, 0, 0, "", 3)).isLessThan(10);
+    void aVersionThatIsWorseByLessThanItMayBeIsAccepted() {
+        assertThat(foundWorse(0.01, 0, 0, "", 3)).isLessThan(10);
     }
 
     @Test
-    void withoutAnyOfAThereIsNothingToCompare() {
-        Judge judge = new Judge(Judge.Terms.USUAL);
+    void withoutInstancesOnATheVerdictIsInconclusive() {
+        Judge analysis = new Judge(Judge.Terms.USUAL);
         for (int i = 0; i < 50; i++) {
-            judge.look(List.of(new Judge.Look("n0", "", true, 0.1, 0.5, 900)));
+            analysis.look(List.of(new Judge.Look("n0", "", true, 0.1, 0.5, 900)));
         }
-        assertThat(judge.verdict()).isEqualTo(Verdict.UNKNOWN);
-        assertThat(judge.looks()).isZero();
+        assertThat(analysis.verdict()).isEqualTo(Verdict.UNKNOWN);
+        assertThat(analysis.looks()).isZero();
     }
 }
