--- a/src/main/java/topazladder/release/Place.java
+++ b/src/main/java/topazladder/release/Place.java
@@ -1,26 +1,28 @@
 package topazladder.release;
 
 /**
- * One instance's part in a release.
+ * One instance's part in a rollout.
  *
- * @param zone where it stands
- * @param votes whether it is a voter of the group: one of those goes at a time
- * @param wave in which it goes
- * @param stage how far it is
- * @param attempt times that its leave was asked for
+ * @param name of the instance
+ * @param zone it runs in, or empty
+ * @param votes whether it is a voter of the consensus group; voters are updated one at a time
+ * @param wave in which it is updated
+ * @param stage how far its update is
+ * @param attempt number of its last request for a grant; 0 before the first
  */
 public record Place(String name, String zone, boolean votes, int wave, Stage stage, int attempt) {
 
+    /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Stage {
-        /** It has not gone, or has come back as what it was. */
+        /** Not updated: it has not gone, or it has come back in another version than the target. */
         LEFT,
-        /** Its leave is asked for; the ledger of outs tells how far it is. */
+        /** Its grant is requested; the {@link topazladder.disruption.Disruption} says how far it is. */
         ASKED,
-        /** It runs the version that it should, and serves as its peers do. */
+        /** It runs the target version, and serves as its peers do. */
         MOVED
     }
 
-    Place at(Stage next, int tries) {
-        return new Place(name, zone, votes, wave, next, tries);
+    Place at(Stage nextStage, int nextAttempt) {
+        return new Place(name, zone, votes, wave, nextStage, nextAttempt);
     }
 }
--- a/src/main/java/topazladder/release/Plan.java
+++ b/src/main/java/topazladder/release/Plan.java
@@ -3,38 +3,38 @@
 import java.util.List;
 
 /**
- * How a hall goes from one version to another.
+ * How a cluster is taken from one version to another.
  *
  * @param name for operators
- * @param from the version that runs, A
- * @param to the version that should, B
- * @param waves in their order; whatever they leave goes in one more
- * @param judge what B must not be worse in
- * @param patience seconds for which one that went may stay away before the release is halted
- * @param tries times that one instance may be taken out for this release
- * @param mostOut instances that may be out for other reasons before the release is halted
- * @param oneWay there is no way back: A can't read what B writes
+ * @param from version A, which the instances run before
+ * @param to version B, which they are to run
+ * @param waves in order; the instances that they leave out form one more wave at the end
+ * @param judge by how much B may be worse in the canary analysis
+ * @param patience seconds that an updated instance may stay away before the rollout is halted
+ * @param tries attempts to update one instance
+ * @param mostOut instances that may be unavailable for other reasons before the rollout is halted
+ * @param oneWay whether there is no rollback, as A can't read what B writes
  */
 public record Plan(String name, String from, String to, List<Wave> waves, Judge.Terms judge, double patience, int tries,
         int mostOut, boolean oneWay) {
 
     /**
-     * Some of the instances.
+     * A part of the instances.
      *
-     * @param zone where they stand, or empty for everywhere
-     * @param most of them; 0 for no bound
-     * @param share of all that are in that zone, over 0 and at most 1
-     * @param soak seconds for which they are judged before the next wave
+     * @param zone of the instances, or empty for all zones
+     * @param most instances in the wave; 0 for no limit
+     * @param share of all instances in that zone, over 0 and at most 1
+     * @param soak seconds for which the wave is analysed before the next one starts
      */
     public record Wave(String zone, int most, double share, double soak) {
     }
 
-    /** The version that a release goes to now. */
+    /** The version that the rollout, or its rollback, goes to. */
     public String target(boolean back) {
         return back ? from : to;
     }
 
-    /** Seconds of judging behind a wave; the last soak again for the one that the plan does not name. */
+    /** Soak seconds of that wave; the wave of those left out takes the last wave's. */
     double soak(int wave) {
         return waves.isEmpty() ? 0 : waves.get(Math.min(wave, waves.size() - 1)).soak();
     }
--- a/src/main/java/topazladder/release/ReleaseOp.java
+++ b/src/main/java/topazladder/release/ReleaseOp.java
@@ -3,18 +3,26 @@
 import java.util.List;
 
 /**
- * What the hall agrees on about a release, one after another. What a conductor proposes bears the duty and the token
- * under which it conducts; an operator's has none. Each names what it is about, so that one that comes twice, or from
- * a conductor that is none any more, changes nothing.
+ * A command of the replicated log about rollouts. Each names the rollout, direction and step that it is about, so that
+ * one that is applied twice, or comes from an earlier holder of the rollout lease, changes nothing.
  */
 public sealed interface ReleaseOp {
 
-    /** @param duty by which it conducts, and the token; empty and 0 for an operator */
+    /**
+     * Who proposes a command.
+     *
+     * @param duty name of the rollout lease that the proposer holds; empty for an operator
+     * @param token its fencing token; 0 for an operator
+     * @param atMillis time of day at the proposer; nothing is decided by it
+     */
     record By(String duty, long token, long atMillis) {
+
+        /** An operator, who needs no lease. */
         public static By operator(long atMillis) {
             return new By("", 0, atMillis);
         }
 
+        /** Whether the proposer acts as holder of the rollout lease, which is then checked. */
         public boolean conducts() {
             return token > 0;
         }
@@ -22,48 +30,51 @@
 
     By by();
 
+    /** Starts a rollout. */
     record Start(By by, Plan plan, List<Place> places) implements ReleaseOp {
     }
 
-    /** Has a place asked for; {@code attempt} is the one behind its last. */
+    /** Requests the grant to update an instance; {@code attempt} follows its last one. */
     record Ask(By by, long id, int started, String place, int attempt) implements ReleaseOp {
     }
 
-    /** It is back and runs something else, so that it may be asked for again. */
+    /** The instance is back in another version than the target, so that it may be requested again. */
     record Missed(By by, long id, int started, String place) implements ReleaseOp {
     }
 
-    /** It runs what it should and is steady. */
+    /** The instance runs the target version and is steady. */
     record Moved(By by, long id, int started, String place) implements ReleaseOp {
     }
 
-    /** The wave before is judged to be well. */
+    /** Starts the next wave, as the analysis of the one before has passed. */
     record Next(By by, long id, int started, int wave) implements ReleaseOp {
     }
 
     /**
-     * Adds an instance that was not known when the release started, as one of its last wave.
+     * Adds an instance that was not known when the rollout started to its last wave. Readable from schema 4 on.
      *
-     * @param votes whether it is a voter; the leader fills this in before the operation is agreed on
+     * @param votes whether it is a voter; the leader fills this in before the command is proposed
      */
     record AddPlace(By by, long id, int started, String place, String zone, boolean votes) implements ReleaseOp {
 
-        public AddPlace withVotes(boolean is) {
-            return new AddPlace(by, id, started, place, zone, is);
+        public AddPlace withVotes(boolean isVoter) {
+            return new AddPlace(by, id, started, place, zone, isVoter);
         }
     }
 
-    /** All are moved, and judged. */
+    /** Ends the rollout: all instances are updated and the analysis has passed. */
     record Done(By by, long id, int started) implements ReleaseOp {
     }
 
+    /** Stops the rollout where it is, until it is resumed or rolled back. */
     record Halt(By by, long id, String why) implements ReleaseOp {
     }
 
+    /** Resumes a rollout that is halted. */
     record Resume(By by, long id) implements ReleaseOp {
     }
 
-    /** Towards A again. */
+    /** Turns the rollout into a rollback, towards version A. */
     record Back(By by, long id) implements ReleaseOp {
     }
 }
--- a/src/main/java/topazladder/release/Waves.java
+++ b/src/main/java/topazladder/release/Waves.java
@@ -6,33 +6,39 @@
 import java.util.List;
 import java.util.Set;
 
-/** Who goes in which wave: those that do not vote first, so that the group is touched once B is known. */
+/**
+ * Assigns the instances to the waves of a plan. Instances that do not vote come first, so that the consensus group is
+ * restarted in version B only after others have run it.
+ */
 public final class Waves {
 
     private Waves() {}
 
     /**
-     * @param members all instances of the hall, with their zones
-     * @param conductor who conducts now, or empty; it goes last, as long as it does
+     * Assigns all instances; those that no wave takes form one more wave at the end.
+     *
+     * @param members all instances of the cluster; their wave, stage and attempt are ignored
+     * @param conductor name of the rollout lease's holder, or empty; it comes last
      */
     public static List<Place> of(Plan plan, List<Place> members, String conductor) {
-        List<Place> left = new ArrayList<>(members);
-        left.sort(Comparator.comparing((Place p) -> p.name().equals(conductor)).thenComparing(Place::votes)
+        List<Place> ordered = new ArrayList<>(members);
+        ordered.sort(Comparator.comparing((Place place) -> place.name().equals(conductor)).thenComparing(Place::votes)
                 .thenComparing(Place::name));
-        List<Place> all = new ArrayList<>();
-        Set<String> taken = new HashSet<>();
+        List<Place> assigned = new ArrayList<>();
+        Set<String> assignedNames = new HashSet<>();
         for (int w = 0; w <= plan.waves().size(); w++) {
-            boolean rest = w == plan.waves().size();
-            Plan.Wave wave = rest ? new Plan.Wave("", 0, 1, 0) : plan.waves().get(w);
-            List<Place> in = left.stream().filter(p -> wave.zone().isEmpty() || wave.zone().equals(p.zone())).toList();
-            int most = rest ? in.size() : (int) Math.ceil(wave.share() * in.size());
-            most = wave.most() > 0 ? Math.min(most, wave.most()) : most;
+            boolean isRest = w == plan.waves().size();
+            Plan.Wave wave = isRest ? new Plan.Wave("", 0, 1, 0) : plan.waves().get(w);
+            List<Place> inZone = ordered.stream()
+                    .filter(place -> wave.zone().isEmpty() || wave.zone().equals(place.zone())).toList();
+            int limit = isRest ? inZone.size() : (int) Math.ceil(wave.share() * inZone.size());
+            limit = wave.most() > 0 ? Math.min(limit, wave.most()) : limit;
             int number = w;
-            in.stream().filter(p -> !taken.contains(p.name())).limit(most).forEach(p -> {
-                taken.add(p.name());
-                all.add(new Place(p.name(), p.zone(), p.votes(), number, Place.Stage.LEFT, 0));
+            inZone.stream().filter(place -> !assignedNames.contains(place.name())).limit(limit).forEach(place -> {
+                assignedNames.add(place.name());
+                assigned.add(new Place(place.name(), place.zone(), place.votes(), number, Place.Stage.LEFT, 0));
             });
         }
-        return List.copyOf(all);
+        return List.copyOf(assigned);
     }
 }
