--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -13,263 +13,285 @@
 import topazladder.release.View.Sight;
 
 /**
- * What the holder of the conducting duty decides, from what the group's leader shows it. All that must outlive it is in
- * the group's log; what it keeps here (since when it judges, how long one has been away) is lost with it, and the next
- * one waits and judges anew.
+ * Decides the next steps of a rollout. It runs on the instance that holds the rollout lease, and goes by the status
+ * that the leader of the consensus group sends. All state that has to outlive the holder is in the replicated log. What
+ * is kept here (samples of the canary analysis, since when an instance has been away) is lost with the lease: the next
+ * holder observes and analyses from the start.
  */
 public class Conductor {
-    /** Soaks after which a B that is neither well nor surely worse is halted. */
-    private static final double UNDECIDED = 4;
-    /** Seconds that the judge needs at least, however short the soaks: it says nothing of a few looks. */
-    private static final double LEAST_UNDECIDED = 30;
-    /** Seconds between two looks of the judge: what is said of rates is over a window, so closer ones tell the same. */
-    private static final double LOOK_EVERY = 3;
-    /** That many may wait for a place, or half as many as are out where that is more. */
-    private static final int LEAST_WAITING = 4;
-    /** Processes that may end on one place before B is taken for one that does not start. */
-    private static final int MOST_LIVES = 3;
+    /** Multiple of the soak time after which a rollout whose canary analysis is inconclusive is halted. */
+    private static final double MAX_INCONCLUSIVE_SOAKS = 4;
+    /** Seconds that the analysis gets at least before it counts as inconclusive: short soaks give too few samples. */
+    private static final double MIN_ANALYSIS_SECONDS = 30;
+    /** Seconds between two samples: rates are reported over a window, so that closer samples repeat the same data. */
+    private static final double SAMPLE_INTERVAL_SECONDS = 3;
+    /** Requests that may wait for a grant at once, or half as many as instances are unavailable where that is more. */
+    private static final int MIN_WAITING_REQUESTS = 4;
+    /** Processes of one instance that may end during its update before the new version counts as one that crashes. */
+    private static final int MAX_ENDED_PROCESSES = 3;
 
     private final String self;
     private final ReleaseOp.By by;
-    private final Map<String, Double> awaySince = new HashMap<>(); // by place
-    private final Map<String, Long> lives = new HashMap<>(); // by place, the last seen
-    private final Map<String, Integer> ended = new HashMap<>(); // by place, lives that ended since it was asked
-    private Judge judge;
-    private long judging = -1;
-    private double lastLook = Double.NEGATIVE_INFINITY;
-    private double soakedSince = Double.NaN;
-    private String doing = "";
+    private final Map<String, Double> awaySince = new HashMap<>(); // by instance
+    private final Map<String, Long> incarnations = new HashMap<>(); // by instance, as last observed
+    private final Map<String, Integer> endedProcesses = new HashMap<>(); // by instance, since its update was requested
+    private Judge analysis;
+    private long analysisKey = -1;
+    private double lastSampleAt = Double.NEGATIVE_INFINITY;
+    private double soakStartedAt = Double.NaN;
+    private String progress = "";
 
-    /** @param by with the duty's token; its time is filled in at each step */
+    /**
+     * Creates a controller that has observed nothing yet.
+     *
+     * @param self name of this instance
+     * @param by identifies this lease holder and its fencing token; the time is filled in at each step
+     */
     public Conductor(String self, ReleaseOp.By by) {
         this.self = self;
         this.by = by;
     }
 
-    /** In words, for operators. */
+    /** The current step in words, for operators. */
     public String doing() {
-        return doing + (judge == null ? "" : "; " + judge);
+        return progress + (analysis == null ? "" : "; " + analysis);
     }
 
-    /** What should be agreed on next. */
-    public List<ReleaseOp> next(double now, long atMillis, View v) {
-        Release r = v.release();
-        ReleaseOp.By mine = new ReleaseOp.By(by.duty(), by.token(), atMillis);
-        if (r == null || r.over()) {
-            judge = null;
-            doing = r == null ? "there is no release" : "the last release is done";
+    /** The commands to propose next. */
+    public List<ReleaseOp> next(double now, long atMillis, View view) {
+        Release release = view.release();
+        ReleaseOp.By proposer = new ReleaseOp.By(by.duty(), by.token(), atMillis);
+        if (release == null || release.over()) {
+            analysis = null;
+            progress = release == null ? "there is no rollout" : "the last rollout is done";
             return List.of();
         }
-        long key = r.id() << 16 | r.started();
-        if (judging != key) {
-            judging = key;
-            judge = new Judge(r.plan().judge());
-            soakedSince = Double.NaN;
-            ended.clear();
+        long key = release.id() << 16 | release.started();
+        if (analysisKey != key) {
+            analysisKey = key;
+            analysis = new Judge(release.plan().judge());
+            soakStartedAt = Double.NaN;
+            endedProcesses.clear();
             awaySince.clear();
         }
-        look(now, r, v);
-        follow(now, r, v);
-        if (r.phase() == Phase.HALTED) {
-            // Whoever has it go on wants it judged for longer, and not halted again for the same seconds.
-            soakedSince = Double.NaN;
-            doing = "halted: " + r.why();
+        sample(now, release, view);
+        trackInstances(now, release, view);
+        if (release.phase() == Phase.HALTED) {
+            // After a resume the soak starts over, so that the rollout is not halted at once for the same samples.
+            soakStartedAt = Double.NaN;
+            progress = "halted: " + release.why();
             return List.of();
         }
-        String halt = halt(now, r, v);
-        if (halt != null) {
-            return List.of(new ReleaseOp.Halt(mine, r.id(), halt));
+        String haltReason = haltReason(now, release, view);
+        if (haltReason != null) {
+            return List.of(new ReleaseOp.Halt(proposer, release.id(), haltReason));
         }
-        return steps(now, r, v, mine);
+        return steps(now, release, view, proposer);
     }
 
-    private List<ReleaseOp> steps(double now, Release r, View v, ReleaseOp.By leave) {
-        List<ReleaseOp> ops = additions(r, v, leave);
-        // Once B is known a voter goes beside the others, as voters take longest: one at a time. Before, they go last.
-        boolean known = r.wave() > 0 || r.back();
-        List<Place> open = r.places().stream().filter(p -> p.wave() <= r.wave() && p.stage() != Stage.MOVED)
-                .sorted(Comparator.comparing((Place p) -> p.name().equals(self)).thenComparing(p -> p.votes() != known)
-                        // Each leader that goes costs an election, and the next one's look round.
-                        .thenComparing(p -> p.name().equals(v.leader())).thenComparing(Place::name))
+    private List<ReleaseOp> steps(double now, Release release, View view, ReleaseOp.By proposer) {
+        List<ReleaseOp> commands = additions(release, view, proposer);
+        // Voters go one at a time and so take longest: once the first wave has shown that B works, they go beside the
+        // others from the start. In the first wave they go last.
+        boolean votersFirst = release.wave() > 0 || release.back();
+        List<Place> open = release.places().stream()
+                .filter(place -> place.wave() <= release.wave() && place.stage() != Stage.MOVED)
+                .sorted(Comparator.comparing((Place place) -> place.name().equals(self))
+                        .thenComparing(place -> place.votes() != votersFirst)
+                        // Each leader that goes costs an election, and the time in which the next one observes.
+                        .thenComparing(place -> place.name().equals(view.leader())).thenComparing(Place::name))
                 .toList();
-        int room = room(r, v);
-        boolean voterAsked = r.places().stream().anyMatch(p -> p.votes() && p.stage() == Stage.ASKED);
-        int left = 0;
-        for (Place p : open) {
-            Sight s = v.of(p.name());
-            if (s != null && isMoved(r, s)) {
-                ops.add(new ReleaseOp.Moved(leave, r.id(), r.started(), p.name()));
+        int requestsLeft = requestsLeft(release, view);
+        boolean isVoterRequested =
+                release.places().stream().anyMatch(place -> place.votes() && place.stage() == Stage.ASKED);
+        int remaining = 0;
+        for (Place place : open) {
+            Sight seen = view.of(place.name());
+            if (seen != null && isMoved(release, seen)) {
+                commands.add(new ReleaseOp.Moved(proposer, release.id(), release.started(), place.name()));
                 continue;
             }
-            // The conductor itself goes last of all, so that the duty is handed on once for its sake; but a wave of
-            // which it
-            // is all has to go, or nothing would be judged.
-            if (p.name().equals(self) && p.stage() == Stage.LEFT && (open.size() > 1 || r.wave() < r.lastWave()
-                    && r.places().stream().anyMatch(o -> o.wave() == p.wave() && !o.name().equals(self)))) {
+            // This instance goes last of all, so that the rollout lease changes its holder only once for it. It goes
+            // with its wave where it is all of that wave, or there would be nothing to analyse.
+            if (place.name().equals(self) && place.stage() == Stage.LEFT
+                    && (open.size() > 1 || release.wave() < release.lastWave() && release.places().stream()
+                            .anyMatch(other -> other.wave() == place.wave() && !other.name().equals(self)))) {
                 continue;
             }
-            left++;
-            if (p.stage() == Stage.ASKED) {
-                if (s != null && s.out() == null && s.look() == Health.STEADY && s.serving() != null) {
-                    ops.add(new ReleaseOp.Missed(leave, r.id(), r.started(), p.name()));
+            remaining++;
+            if (place.stage() == Stage.ASKED) {
+                if (seen != null && seen.out() == null && seen.look() == Health.STEADY && seen.serving() != null) {
+                    commands.add(new ReleaseOp.Missed(proposer, release.id(), release.started(), place.name()));
                 }
-            } else if (p.attempt() < r.plan().tries() && s != null && mayBeAsked(r, s)
-            // What runs the target and is not steady yet would go for nothing; what has not said, may.
-                    && s.serving() != null && !s.serving().version().isEmpty()
-                    && !s.serving().version().equals(r.target())
-                    && (p.votes() ? !voterAsked : room > 0)) {
-                ops.add(new ReleaseOp.Ask(leave, r.id(), r.started(), p.name(), p.attempt() + 1));
-                voterAsked |= p.votes();
-                room -= p.votes() ? 0 : 1;
+            } else if (place.attempt() < release.plan().tries() && seen != null && mayBeRequested(release, seen)
+            // A restart gains nothing for an instance that runs the target version and is not steady yet. One that
+            // reports no version may still be about to run it.
+                    && seen.serving() != null && !seen.serving().version().isEmpty()
+                    && !seen.serving().version().equals(release.target())
+                    && (place.votes() ? !isVoterRequested : requestsLeft > 0)) {
+                commands.add(new ReleaseOp.Ask(proposer, release.id(), release.started(), place.name(),
+                        place.attempt() + 1));
+                isVoterRequested |= place.votes();
+                requestsLeft -= place.votes() ? 0 : 1;
             }
         }
-        if (left == 0 && ops.isEmpty()) {
-            through(now, r, leave, ops);
+        if (remaining == 0 && commands.isEmpty()) {
+            finishWave(now, release, proposer, commands);
         } else {
-            soakedSince = Double.NaN;
-            doing = "wave " + r.wave() + ": " + left + " left";
+            soakStartedAt = Double.NaN;
+            progress = "wave " + release.wave() + ": " + remaining + " instances left";
         }
-        return ops;
+        return commands;
     }
 
     /**
-     * Members that run another version than the release's target and have no place in it: they joined after it
-     * started, or the leader that started it had not heard of them yet. Without a place they would stay on that version
-     * behind a release that is done.
+     * Adds members that run another version than the rollout's target and have no part in it: they joined after it
+     * started, or the leader that started it had not heard of them yet. Without a part they would stay on that version
+     * after the rollout is done.
      */
-    private static List<ReleaseOp> additions(Release r, View v, ReleaseOp.By by) {
-        List<ReleaseOp> ops = new ArrayList<>();
-        for (Sight s : v.takesAdditions() ? v.members() : List.<Sight>of()) {
-            boolean says = s.look() != Health.GONE && s.serving() != null && !s.serving().version().isEmpty();
-            if (says && r.place(s.name()) == null && !s.serving().version().equals(r.target())) {
-                ops.add(new ReleaseOp.AddPlace(by, r.id(), r.started(), s.name(), s.zone(), false));
+    private static List<ReleaseOp> additions(Release release, View view, ReleaseOp.By proposer) {
+        List<ReleaseOp> commands = new ArrayList<>();
+        for (Sight seen : view.takesAdditions() ? view.members() : List.<Sight>of()) {
+            boolean reportsVersion = seen.look() != Health.GONE && seen.serving() != null
+                    && !seen.serving().version().isEmpty();
+            if (reportsVersion && release.place(seen.name()) == null
+                    && !seen.serving().version().equals(release.target())) {
+                commands.add(new ReleaseOp.AddPlace(proposer, release.id(), release.started(), seen.name(),
+                        seen.zone(), false));
             }
         }
-        return ops;
+        return commands;
     }
 
     /**
-     * Asks that may still be made now: enough that places never stand free, and no more, since whoever asks waits its
-     * turn and the next voter would wait behind all of them.
+     * Requests that may still be made now: enough that no budget stays unused, and no more, as requests are granted in
+     * their order and the next voter would wait behind all of them.
      */
-    private static int room(Release r, View v) {
+    private static int requestsLeft(Release release, View view) {
         int waiting = 0;
-        int out = 0;
-        for (Place p : r.places()) {
-            Sight s = p.stage() == Stage.ASKED ? v.of(p.name()) : null;
-            if (s != null) {
-                boolean goes = s.out() != null && s.out().usesBudget();
-                out += goes ? 1 : 0;
-                waiting += goes ? 0 : 1;
+        int unavailable = 0;
+        for (Place place : release.places()) {
+            Sight seen = place.stage() == Stage.ASKED ? view.of(place.name()) : null;
+            if (seen != null) {
+                boolean isGranted = seen.out() != null && seen.out().usesBudget();
+                unavailable += isGranted ? 1 : 0;
+                waiting += isGranted ? 0 : 1;
             }
         }
-        return Math.max(LEAST_WAITING, out / 2) - waiting;
+        return Math.max(MIN_WAITING_REQUESTS, unavailable / 2) - waiting;
     }
 
-    /** On the way back also one that is not steady again: it may be B that keeps it from that. */
-    private static boolean mayBeAsked(Release r, Sight s) {
-        return s.out() == null || r.back() && s.out().phase() == Disruption.Phase.RETURNING;
+    /** In a rollback also an instance that has not become steady again: version B may be what prevents that. */
+    private static boolean mayBeRequested(Release release, Sight seen) {
+        return seen.out() == null || release.back() && seen.out().phase() == Disruption.Phase.RETURNING;
     }
 
+    /** Whether the instance runs the target version and is steady. */
     protected boolean isMoved(Release r, Sight s) {
         return s.runs(r.target());
     }
 
-    /** The wave is through: it is judged for a while, and the next one begins. */
-    private void through(double now, Release r, ReleaseOp.By leave, List<ReleaseOp> ops) {
-        if (Double.isNaN(soakedSince)) {
-            soakedSince = now;
+    /** All of the wave are updated: analyses it for the soak time, then starts the next wave or ends the rollout. */
+    private void finishWave(double now, Release release, ReleaseOp.By proposer, List<ReleaseOp> commands) {
+        if (Double.isNaN(soakStartedAt)) {
+            soakStartedAt = now;
         }
-        double soaked = now - soakedSince;
-        double soak = r.back() || r.places().stream().allMatch(p -> p.stage() == Stage.MOVED) ? 0
-                : r.plan().soak(r.wave());
-        Judge.Verdict verdict = soak == 0 ? Judge.Verdict.WELL : judge.verdict();
-        doing = "wave " + r.wave() + " is judged for " + Math.round(soaked) + " of " + Math.round(soak) + " s";
+        double soaked = now - soakStartedAt;
+        double soak = release.back() || release.places().stream().allMatch(place -> place.stage() == Stage.MOVED) ? 0
+                : release.plan().soak(release.wave());
+        Judge.Verdict verdict = soak == 0 ? Judge.Verdict.WELL : analysis.verdict();
+        progress = "wave " + release.wave() + ": analysed for " + Math.round(soaked) + " of " + Math.round(soak)
+                + " s";
         if (soaked < soak) {
             return;
         }
-        if (verdict == Judge.Verdict.WELL || judge.looks() == 0) {
-            ops.add(r.wave() < r.lastWave() ? new ReleaseOp.Next(leave, r.id(), r.started(), r.wave() + 1)
-                    : new ReleaseOp.Done(leave, r.id(), r.started()));
-            soakedSince = Double.NaN;
-        } else if (soaked >= Math.max(UNDECIDED * soak, LEAST_UNDECIDED)) {
-            ops.add(new ReleaseOp.Halt(leave, r.id(), "after " + Math.round(soaked)
-                    + " s it is not known to be as good: "
-                    + judge));
+        if (verdict == Judge.Verdict.WELL || analysis.looks() == 0) {
+            commands.add(release.wave() < release.lastWave()
+                    ? new ReleaseOp.Next(proposer, release.id(), release.started(), release.wave() + 1)
+                    : new ReleaseOp.Done(proposer, release.id(), release.started()));
+            soakStartedAt = Double.NaN;
+        } else if (soaked >= Math.max(MAX_INCONCLUSIVE_SOAKS * soak, MIN_ANALYSIS_SECONDS)) {
+            commands.add(new ReleaseOp.Halt(proposer, release.id(), "the canary analysis is inconclusive after "
+                    + Math.round(soaked) + " s: " + analysis));
         }
     }
 
-    /** Those on A and those on B, in the same moment. */
-    private void look(double now, Release r, View v) {
-        if (r.back() || now - lastLook < LOOK_EVERY) {
+    /** Takes one sample of each instance that serves, on A and on B at the same moment. */
+    private void sample(double now, Release release, View view) {
+        if (release.back() || now - lastSampleAt < SAMPLE_INTERVAL_SECONDS) {
             return;
         }
-        lastLook = now;
-        List<Judge.Look> looks = new ArrayList<>();
-        for (Sight s : v.members()) {
-            LoadReport served = s.serving();
-            // Whoever drains or warms is no measure of its version.
-            if (served != null && served.spanSeconds() > 0 && served.offeredPerSecond() > 0 && s.out() == null
-                    && s.look() == Health.STEADY) {
-                boolean b = served.version().equals(r.plan().to());
-                if (b || served.version().equals(r.plan().from())) {
-                    looks.add(new Judge.Look(s.name(), s.zone(), b, served.servedShare(),
-                            served.failedPerSecond() / Math.max(1e-9, served.offeredPerSecond()),
-                            served.memoryMegabytes()));
+        lastSampleAt = now;
+        List<Judge.Look> samples = new ArrayList<>();
+        for (Sight seen : view.members()) {
+            LoadReport load = seen.serving();
+            // An instance that drains or warms up says nothing of its version.
+            if (load != null && load.spanSeconds() > 0 && load.offeredPerSecond() > 0 && seen.out() == null
+                    && seen.look() == Health.STEADY) {
+                boolean isOnB = load.version().equals(release.plan().to());
+                if (isOnB || load.version().equals(release.plan().from())) {
+                    samples.add(new Judge.Look(seen.name(), seen.zone(), isOnB, load.servedShare(),
+                            load.failedPerSecond() / Math.max(1e-9, load.offeredPerSecond()),
+                            load.memoryMegabytes()));
                 }
             }
         }
-        judged(looks);
+        judged(samples);
     }
 
+    /** Hands the samples of one moment to the analysis. */
     protected void judged(List<Judge.Look> looks) {
-        judge.look(looks);
+        analysis.look(looks);
     }
 
-    /** Since when each is away, and how many of its processes have ended since it was asked for. */
-    private void follow(double now, Release r, View v) {
-        for (Place p : r.places()) {
-            Sight s = v.of(p.name());
-            // Also one that went before the release was turned, and has not come back since.
-            boolean away = s == null ? p.stage() == Stage.ASKED : s.out() != null && s.out().usesBudget()
-                    && s.out().phase() != Disruption.Phase.GRANTED
-                    && (p.stage() == Stage.ASKED || s.out().reason() == Disruption.Reason.RELEASE);
-            if (!away) {
-                awaySince.remove(p.name());
+    /** Records since when each instance is away, and how many of its processes ended since its update was requested. */
+    private void trackInstances(double now, Release release, View view) {
+        for (Place place : release.places()) {
+            Sight seen = view.of(place.name());
+            // Includes an instance that went before the rollout was turned into a rollback and has not come back since.
+            boolean isAway = seen == null ? place.stage() == Stage.ASKED : seen.out() != null
+                    && seen.out().usesBudget() && seen.out().phase() != Disruption.Phase.GRANTED
+                    && (place.stage() == Stage.ASKED || seen.out().reason() == Disruption.Reason.RELEASE);
+            if (!isAway) {
+                awaySince.remove(place.name());
             } else {
-                awaySince.putIfAbsent(p.name(), now);
+                awaySince.putIfAbsent(place.name(), now);
             }
-            if (s != null && s.look() != Health.GONE) {
-                Long before = lives.put(p.name(), s.life());
-                if (before != null && before != s.life() && p.stage() == Stage.ASKED) {
-                    ended.merge(p.name(), 1, Integer::sum);
+            if (seen != null && seen.look() != Health.GONE) {
+                Long before = incarnations.put(place.name(), seen.life());
+                if (before != null && before != seen.life() && place.stage() == Stage.ASKED) {
+                    endedProcesses.merge(place.name(), 1, Integer::sum);
                 }
             }
-            if (p.stage() != Stage.ASKED) {
-                ended.remove(p.name());
+            if (place.stage() != Stage.ASKED) {
+                endedProcesses.remove(place.name());
             }
         }
     }
 
-    /** Why it should not go on, or null. */
-    private String halt(double now, Release r, View v) {
-        for (Place p : r.places()) {
-            if (now - awaySince.getOrDefault(p.name(), now) > r.plan().patience()) {
-                return p.name() + " is not back after " + Math.round(r.plan().patience()) + " s";
+    /** Why the rollout must not go on, or null where it may. */
+    private String haltReason(double now, Release release, View view) {
+        for (Place place : release.places()) {
+            if (now - awaySince.getOrDefault(place.name(), now) > release.plan().patience()) {
+                return place.name() + " is not back after " + Math.round(release.plan().patience()) + " s";
             }
-            if (ended.getOrDefault(p.name(), 0) > MOST_LIVES) {
-                return p.name() + " ends again and again";
+            int ended = endedProcesses.getOrDefault(place.name(), 0);
+            if (ended > MAX_ENDED_PROCESSES) {
+                return place.name() + " does not stay up: " + ended + " of its processes have ended during its update";
             }
-            if (p.stage() == Stage.LEFT && p.attempt() >= r.plan().tries() && v.of(p.name()) != null
-                    && v.of(p.name()).out() == null && !isMoved(r, v.of(p.name()))) {
-                return p.name() + " does not come back as " + r.target() + ", after " + p.attempt() + " times";
+            if (place.stage() == Stage.LEFT && place.attempt() >= release.plan().tries()
+                    && view.of(place.name()) != null && view.of(place.name()).out() == null
+                    && !isMoved(release, view.of(place.name()))) {
+                return place.name() + " does not come back as " + release.target() + " after " + place.attempt()
+                        + " attempts";
             }
         }
-        long others = v.members().stream().filter(s -> s.out() != null && s.out().usesBudget()
-                && s.out().reason() != Disruption.Reason.RELEASE).count();
-        if (others > r.plan().mostOut()) {
-            return others + " are out for other reasons";
+        long others = view.members().stream().filter(seen -> seen.out() != null && seen.out().usesBudget()
+                && seen.out().reason() != Disruption.Reason.RELEASE).count();
+        if (others > release.plan().mostOut()) {
+            return others + " instances are out for other reasons than the rollout, more than "
+                    + release.plan().mostOut();
         }
-        return !r.back() && judge.verdict() == Judge.Verdict.WORSE ? judge.why() : null;
+        return !release.back() && analysis.verdict() == Judge.Verdict.WORSE ? analysis.why() : null;
     }
 }
--- a/src/main/java/topazladder/release/Release.java
+++ b/src/main/java/topazladder/release/Release.java
@@ -5,57 +5,68 @@
 import topazladder.release.Place.Stage;
 
 /**
- * A release as the hall has agreed on it.
+ * The replicated state of one rollout; immutable.
  *
- * @param id grows from release to release
- * @param back whether it goes towards A again
- * @param phase where it stands
+ * @param id grows from rollout to rollout
+ * @param back whether it is a rollback, towards A
+ * @param phase whether it runs, is halted or done
  * @param why it is halted, or empty
- * @param wave that is under way
- * @param started times that it began a direction; part of the requests for leave, so that none of before counts
- * @param history what was done, latest last, each with a time of day that only tells
+ * @param wave in progress
+ * @param started times that it took a direction: 1, and 2 once it is rolled back; part of the ids of its requests, so
+ *     that those of the earlier direction no longer count
+ * @param places its instances
+ * @param history the latest events, in order
  */
 public record Release(long id, Plan plan, boolean back, Phase phase, String why, int wave, int started,
         List<Place> places, List<Event> history) {
-    /** Events kept. */
-    static final int MOST_EVENTS = 4096;
+    /** Events that are kept. */
+    static final int MAX_EVENTS = 4096;
 
+    /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Phase { RUNNING, HALTED, DONE }
 
-    /** @param atMillis by the clock of whoever proposed it; nothing is decided by it */
+    /**
+     * One step, for operators.
+     *
+     * @param atMillis time of day at the proposer; nothing is decided by it
+     * @param what happened
+     */
     public record Event(long atMillis, String what) {
     }
 
+    /** Whether all instances are updated and the analysis has passed. */
     public boolean over() {
         return phase == Phase.DONE;
     }
 
+    /** The version that it goes to now. */
     public String target() {
         return plan.target(back);
     }
 
+    /** The part of that instance, or null where it has none. */
     public Place place(String name) {
-        return places.stream().filter(p -> p.name().equals(name)).findFirst().orElse(null);
+        return places.stream().filter(place -> place.name().equals(name)).findFirst().orElse(null);
     }
 
-    /** By which the ledger of outs knows an ask for leave again. */
+    /** The id of an instance's request for a grant; stored, so its form stays. */
     public String request(Place p) {
         return "release " + id + '.' + started + '/' + p.name() + '/' + p.attempt();
     }
 
-    /** Whether all of the wave are moved but the conductor, which goes last of all. */
-    boolean waveMoved(String conductor) {
-        return places.stream().allMatch(p -> p.wave() > wave || p.stage() == Stage.MOVED
-                || p.name().equals(conductor));
+    /** Whether the wave and all before it are updated, apart from the rollout lease's holder, which goes last. */
+    boolean isWaveUpdated(String leaseHolder) {
+        return places.stream().allMatch(place -> place.wave() > wave || place.stage() == Stage.MOVED
+                || place.name().equals(leaseHolder));
     }
 
     int lastWave() {
         return places.stream().mapToInt(Place::wave).max().orElse(0);
     }
 
-    Release with(Place changed) {
-        return new Release(id, plan, back, phase, why, wave, started, places.stream().map(p -> p.name().equals(
-                changed.name()) ? changed : p).toList(), history);
+    Release withChanged(Place changed) {
+        return new Release(id, plan, back, phase, why, wave, started, places.stream()
+                .map(place -> place.name().equals(changed.name()) ? changed : place).toList(), history);
     }
 
     Release withAdded(Place place) {
@@ -64,24 +75,24 @@
         return new Release(id, plan, back, phase, why, wave, started, List.copyOf(more), history);
     }
 
-    Release in(Phase next, String reason) {
+    Release inPhase(Phase next, String reason) {
         return new Release(id, plan, back, next, reason, wave, started, places, history);
     }
 
-    Release at(int next) {
+    Release inWave(int next) {
         return new Release(id, plan, back, phase, why, next, started, places, history);
     }
 
-    /** From its first wave towards A; whoever runs that already is found so. */
-    Release turned() {
-        return new Release(id, plan, true, Phase.RUNNING, "", 0, started + 1, places.stream().map(p -> p.at(Stage.LEFT,
-                0)).toList(), history);
+    /** Starts over towards A from the first wave; instances that run A already are found to be updated. */
+    Release rolledBack() {
+        return new Release(id, plan, true, Phase.RUNNING, "", 0, started + 1, places.stream()
+                .map(place -> place.at(Stage.LEFT, 0)).toList(), history);
     }
 
-    Release told(long atMillis, String what) {
+    Release withEvent(long atMillis, String what) {
         List<Event> more = new ArrayList<>(history);
         more.add(new Event(atMillis, what));
-        while (more.size() > MOST_EVENTS) {
+        while (more.size() > MAX_EVENTS) {
             more.remove(0);
         }
         return new Release(id, plan, back, phase, why, wave, started, places, List.copyOf(more));
