--- a/src/main/java/topazladder/knowledge/Fact.java
+++ b/src/main/java/topazladder/knowledge/Fact.java
@@ -3,16 +3,22 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * What one origin learned of one subject, at one moment.
+ * A learned estimate with the instance that measured it and the time at which it was taken.
  *
- * @param weight events that it stood for when it was seen
- * @param seenAt seconds on the holder's own clock, which never runs backwards and means nothing to others
- * @param version counts the origin's own tellings; of two the higher is the later
+ * @param kind what was measured
+ * @param subject the request class that it holds for, or empty
+ * @param origin who measured it
+ * @param value in the unit of its kind
+ * @param weight samples that the value stood for at that time
+ * @param seenAt seconds on the local monotonic clock, which means nothing to other instances; sent as an age
+ * @param version number of the origin's share that it came with; the higher of two is the later
  */
 public record Fact(Kind kind, String subject, Origin origin, double value, double weight, double seenAt,
         long version) {
+    private static final double MAX_WEIGHT = 1e6;
+    private static final int MAX_SUBJECT_LENGTH = 100;
 
-    /** One entry for each in what is held. */
+    /** One fact is kept for each key. */
     record Key(Kind kind, String subject, String name, long incarnation) {
     }
 
@@ -21,9 +27,9 @@
     }
 
     /**
-     * The one that stays of two under one key, whichever comes first. A copy that went a longer way lost time that
-     * nobody counted, so that of equal versions the older reading of its age is the truer one; the rest of the order
-     * only makes the choice the same on every side.
+     * Which of two facts under one key is kept, in a total order, so that all instances choose the same one. A copy
+     * that came by more hops looks younger, as its time on the way is not counted: of equal versions the older reading
+     * is closer to the truth.
      */
     Fact later(Fact other) {
         if (version != other.version) {
@@ -40,13 +46,14 @@
         return order <= 0 ? this : other;
     }
 
-    /** The events it still stands for: half of them after each half-life. */
+    /** The samples that it still stands for: {@code weight * 0.5 ^ (age / half-life of the kind)}. */
     double weightAt(double now) {
-        return weight * Math.pow(0.5, Math.max(0, now - seenAt) / Nature.of(kind).halfLife());
+        return weight * Math.pow(0.5, Math.max(0, now - seenAt) / TransferPolicy.of(kind).halfLife());
     }
 
-    boolean plausible() {
-        return Double.isFinite(value) && value >= 0 && Double.isFinite(weight) && weight > 0 && weight <= 1e6
-                && Double.isFinite(seenAt) && subject.length() <= 100;
+    /** Whether its values are possible at all; a peer may send anything. */
+    boolean isPlausible() {
+        return Double.isFinite(value) && value >= 0 && Double.isFinite(weight) && weight > 0 && weight <= MAX_WEIGHT
+                && Double.isFinite(seenAt) && subject.length() <= MAX_SUBJECT_LENGTH;
     }
 }
--- a/src/main/java/topazladder/knowledge/Knowledge.java
+++ b/src/main/java/topazladder/knowledge/Knowledge.java
@@ -18,19 +18,20 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * What was learned by whom, as an immutable set of facts: one is read or sent while the next is made of it, and
- * nothing is copied. Merging takes the later fact of each origin, so that neither the order in which shares come nor
- * how often or by how many ways they come makes a difference.
+ * An immutable set of the facts of several origins. It is persistent: a new set shares its structure with the one that
+ * it is made from, which may be read or sent meanwhile. A merge keeps the later fact of each origin, kind and subject,
+ * so that neither the order nor the number of deliveries, nor the peers on the way, make a difference.
  */
 public final class Knowledge {
     /** Origins whose facts are kept: the median of so many is not moved by a few that are wrong. */
-    static final int MOST_ORIGINS = 12;
+    static final int MAX_ORIGINS = 12;
     /** Facts kept of one origin: kinds and request classes, with room to spare. */
-    static final int MOST_OF_ONE = 64;
-    /** Past this a fact is forgotten. */
-    private static final double FORGOTTEN = 0.1;
+    static final int MAX_FACTS_OF_ORIGIN = 64;
+    /** A fact of a smaller weight is dropped. */
+    private static final double MIN_WEIGHT = 0.1;
 
-    public static final Knowledge NONE = new Knowledge(HashTreePMap.empty());
+    /** Without facts. */
+    public static final Knowledge EMPTY = new Knowledge(HashTreePMap.empty());
 
     private final PMap<Key, Fact> facts;
 
@@ -38,125 +39,131 @@
         this.facts = facts;
     }
 
+    /** The later ones of these facts. */
     public static Knowledge of(Collection<Fact> facts) {
-        return NONE.with(facts);
+        return EMPTY.with(facts);
     }
 
+    /** Merges in more facts. */
     public Knowledge with(Collection<Fact> more) {
-        PMap<Key, Fact> all = facts;
-        for (Fact f : more) {
-            Fact had = all.get(f.key());
-            Fact kept = had == null ? f : had.later(f);
-            if (kept != had) {
-                all = all.plus(f.key(), kept);
+        PMap<Key, Fact> merged = facts;
+        for (Fact fact : more) {
+            Fact earlier = merged.get(fact.key());
+            Fact kept = earlier == null ? fact : earlier.later(fact);
+            if (kept != earlier) {
+                merged = merged.plus(fact.key(), kept);
             }
         }
-        return all == facts ? this : new Knowledge(all);
+        return merged == facts ? this : new Knowledge(merged);
     }
 
-    /** Commutative, associative and idempotent; nothing is forgotten by it. */
+    /** Commutative, associative and idempotent; drops nothing. */
     public Knowledge merge(Knowledge other) {
         return with(other.facts.values());
     }
 
+    /** All facts, in no order. */
     public Collection<Fact> facts() {
         return facts.values();
     }
 
+    /** Whether there are no facts. */
     public boolean isEmpty() {
         return facts.isEmpty();
     }
 
+    /** Number of facts. */
     public int size() {
         return facts.size();
     }
 
-    /** Without what is too old to say anything and without the origins past the bound, those that say least first. */
+    /** Without facts that are too old to say anything, and without the origins of least weight past the limit. */
     public Knowledge bounded(double now) {
         Map<String, Double> weights = new HashMap<>();
         Map<String, Integer> counts = new HashMap<>();
         List<Fact> byWeight = new ArrayList<>(facts.values());
-        Comparator<Fact> heaviest = Comparator.comparingDouble((Fact f) -> -f.weightAt(now));
-        byWeight.sort(heaviest.thenComparing(f -> f.key().toString()));
-        PMap<Key, Fact> kept = facts;
-        Set<Key> gone = new HashSet<>();
-        for (Fact f : byWeight) {
-            String origin = origin(f);
-            if (f.weightAt(now) < FORGOTTEN || counts.merge(origin, 1, Integer::sum) > MOST_OF_ONE) {
-                gone.add(f.key());
+        Comparator<Fact> heaviest = Comparator.comparingDouble((Fact fact) -> -fact.weightAt(now));
+        byWeight.sort(heaviest.thenComparing(fact -> fact.key().toString()));
+        Set<Key> dropped = new HashSet<>();
+        for (Fact fact : byWeight) {
+            String origin = processOf(fact);
+            if (fact.weightAt(now) < MIN_WEIGHT || counts.merge(origin, 1, Integer::sum) > MAX_FACTS_OF_ORIGIN) {
+                dropped.add(fact.key());
             } else {
-                weights.merge(origin, f.weightAt(now), Double::sum);
+                weights.merge(origin, fact.weightAt(now), Double::sum);
             }
         }
         List<String> origins = new ArrayList<>(weights.keySet());
-        origins.sort(Comparator.comparingDouble((String o) -> -weights.get(o)).thenComparing(o -> o));
-        Set<String> staying = new HashSet<>(origins.subList(0, Math.min(MOST_ORIGINS, origins.size())));
-        facts.values().stream().filter(f -> !staying.contains(origin(f))).forEach(f -> gone.add(f.key()));
-        kept = kept.minusAll(gone);
-        return gone.isEmpty() ? this : new Knowledge(kept);
+        origins.sort(Comparator.comparingDouble((String origin) -> -weights.get(origin))
+                .thenComparing(origin -> origin));
+        Set<String> keptOrigins = new HashSet<>(origins.subList(0, Math.min(MAX_ORIGINS, origins.size())));
+        facts.values().stream().filter(fact -> !keptOrigins.contains(processOf(fact)))
+                .forEach(fact -> dropped.add(fact.key()));
+        return dropped.isEmpty() ? this : new Knowledge(facts.minusAll(dropped));
     }
 
-    private static String origin(Fact f) {
-        return f.origin().name() + '#' + f.origin().incarnation();
+    private static String processOf(Fact fact) {
+        return fact.origin().name() + '#' + fact.origin().incarnation();
     }
 
     /**
-     * What all of it comes to on one machine at one moment, one value a kind and subject: the weighted median, as one
-     * origin that was itself in trouble must not pull the others along. What this very process told is left out.
+     * One estimate for each kind and subject, as they apply to one instance now: the weighted median over the origins,
+     * so that an origin that was itself overloaded does not distort it. Facts of that very process are left out.
      */
-    public List<LearnedEstimate> seenFrom(Origin here, double now) {
-        record At(Kind kind, String subject) {
+    public List<LearnedEstimate> estimatesFor(Origin here, double now) {
+        record Group(Kind kind, String subject) {
         }
 
-        Map<At, List<Fact>> groups = new TreeMap<>(Comparator.comparing(At::kind).thenComparing(At::subject));
-        for (Fact f : facts.values()) {
-            if (!f.origin().same(here)) {
-                groups.computeIfAbsent(new At(f.kind(), f.subject()), k -> new ArrayList<>()).add(f);
+        Map<Group, List<Fact>> groups = new TreeMap<>(Comparator.comparing(Group::kind).thenComparing(Group::subject));
+        for (Fact fact : facts.values()) {
+            if (!fact.origin().isSameProcess(here)) {
+                groups.computeIfAbsent(new Group(fact.kind(), fact.subject()), key -> new ArrayList<>()).add(fact);
             }
         }
-        List<LearnedEstimate> all = new ArrayList<>();
-        groups.forEach((at, group) -> {
-            Nature nature = Nature.of(at.kind());
+        List<LearnedEstimate> estimates = new ArrayList<>();
+        groups.forEach((group, members) -> {
+            TransferPolicy policy = TransferPolicy.of(group.kind());
             Map<Double, Double> weightByValue = new TreeMap<>();
             double age = Double.POSITIVE_INFINITY;
-            for (Fact f : group) {
-                OptionalDouble value = nature.carried(f.value(), f.origin(), here);
-                double weight = f.weightAt(now) * nature.worth(f.origin(), here);
+            for (Fact fact : members) {
+                OptionalDouble value = policy.scaledValue(fact.value(), fact.origin(), here);
+                double weight = fact.weightAt(now) * policy.weightFactor(fact.origin(), here);
                 if (value.isPresent() && weight > 0) {
                     weightByValue.merge(value.getAsDouble(), weight, Double::sum);
-                    age = Math.min(age, Math.max(0, now - f.seenAt()));
+                    age = Math.min(age, Math.max(0, now - fact.seenAt()));
                 }
             }
             double weight = weightByValue.values().stream().mapToDouble(w -> w).sum();
-            if (weight >= nature.least()) {
-                all.add(new LearnedEstimate(at.kind(), at.subject(), median(weightByValue, weight),
-                        Math.min(nature.most(), weight), age));
+            if (weight >= policy.minWeight()) {
+                estimates.add(new LearnedEstimate(group.kind(), group.subject(), median(weightByValue, weight),
+                        Math.min(policy.maxWeight(), weight), age));
             }
         });
-        return all;
+        return estimates;
     }
 
-    private static double median(Map<Double, Double> weightByValue, double all) {
+    private static double median(Map<Double, Double> weightByValue, double totalWeight) {
         double sum = 0;
         double last = 0;
-        for (Map.Entry<Double, Double> e : weightByValue.entrySet()) {
-            sum += e.getValue();
-            last = e.getKey();
-            if (sum >= all / 2) {
+        for (Map.Entry<Double, Double> entry : weightByValue.entrySet()) {
+            sum += entry.getValue();
+            last = entry.getKey();
+            if (sum >= totalWeight / 2) {
                 break;
             }
         }
         return last;
     }
 
-    /** By origin, in an order that depends on nothing but what is in it. */
+    /** The facts of each origin, in an order that depends on them alone. */
     public Map<Origin, List<Fact>> byOrigin() {
-        Map<Origin, List<Fact>> all = new LinkedHashMap<>();
+        Map<Origin, List<Fact>> byOrigin = new LinkedHashMap<>();
         facts.values().stream()
-                .sorted(Comparator.comparing((Fact f) -> f.key().name()).thenComparing(f -> f.key().incarnation())
+                .sorted(Comparator.comparing((Fact fact) -> fact.key().name())
+                        .thenComparing(fact -> fact.key().incarnation())
                         .thenComparing(Fact::kind).thenComparing(Fact::subject))
-                .forEach(f -> all.computeIfAbsent(f.origin(), k -> new ArrayList<>()).add(f));
-        return all;
+                .forEach(fact -> byOrigin.computeIfAbsent(fact.origin(), origin -> new ArrayList<>()).add(fact));
+        return byOrigin;
     }
 
     @Override
--- a/src/main/java/topazladder/knowledge/Learning.java
+++ b/src/main/java/topazladder/knowledge/Learning.java
@@ -11,57 +11,71 @@
 import topazladder.request.LearnedEstimate.Kind;
 
 /**
- * What one instance knows by others and passes on. The module takes each kind and subject once: taken again, the same
- * events would count twice in its means.
+ * The learned estimates that one instance has received from others and passes on. Each kind and subject is handed to
+ * admission control once: handed over again, the same samples would count twice in its means.
  */
 public final class Learning {
     private final Origin here;
     private final DoubleSupplier clock;
-    private final Set<Kind> leftOut;
-    /** Bounded by kinds and request classes. */
-    private final Set<String> handedOver = new HashSet<>();
-    private Knowledge heard = Knowledge.NONE;
-    private long tellings;
+    private final Set<Kind> excludedKinds;
+    private final Set<String> handedOver = new HashSet<>(); // no more than kinds times request classes
+    private Knowledge received = Knowledge.EMPTY;
+    private long lastVersion;
 
-    /** @param clock seconds that never run backwards */
+    /**
+     * Creates an instance's store, empty.
+     *
+     * @param here this instance
+     * @param clock monotonic seconds
+     * @param leftOut kinds that are passed on but not handed to admission control
+     */
     public Learning(Origin here, DoubleSupplier clock, Collection<Kind> leftOut) {
         this.here = here;
         this.clock = clock;
-        this.leftOut = leftOut.isEmpty() ? EnumSet.noneOf(Kind.class) : EnumSet.copyOf(leftOut);
+        this.excludedKinds = leftOut.isEmpty() ? EnumSet.noneOf(Kind.class) : EnumSet.copyOf(leftOut);
     }
 
+    /** This instance. */
     public Origin here() {
         return here;
     }
 
-    /** Facts with what can't be are passed over. Returns how many were taken. */
+    /** Takes in a peer's facts, apart from implausible ones and this instance's own; returns how many were taken. */
     public int hear(Collection<Fact> facts) {
-        List<Fact> sound = facts.stream().filter(Fact::plausible).filter(f -> !f.origin().same(here)).toList();
-        heard = heard.with(sound).bounded(clock.getAsDouble());
-        return sound.size();
+        List<Fact> accepted =
+                facts.stream().filter(Fact::isPlausible).filter(fact -> !fact.origin().isSameProcess(here)).toList();
+        received = received.with(accepted).bounded(clock.getAsDouble());
+        return accepted.size();
     }
 
-    /** What the module was not told yet, as it holds here and now. */
+    /** The estimates that admission control was not handed yet, as they apply to this instance now. */
     public List<LearnedEstimate> forTheModule() {
-        List<LearnedEstimate> fresh = new ArrayList<>();
-        for (LearnedEstimate l : heard.seenFrom(here, clock.getAsDouble())) {
-            if (!leftOut.contains(l.kind()) && handedOver.add(l.kind() + "/" + l.subject())) {
-                fresh.add(l);
+        List<LearnedEstimate> estimates = new ArrayList<>();
+        for (LearnedEstimate estimate : received.estimatesFor(here, clock.getAsDouble())) {
+            if (!excludedKinds.contains(estimate.kind())
+                    && handedOver.add(estimate.kind() + "/" + estimate.subject())) {
+                estimates.add(estimate);
             }
         }
-        return fresh;
+        return estimates;
     }
 
-    /** What is given to whoever asks: the own facts as they are now, and those heard of others with their origins. */
+    /**
+     * The share for a peer: this instance's own estimates as they are now, and those received, under their origins.
+     *
+     * @param own estimates of this instance
+     */
     public Knowledge toTell(Collection<LearnedEstimate> own) {
         double now = clock.getAsDouble();
-        long version = ++tellings;
-        heard = heard.bounded(now);
-        return heard.with(own.stream().map(l -> new Fact(l.kind(), l.subject(), here, l.value(), l.weight(),
-                now - l.age(), version)).filter(Fact::plausible).toList());
+        long version = ++lastVersion;
+        received = received.bounded(now);
+        return received.with(own.stream().map(estimate -> new Fact(estimate.kind(), estimate.subject(), here,
+                estimate.value(), estimate.weight(), now - estimate.age(), version)).filter(Fact::isPlausible)
+                .toList());
     }
 
-    public int heard() {
-        return heard.size();
+    /** Facts of other instances that are kept now. */
+    public int receivedCount() {
+        return received.size();
     }
 }
--- a/src/main/java/topazladder/knowledge/Origin.java
+++ b/src/main/java/topazladder/knowledge/Origin.java
@@ -1,17 +1,19 @@
 package topazladder.knowledge;
 
 /**
- * Who learned a fact, and on what machine. A successor under an old name has an incarnation of its own, so that it is
- * never taken for the one before.
+ * The process that measured an estimate, and its machine. A process that succeeds another under the same name has an
+ * incarnation of its own, so that their facts are kept apart.
  *
+ * @param name of the instance
+ * @param incarnation of the process
  * @param cores of its machine
- * @param coreSpeed beside the installation's yardstick of 1; 0 where nobody knows
- * @param settings digest of the request classes and of what lies below; facts of another mix of work hold less
+ * @param coreSpeed relative to the installation's reference of 1; 0 where it is unknown
+ * @param settings digest of the request classes and the dependencies; estimates under other settings count for less
  */
 public record Origin(String name, long incarnation, double cores, double coreSpeed, long settings) {
 
-    /** Whether it is the same process. */
-    boolean same(Origin other) {
+    /** Whether both are the same process. */
+    boolean isSameProcess(Origin other) {
         return name.equals(other.name) && incarnation == other.incarnation;
     }
 }
--- a/src/test/java/topazladder/knowledge/KnowledgeTest.java
+++ b/src/test/java/topazladder/knowledge/KnowledgeTest.java
@@ -17,17 +17,16 @@
 import topazladder.request.LearnedEstimate;
 import topazladder.request.LearnedEstimate.Kind;
 
-/** Merging and ageing hold whatever comes, in whatever order, however often. */
+/** The laws of merging and ageing for any facts, in any order and number, and the hard cases by name. */
 class KnowledgeTest {
     private static final Origin HERE = new Origin("n0", 7, 4, 1, 99);
 
     @Provide
     Arbitrary<Knowledge> knowledge() {
-        Arbitrary<Origin> origins = Combinators.combine(Arbitraries.of("n0", "n1", "n2"), Arbitraries.longs()
-                .between(6, 8),
-                Arbitraries.of(0.0, 2.0, 4.0), Arbitraries.of(0.0, 1.0, 2.0), Arbitraries.longs().between(98, 99))
-                .as(Origin::new);
-        // Few values, so that equal versions with other contents come up as well.
+        Arbitrary<Origin> origins = Combinators.combine(Arbitraries.of("n0", "n1", "n2"),
+                Arbitraries.longs().between(6, 8), Arbitraries.of(0.0, 2.0, 4.0), Arbitraries.of(0.0, 1.0, 2.0),
+                Arbitraries.longs().between(98, 99)).as(Origin::new);
+        // From few values, so that facts of one version and different contents occur as well.
         Arbitrary<Fact> facts = Combinators.combine(Arbitraries.of(Kind.class), Arbitraries.of("", "read"), origins,
                 Arbitraries.of(0.0, 0.5, 1.0, 30.0), Arbitraries.of(1.0, 10.0, 40.0), Arbitraries.of(0.0, 50.0, 100.0),
                 Arbitraries.longs().between(1, 3)).as(Fact::new);
@@ -46,55 +45,58 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-    void theSameShareReadTwiceOrThroughTwoPeersCountsOnce(@ForAll("knowledge") Knowledge a,
+    void aShareThatIsReceivedTwiceOrThroughTwoPeersCountsOnce(@ForAll("knowledge") Knowledge a,
             @ForAll("knowledge") Knowledge b) {
         assertThat(a.merge(a)).isEqualTo(a);
         assertThat(a.merge(b).merge(a.merge(b)).merge(b)).isEqualTo(a.merge(b));
-        assertThat(a.merge(b).merge(b).seenFrom(HERE, 100)).isEqualTo(a.merge(b).seenFrom(HERE, 100));
+        assertThat(a.merge(b).merge(b).estimatesFor(HERE, 100)).isEqualTo(a.merge(b).estimatesFor(HERE, 100));
     }
 
     @Property(seed = "20261201", tries = 300)
-    void orderOfFactsMakesNoDifference(@ForAll("knowledge") Knowledge a, @ForAll Random chance) {
+    void theOrderOfFactsMakesNoDifference(@ForAll("knowledge") Knowledge a, @ForAll Random random) {
         List<Fact> shuffled = new ArrayList<>(a.facts());
-        Collections.shuffle(shuffled, chance);
+        Collections.shuffle(shuffled, random);
         assertThat(Knowledge.of(shuffled)).isEqualTo(a);
     }
 
     @Property(seed = "20261201", tries = 300)
-    void olderNeverWeighsMoreAndNoWeightPassesItsCap(@ForAll("knowledge") Knowledge a,
+    void weightsNeverGrowWithAgeAndStayUnderTheirLimit(@ForAll("knowledge") Knowledge a,
             @ForAll @DoubleRange(min = 100, max = 5000) double now,
             @ForAll @DoubleRange(max = 5000) double later) {
-        List<LearnedEstimate> then = a.seenFrom(HERE, now + later);
-        for (LearnedEstimate l : then) {
-            assertThat(l.weight()).isLessThanOrEqualTo(Nature.of(l.kind()).most());
-            assertThat(l.weight()).isGreaterThanOrEqualTo(Math.min(1, Nature.of(l.kind()).least()));
-            LearnedEstimate before = a.seenFrom(HERE, now).stream()
-                    .filter(b -> b.kind() == l.kind() && b.subject().equals(l.subject())).findFirst().orElseThrow();
-            assertThat(l.weight()).isLessThanOrEqualTo(before.weight());
+        List<LearnedEstimate> older = a.estimatesFor(HERE, now + later);
+        for (LearnedEstimate estimate : older) {
+            TransferPolicy policy = TransferPolicy.of(estimate.kind());
+            assertThat(estimate.weight()).isLessThanOrEqualTo(policy.maxWeight());
+            assertThat(estimate.weight()).isGreaterThanOrEqualTo(Math.min(1, policy.minWeight()));
+            LearnedEstimate before = a.estimatesFor(HERE, now).stream()
+                    .filter(e -> e.kind() == estimate.kind() && e.subject().equals(estimate.subject()))
+                    .findFirst().orElseThrow();
+            assertThat(estimate.weight()).isLessThanOrEqualTo(before.weight());
         }
     }
 
     @Property(seed = "20261201", tries = 300)
-    void valuesStayWithinThoseThatWereTold(@ForAll("knowledge") Knowledge a) {
-        for (LearnedEstimate l : a.seenFrom(HERE, 100)) {
-            assertThat(a.facts()).anySatisfy(f -> {
-                assertThat(f.kind()).isEqualTo(l.kind());
-                assertThat(Nature.of(f.kind()).carried(f.value(), f.origin(), HERE)).hasValue(l.value());
+    void anEstimateIsOneOfTheScaledValues(@ForAll("knowledge") Knowledge a) {
+        for (LearnedEstimate estimate : a.estimatesFor(HERE, 100)) {
+            assertThat(a.facts()).anySatisfy(fact -> {
+                assertThat(fact.kind()).isEqualTo(estimate.kind());
+                assertThat(TransferPolicy.of(fact.kind()).scaledValue(fact.value(), fact.origin(), HERE))
+                        .hasValue(estimate.value());
             });
         }
     }
 
     @Property(seed = "20261201", tries = 300)
-    void whatIsKeptIsBoundedByWhatSaysMost(@ForAll("knowledge") Knowledge a) {
+    void boundingKeepsAtMostTheLimitOfOriginsAndIsIdempotent(@ForAll("knowledge") Knowledge a) {
         Knowledge bounded = a.bounded(100);
         assertThat(bounded.facts().stream().map(f -> f.origin().name() + f.origin().incarnation()).distinct())
-                .hasSizeLessThanOrEqualTo(Knowledge.MOST_ORIGINS);
+                .hasSizeLessThanOrEqualTo(Knowledge.MAX_ORIGINS);
         assertThat(bounded.bounded(100)).isEqualTo(bounded);
         assertThat(a.facts()).containsAll(bounded.facts());
     }
 
     @Test
-    void manyOriginsAreCutToTheBoundAndTheOldestGoFirst() {
+    void originsPastTheLimitAreDroppedOldestFirst() {
         List<Fact> facts = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             facts.add(fact(Kind.RUN_TIME, "", i + 1, 0.1, 5, 100 - i));
@@ -105,58 +107,58 @@
     }
 
     @Test
-    void oneOriginInTroubleDoesNotPullTheOthersAlong() {
+    void oneOverloadedOriginDoesNotDistortTheMedian() {
         Knowledge three = Knowledge.of(List.of(fact(Kind.RUN_TIME, "", 1, 0.1, 40, 100),
                 fact(Kind.RUN_TIME, "", 2, 0.12, 40, 100), fact(Kind.RUN_TIME, "", 3, 9, 40, 100)));
-        assertThat(three.seenFrom(HERE, 100)).extracting(LearnedEstimate::value).containsExactly(0.12);
+        assertThat(three.estimatesFor(HERE, 100)).extracting(LearnedEstimate::value).containsExactly(0.12);
     }
 
     @Test
-    void anHourOldSaysNothingAndARateOfMinutesAgoNeither() {
+    void estimatesOfAnHourAgoAreIgnoredAndRatesOfMinutesAgoToo() {
         Knowledge old = Knowledge.of(List.of(fact(Kind.COMPLETION_RATE, "", 1, 20, 30, 40),
                 fact(Kind.CALLS_IN_FLIGHT, "", 1, 3, 40, 40), fact(Kind.RUN_TIME, "read", 1, 0.1, 10, 40)));
-        assertThat(old.seenFrom(HERE, 100)).extracting(LearnedEstimate::kind)
+        assertThat(old.estimatesFor(HERE, 100)).extracting(LearnedEstimate::kind)
                 .containsExactly(Kind.RUN_TIME, Kind.CALLS_IN_FLIGHT, Kind.COMPLETION_RATE);
-        assertThat(old.seenFrom(HERE, 240)).extracting(LearnedEstimate::kind)
+        assertThat(old.estimatesFor(HERE, 240)).extracting(LearnedEstimate::kind)
                 .containsExactly(Kind.RUN_TIME, Kind.CALLS_IN_FLIGHT);
-        assertThat(old.seenFrom(HERE, 3640)).isEmpty();
+        assertThat(old.estimatesFor(HERE, 3640)).isEmpty();
     }
 
     @Test
-    void runTimesAreScaledByCoreSpeedAndHoldLittleWhereItIsNotKnown() {
+    void runTimesAreScaledByCoreSpeedAndWeighLessWhereItIsUnknown() {
         Origin fast = new Origin("f", 1, 8, 2, 99);
         Fact run = new Fact(Kind.RUN_TIME, "read", fast, 0.2, 10, 100, 1);
         Fact rate = new Fact(Kind.COMPLETION_RATE, "", fast, 80, 60, 100, 1);
-        assertThat(Knowledge.of(List.of(run, rate)).seenFrom(HERE, 100)).extracting(LearnedEstimate::value)
+        assertThat(Knowledge.of(List.of(run, rate)).estimatesFor(HERE, 100)).extracting(LearnedEstimate::value)
                 .containsExactly(0.4, 20.0);
         Origin unknown = new Origin("n0", 7, 4, 0, 99);
         Fact weak = new Fact(Kind.RUN_TIME, "read", fast, 0.2, 1.9, 100, 1);
-        assertThat(Knowledge.of(List.of(weak)).seenFrom(HERE, 100)).hasSize(1);
-        assertThat(Knowledge.of(List.of(weak)).seenFrom(unknown, 100)).isEmpty();
+        assertThat(Knowledge.of(List.of(weak)).estimatesFor(HERE, 100)).hasSize(1);
+        assertThat(Knowledge.of(List.of(weak)).estimatesFor(unknown, 100)).isEmpty();
     }
 
     @Test
-    void anotherMixOfWorkTellsNothingOfCallsAndRates() {
+    void underOtherSettingsOnlyRunTimesApply() {
         Origin other = new Origin("o", 1, 4, 1, 5);
         List<Fact> facts = new ArrayList<>();
         for (Kind kind : Kind.values()) {
             facts.add(new Fact(kind, "", other, 1, 1000, 100, 1));
         }
-        assertThat(Knowledge.of(facts).seenFrom(HERE, 100)).extracting(LearnedEstimate::kind)
+        assertThat(Knowledge.of(facts).estimatesFor(HERE, 100)).extracting(LearnedEstimate::kind)
                 .containsExactly(Kind.RUN_TIME);
     }
 
     @Test
-    void ownFactsThatComeBackAreNotLearnedButThoseOfAnEarlierLifeAre() {
+    void ownFactsThatComeBackAreIgnoredButThoseOfAnEarlierIncarnationApply() {
         Fact own = new Fact(Kind.RUN_TIME, "", HERE, 0.1, 10, 100, 1);
         Fact before = new Fact(Kind.RUN_TIME, "", new Origin("n0", 6, 4, 1, 99), 0.3, 10, 100, 1);
-        assertThat(Knowledge.of(List.of(own)).seenFrom(HERE, 100)).isEmpty();
-        assertThat(Knowledge.of(List.of(own, before)).seenFrom(HERE, 100)).extracting(LearnedEstimate::value)
+        assertThat(Knowledge.of(List.of(own)).estimatesFor(HERE, 100)).isEmpty();
+        assertThat(Knowledge.of(List.of(own, before)).estimatesFor(HERE, 100)).extracting(LearnedEstimate::value)
                 .containsExactly(0.3);
     }
 
     @Test
-    void theModuleIsToldEachThingOnceAndNothingThatIsLeftOutOrCanNotBe() {
+    void eachEstimateIsHandedOverOnceAndNoneThatIsExcludedOrImplausible() {
         Learning learning = new Learning(HERE, () -> 100, List.of(Kind.CALLS_IN_FLIGHT));
         assertThat(learning.hear(List.of(fact(Kind.RUN_TIME, "", 1, Double.NaN, 10, 100),
                 fact(Kind.RUN_TIME, "", 1, -1, 10, 100), fact(Kind.CALLS_IN_FLIGHT, "", 1, 3, 10, 100),
@@ -168,12 +170,12 @@
     }
 
     @Test
-    void whatWasHeardIsPassedOnUnderItsOwnOriginAndAge() {
+    void receivedFactsArePassedOnUnderTheirOwnOriginAndAge() {
         Learning learning = new Learning(HERE, () -> 160, List.of());
         Fact heard = fact(Kind.RUN_TIME, "", 1, 0.2, 10, 100);
         learning.hear(List.of(heard));
-        Knowledge told = learning.toTell(List.of(new LearnedEstimate(Kind.RUN_TIME, "", 0.3, 10, 5)));
-        assertThat(told.facts()).hasSize(2).contains(heard)
+        Knowledge share = learning.toTell(List.of(new LearnedEstimate(Kind.RUN_TIME, "", 0.3, 10, 5)));
+        assertThat(share.facts()).hasSize(2).contains(heard)
                 .contains(new Fact(Kind.RUN_TIME, "", HERE, 0.3, 10, 155, 1));
     }
 
