--- a/src/main/java/topazladder/peering/Asking.java
+++ b/src/main/java/topazladder/peering/Asking.java
@@ -14,212 +14,245 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Whom a returning instance asks, when, and for how long: bounded tries, a second peer beside a slow first, waits with
- * jitter. It does no I/O: it is told what became of each try, and says what to do next.
+ * Decides which peers a starting instance asks for their learned estimates, when, and for how long: a bounded number of
+ * attempts, one hedged attempt beside a slow one, and backoff with jitter after failures. It does no I/O: it is told
+ * what became of each attempt and returns the next steps.
  */
 public final class Asking {
 
     /**
-     * @param hedgeAfter seconds without a word after which a second peer is asked beside the first
-     * @param tryFor seconds after which a try is over, whatever comes on it
-     * @param tries in all
+     * Limits of all attempts.
+     *
+     * @param hedgeAfterSeconds without an answer after which a second peer is asked beside the first
+     * @param attemptTimeoutSeconds after which an attempt is over, even while its answer arrives
+     * @param maxAttempts in all
      */
-    public record Bounds(double hedgeAfter, double tryFor, int tries) {
+    public record Bounds(double hedgeAfterSeconds, double attemptTimeoutSeconds, int maxAttempts) {
     }
 
-    public enum Phase { WAITING_TO_START, ASKING, LEARNED, GIVEN_UP }
+    /** Printed by name: names stay. */
+    public enum Phase {
+        /** Not started. */
+        WAITING_TO_START,
+        /** Peers are asked. */
+        ASKING,
+        /** A share has arrived whole. */
+        LEARNED,
+        /** All attempts, or all peers, are used up. */
+        GIVEN_UP
+    }
 
-    /** What is to be done next. */
+    /** What the caller has to do next. */
     public sealed interface Step {}
 
-    /** Ask this one; what becomes of it is told under the number. */
+    /** Ask that peer, and report what becomes of the attempt under its number. */
     public record Ask(int number, Candidate peer) implements Step {
     }
 
-    /** Nothing that comes on this try is wanted any more. */
+    /** Abandon that attempt: whatever still arrives on it is not wanted. */
     public record Drop(int number) implements Step {
     }
 
-    /** Call {@link Asking#tick} in so many seconds; only the last such wish counts. */
+    /** Call {@link Asking#tick} after that time; replaces the last such step. */
     public record Wake(double seconds) implements Step {
     }
 
-    private static final int MOST_AT_ONCE = 2;
-    /** The first wait after a failure; each later one up to twice as long. */
-    private static final double FIRST_WAIT = 0.05;
-    private static final double LONGEST_WAIT = 2;
-    /** A peer that asks for longer than this is as good as gone: by then the own knowledge is better. */
-    private static final double LONGEST_COME_BACK = 10;
+    private static final int MAX_OPEN_ATTEMPTS = 2;
+    private static final int MAX_FAILURES_OF_PEER = 2;
+    /** The backoff after the first failure is up to twice this, and up to twice as long after each further one. */
+    private static final double BASE_BACKOFF_SECONDS = 0.05;
+    private static final double MAX_BACKOFF_SECONDS = 2;
+    /** A peer that postpones by more than this is not asked again: by then the instance's own estimates are better. */
+    private static final double MAX_POSTPONEMENT_SECONDS = 10;
+    /** Part of the postponement that is added at random, so that not all come back at once. */
+    private static final double POSTPONEMENT_JITTER = 0.1;
+    private static final double MIN_WAKE_SECONDS = 0.001;
 
-    private static final class Try {
+    private static final class Attempt {
         final Candidate peer;
-        final double since;
-        boolean heard;
+        final double startedAt;
+        boolean isAnswering;
 
-        Try(Candidate peer, double since) {
+        Attempt(Candidate peer, double startedAt) {
             this.peer = peer;
-            this.since = since;
+            this.startedAt = startedAt;
         }
     }
 
     private final String asker;
     private final long incarnation;
-    private final String hall;
+    private final String zone;
     private final Bounds bounds;
-    private final RandomGenerator chance;
-    private final Deque<Candidate> next = new ArrayDeque<>(); // emptied by tries; filled by a new list
-    private final Map<Candidate, Double> comeBack = new LinkedHashMap<>(); // emptied as the times come
-    private final Map<Integer, Try> open = new LinkedHashMap<>(); // at most two
-    private final Set<Candidate> useless = new HashSet<>(); // of the present list: answered that it has nothing
-    private final Map<Candidate, Integer> failures = new HashMap<>(); // of the present list
+    private final RandomGenerator random;
+    private final Deque<Candidate> queue = new ArrayDeque<>(); // of the current list: not asked yet, or due again
+    private final Map<Candidate, Double> retryAt = new LinkedHashMap<>(); // of the current list
+    private final Map<Integer, Attempt> open = new LinkedHashMap<>(); // by number; at most MAX_OPEN_ATTEMPTS
+    private final Set<Candidate> withoutShare = new HashSet<>(); // of the current list: answered that they have none
+    private final Map<Candidate, Integer> failures = new HashMap<>(); // of the current list
     private Phase phase = Phase.WAITING_TO_START;
-    private int number;
-    private double notBefore; // waits after failures
-    private int failedInARow;
+    private int attempts;
+    private double backoffUntil;
+    private int failureCount;
 
-    public Asking(String asker, long incarnation, String hall, Bounds bounds, RandomGenerator chance) {
+    /**
+     * Creates a state machine that has not started.
+     *
+     * @param asker name of this instance
+     * @param zone of this instance, or empty
+     */
+    public Asking(String asker, long incarnation, String zone, Bounds bounds, RandomGenerator random) {
         this.asker = asker;
         this.incarnation = incarnation;
-        this.hall = hall;
+        this.zone = zone;
         this.bounds = bounds;
-        this.chance = chance;
+        this.random = random;
     }
 
+    /** How far it has come. */
     public Phase phase() {
         return phase;
     }
 
-    public int triesMade() {
-        return number;
+    /** Attempts made so far. */
+    public int attempts() {
+        return attempts;
     }
 
+    /** Starts to ask these peers. */
     public List<Step> start(double now, Collection<Candidate> peers) {
-        next.addAll(Ranking.of(asker, incarnation, hall, peers));
+        queue.addAll(PeerRanking.of(asker, incarnation, zone, peers));
         phase = Phase.ASKING;
-        return go(now, new ArrayList<>());
+        return advance(now, new ArrayList<>());
     }
 
-    /** The list is another now: what is under way goes on, who is no longer on it is not asked any more. */
+    /** Replaces the list of peers; open attempts go on, and peers that are no longer listed are not asked again. */
     public List<Step> replace(double now, Collection<Candidate> peers) {
-        List<Candidate> ranked = Ranking.of(asker, incarnation, hall, peers);
-        next.clear();
-        useless.retainAll(ranked);
+        List<Candidate> ranked = PeerRanking.of(asker, incarnation, zone, peers);
+        queue.clear();
+        withoutShare.retainAll(ranked);
         failures.keySet().retainAll(ranked);
-        comeBack.keySet().retainAll(ranked);
-        for (Candidate c : ranked) {
-            boolean underWay = open.values().stream().anyMatch(t -> t.peer.equals(c));
-            if (!underWay && !useless.contains(c) && !comeBack.containsKey(c) && !failures.containsKey(c)) {
-                next.add(c);
+        retryAt.keySet().retainAll(ranked);
+        for (Candidate peer : ranked) {
+            boolean isOpen = open.values().stream().anyMatch(attempt -> attempt.peer.equals(peer));
+            if (!isOpen && !withoutShare.contains(peer) && !retryAt.containsKey(peer)
+                    && !failures.containsKey(peer)) {
+                queue.add(peer);
             }
         }
-        return go(now, new ArrayList<>());
+        return advance(now, new ArrayList<>());
     }
 
-    /** Something sound came: no second peer is asked because of this one. */
+    /** A valid part of an answer has arrived: this attempt is no longer hedged. */
     public void heard(int number) {
-        Try t = open.get(number);
-        if (t != null) {
-            t.heard = true;
+        Attempt attempt = open.get(number);
+        if (attempt != null) {
+            attempt.isAnswering = true;
         }
     }
 
-    /** The share is whole. */
+    /** A whole share has arrived. */
     public List<Step> learned(double now, int number) {
         List<Step> steps = new ArrayList<>();
         if (open.remove(number) != null) {
             phase = Phase.LEARNED;
-            open.keySet().forEach(n -> steps.add(new Drop(n)));
+            open.keySet().forEach(other -> steps.add(new Drop(other)));
             open.clear();
         }
         return steps;
     }
 
-    /** @param seconds until it may be asked again; 0 for not at all in this start */
+    /**
+     * The peer has postponed the share.
+     *
+     * @param seconds until it may be asked again; 0 where it has no share to give
+     */
     public List<Step> later(double now, int number, double seconds) {
-        Try t = open.remove(number);
-        if (t != null) {
-            if (seconds > 0 && seconds <= LONGEST_COME_BACK) {
-                // A little later than told, and not all at once.
-                comeBack.put(t.peer, now + seconds * (1 + 0.1 * chance.nextDouble()));
+        Attempt attempt = open.remove(number);
+        if (attempt != null) {
+            if (seconds > 0 && seconds <= MAX_POSTPONEMENT_SECONDS) {
+                retryAt.put(attempt.peer, now + seconds * (1 + POSTPONEMENT_JITTER * random.nextDouble()));
             } else {
-                useless.add(t.peer);
+                withoutShare.add(attempt.peer);
             }
         }
-        return go(now, new ArrayList<>());
+        return advance(now, new ArrayList<>());
     }
 
-    /** Refused, cut off, unreadable or out of time; what had come of it by then is used all the same. */
+    /** The attempt was rejected, cut off, malformed or timed out; parts that arrived before it failed are used. */
     public List<Step> failed(double now, int number) {
-        Try t = open.remove(number);
-        if (t != null) {
-            failedInARow++;
-            int times = failures.merge(t.peer, 1, Integer::sum);
-            double most = Math.min(LONGEST_WAIT, FIRST_WAIT * Math.pow(2, failedInARow));
-            notBefore = now + chance.nextDouble() * most;
-            if (times < 2) {
-                comeBack.put(t.peer, now + 2 * most);
+        Attempt attempt = open.remove(number);
+        if (attempt != null) {
+            failureCount++;
+            int failuresOfPeer = failures.merge(attempt.peer, 1, Integer::sum);
+            double maxBackoff = Math.min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * Math.pow(2, failureCount));
+            backoffUntil = now + random.nextDouble() * maxBackoff;
+            if (failuresOfPeer < MAX_FAILURES_OF_PEER) {
+                retryAt.put(attempt.peer, now + 2 * maxBackoff);
             }
         }
-        return go(now, new ArrayList<>());
+        return advance(now, new ArrayList<>());
     }
 
+    /** Does what is due: attempts that time out, hedges and retries. */
     public List<Step> tick(double now) {
         List<Step> steps = new ArrayList<>();
-        for (Map.Entry<Integer, Try> e : List.copyOf(open.entrySet())) {
-            if (now - e.getValue().since >= bounds.tryFor()) {
-                steps.add(new Drop(e.getKey()));
-                steps.addAll(failed(now, e.getKey()));
+        for (Map.Entry<Integer, Attempt> entry : List.copyOf(open.entrySet())) {
+            if (now - entry.getValue().startedAt >= bounds.attemptTimeoutSeconds()) {
+                steps.add(new Drop(entry.getKey()));
+                steps.addAll(failed(now, entry.getKey()));
             }
         }
-        return go(now, steps);
+        return advance(now, steps);
     }
 
-    private List<Step> go(double now, List<Step> steps) {
+    private List<Step> advance(double now, List<Step> steps) {
         if (phase != Phase.ASKING) {
             return steps;
         }
-        for (Map.Entry<Candidate, Double> e : List.copyOf(comeBack.entrySet())) {
-            if (e.getValue() <= now) {
-                comeBack.remove(e.getKey());
-                next.addFirst(e.getKey());
+        for (Map.Entry<Candidate, Double> entry : List.copyOf(retryAt.entrySet())) {
+            if (entry.getValue() <= now) {
+                retryAt.remove(entry.getKey());
+                queue.addFirst(entry.getKey());
             }
         }
-        while (number < bounds.tries() && !next.isEmpty() && mayAsk(now)) {
-            Candidate peer = next.poll();
-            open.put(++number, new Try(peer, now));
-            steps.add(new Ask(number, peer));
+        while (attempts < bounds.maxAttempts() && !queue.isEmpty() && mayAsk(now)) {
+            Candidate peer = queue.poll();
+            open.put(++attempts, new Attempt(peer, now));
+            steps.add(new Ask(attempts, peer));
         }
-        boolean more = number < bounds.tries() && !(next.isEmpty() && comeBack.isEmpty());
-        if (open.isEmpty() && !more) {
+        boolean mayAskMore = attempts < bounds.maxAttempts() && !(queue.isEmpty() && retryAt.isEmpty());
+        if (open.isEmpty() && !mayAskMore) {
             phase = Phase.GIVEN_UP;
         } else {
             steps.removeIf(Wake.class::isInstance);
-            steps.add(new Wake(Math.max(0.001, nextMoment(now) - now)));
+            steps.add(new Wake(Math.max(MIN_WAKE_SECONDS, nextDue(now) - now)));
         }
         return steps;
     }
 
     private boolean mayAsk(double now) {
-        return now >= notBefore && (open.isEmpty() || open.size() < MOST_AT_ONCE && open.values().stream()
-                .allMatch(t -> !t.heard && now - t.since >= bounds.hedgeAfter()));
+        return now >= backoffUntil && (open.isEmpty() || open.size() < MAX_OPEN_ATTEMPTS
+                && open.values().stream().allMatch(attempt -> !attempt.isAnswering
+                        && now - attempt.startedAt >= bounds.hedgeAfterSeconds()));
     }
 
-    private double nextMoment(double now) {
-        double at = now + LONGEST_WAIT;
-        for (Try t : open.values()) {
-            at = Math.min(at, t.since + bounds.tryFor());
-            if (!t.heard && open.size() < MOST_AT_ONCE && !next.isEmpty()) {
-                at = Math.min(at, Math.max(notBefore, t.since + bounds.hedgeAfter()));
+    private double nextDue(double now) {
+        double due = now + MAX_BACKOFF_SECONDS;
+        for (Attempt attempt : open.values()) {
+            due = Math.min(due, attempt.startedAt + bounds.attemptTimeoutSeconds());
+            if (!attempt.isAnswering && open.size() < MAX_OPEN_ATTEMPTS && !queue.isEmpty()) {
+                due = Math.min(due, Math.max(backoffUntil, attempt.startedAt + bounds.hedgeAfterSeconds()));
             }
         }
-        for (double back : comeBack.values()) {
-            at = Math.min(at, back);
+        for (double retry : retryAt.values()) {
+            due = Math.min(due, retry);
         }
-        return open.isEmpty() && !next.isEmpty() ? Math.min(at, notBefore) : at;
+        return open.isEmpty() && !queue.isEmpty() ? Math.min(due, backoffUntil) : due;
     }
 
+    /** For operators; logged, so the form stays. */
     @Override
     public String toString() {
-        return phase.name().toLowerCase(Locale.ROOT).replace('_', ' ') + " after " + number + " tries";
+        return phase.name().toLowerCase(Locale.ROOT).replace('_', ' ') + " after " + attempts + " tries";
     }
 }
--- a/src/main/java/topazladder/peering/Candidate.java
+++ b/src/main/java/topazladder/peering/Candidate.java
@@ -1,10 +1,10 @@
 package topazladder.peering;
 
 /**
- * Whoever may be asked, as the settings name it.
+ * A peer that may be asked, from the settings.
  *
  * @param address numeric, with a port
- * @param hall where it stands, or empty
+ * @param zone it runs in, or empty
  */
-public record Candidate(String name, String address, String hall) {
+public record Candidate(String name, String address, String zone) {
 }
--- a/src/main/java/topazladder/peering/Giving.java
+++ b/src/main/java/topazladder/peering/Giving.java
@@ -5,65 +5,79 @@
 import java.util.Map;
 
 /**
- * How often a running instance gives what it knows. Its own work goes first: shares come at a bounded rate and take a
- * bounded part of the event loop's time. Who comes between gets a place in a queue of times, and is told when it is
- * its turn; past the queue's end it is told to ask another.
+ * Limits how often a running instance gives shares of its learned estimates, so that its own requests come first: by a
+ * rate, and by the part of the event loop's time that shares may take. A peer that asks too early gets a reserved time
+ * and is told when to come back; when the reservations reach too far ahead, it is told to ask another peer.
  */
 public final class Giving {
-    /** Seconds that a place is kept for whoever was told of it. */
-    private static final double KEPT = 1;
-    /** Further ahead than this nobody comes back: its own knowledge is better by then. */
-    private static final double FURTHEST = 5;
+    /** For which a reservation is kept after its time. */
+    private static final double RESERVATION_GRACE_SECONDS = 1;
+    /** No reservation is made further ahead: by then the peer's own estimates are better. */
+    private static final double MAX_RESERVATION_SECONDS = 5;
 
-    /** @param comeBackIn seconds, or 0 for not at all; empty where the share is given now */
+    /**
+     * The answer to a peer that asks.
+     *
+     * @param now whether the share is given now
+     * @param comeBackIn seconds after which the peer may ask again; 0 where the share is given now, or not at all
+     */
     public record Turn(boolean now, double comeBackIn) {
     }
 
     private final double period;
     private final double loopShare;
-    /** Whose turn comes when; emptied as the times pass, and bounded by the furthest time. */
-    private final Map<String, Double> turns = new LinkedHashMap<>();
-    private double free;
+    /** Reserved times by peer; removed as they pass, and none is further ahead than the limit. */
+    private final Map<String, Double> reservations = new LinkedHashMap<>();
+    private double nextFreeAt;
 
+    /**
+     * Creates a limiter without reservations.
+     *
+     * @param loopShare part of the event loop's time that shares may take
+     */
     public Giving(double sharesPerSecond, double loopShare) {
         period = 1 / sharesPerSecond;
         this.loopShare = loopShare;
     }
 
-    /** @param asker its name and incarnation */
+    /**
+     * Decides whether a peer gets a share now.
+     *
+     * @param asker name and incarnation of the peer
+     */
     public Turn ask(double now, String asker) {
-        for (Iterator<Double> i = turns.values().iterator(); i.hasNext();) {
-            if (i.next() + KEPT < now) {
+        for (Iterator<Double> i = reservations.values().iterator(); i.hasNext();) {
+            if (i.next() + RESERVATION_GRACE_SECONDS < now) {
                 i.remove();
             }
         }
-        Double turn = turns.get(asker);
-        if (turn != null) {
-            if (now < turn) {
-                return new Turn(false, turn - now); // came early: its place stays
+        Double reservedAt = reservations.get(asker);
+        if (reservedAt != null) {
+            if (now < reservedAt) {
+                return new Turn(false, reservedAt - now); // too early: the reservation stays
             }
-            turns.remove(asker);
+            reservations.remove(asker);
             return new Turn(true, 0);
         }
-        if (free <= now) {
-            free = now + period;
+        if (nextFreeAt <= now) {
+            nextFreeAt = now + period;
             return new Turn(true, 0);
         }
-        if (free - now > FURTHEST) {
+        if (nextFreeAt - now > MAX_RESERVATION_SECONDS) {
             return new Turn(false, 0);
         }
-        turns.put(asker, free);
-        double in = free - now;
-        free += period;
-        return new Turn(false, in);
+        reservations.put(asker, nextFreeAt);
+        double wait = nextFreeAt - now;
+        nextFreeAt += period;
+        return new Turn(false, wait);
     }
 
-    /** What a share took of the event loop; the next comes no sooner than its part allows. */
+    /** Records the event loop's time that a share took, and delays the next one so that the part is kept. */
     public void took(double now, double seconds) {
-        free = Math.max(free, now + seconds / loopShare);
+        nextFreeAt = Math.max(nextFreeAt, now + seconds / loopShare);
     }
 
-    int waiting() {
-        return turns.size();
+    int reservationCount() {
+        return reservations.size();
     }
 }
