--- a/src/main/java/topazladder/disruption/Disruption.java
+++ b/src/main/java/topazladder/disruption/Disruption.java
@@ -1,14 +1,14 @@
 package topazladder.disruption;
 
 /**
- * One target that is unavailable, or waits to be, as the group has agreed; immutable.
+ * The replicated state of one target that is unavailable, or that waits for a grant to be; immutable.
  *
  * @param reason why it is unavailable
- * @param phase how far it has come
- * @param requestId by which the requester knows its request again; one that is repeated counts once
- * @param token under which it may be unavailable, and grows with each grant; 0 while it waits
+ * @param phase how far the disruption is
+ * @param requestId chosen by the requester; a request that is repeated under the same id counts once
+ * @param token of the grant, larger than that of all earlier ones; 0 while it waits
  * @param incarnation of the process that the phase is about; for a dependency, how often it has tried to rejoin
- * @param requestOrder place in the order of requests
+ * @param requestOrder position among the requests, by which grants are given
  * @param requestedBy who asked, for operators
  */
 public record Disruption(DisruptionTarget target, Reason reason, Phase phase, String requestId, long token,
@@ -19,15 +19,15 @@
      * Printed by name, sent and stored by ordinal: names and order stay.
      */
     public enum Reason {
-        /** A rollout starts the instance in another version. */
+        /** A rollout restarts the instance in another version. */
         RELEASE,
         /** An operator drains it. */
         OPERATOR,
         /** A dependency fails its health checks. */
         ILL,
-        /** The process was told to end by somebody else, and obeys at once. */
+        /** A signal from outside the cluster ends the process, which does not wait for a grant. */
         LEAVING,
-        /** Nobody hears it. */
+        /** No member hears from it. */
         LOST;
 
         /** Whether the target is only unavailable once the leader has granted it. */
@@ -38,11 +38,11 @@
 
     /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Phase {
-        /** It waits for its turn, and uses no budget. */
+        /** It waits for a grant, and uses no budget. */
         ASKED,
-        /** It may go, and uses the budget whether it has gone or not. */
+        /** It may become unavailable, and uses the budget whether it is or not. */
         GRANTED,
-        /** It has gone. */
+        /** It has shut down, or is out of use. */
         GONE,
         /** It is back and not steady yet. */
         RETURNING
--- a/src/main/java/topazladder/disruption/DisruptionBudget.java
+++ b/src/main/java/topazladder/disruption/DisruptionBudget.java
@@ -16,11 +16,11 @@
  */
 public record DisruptionBudget(String name, DisruptionTarget.Kind kind, String zone, int maxUnavailable,
         double maxCapacityShare) {
-    /** So that a share that is met exactly is not refused by rounding. */
+    /** Tolerance, so that a share that is met exactly is not rejected by rounding. */
     private static final double ROUNDING = 1e-9;
     private static final int PERCENT = 100;
 
-    /** Whether the budget is about that target. */
+    /** Whether the budget limits that target. */
     public boolean covers(DisruptionTarget target) {
         return target.kind() == kind && (zone.isEmpty() || zone.equals(target.zone()));
     }
@@ -38,7 +38,7 @@
         }
         long others = unavailable.stream().filter(target -> isOther(target, candidate)).count();
         if (others + 1 > maxUnavailable) {
-            return name + ": " + others + " of " + maxUnavailable + " are out";
+            return "budget " + name + ": " + others + " of " + maxUnavailable + " are unavailable already";
         }
         double mean = capacities.entrySet().stream()
                 .filter(entry -> covers(entry.getKey()) && entry.getValue() > 0)
@@ -49,8 +49,9 @@
                 .mapToDouble(target -> capacity(capacities, target, mean)).sum()
                 + capacity(capacities, candidate, mean);
         if (total > 0 && missing > maxCapacityShare * total + ROUNDING) {
-            return name + ": with it " + Math.round(PERCENT * missing / total) + "% of the capacity would be out, of "
-                    + Math.round(PERCENT * maxCapacityShare) + "%";
+            return "budget " + name + ": with " + candidate + " " + Math.round(PERCENT * missing / total)
+                    + "% of the capacity would be unavailable, more than " + Math.round(PERCENT * maxCapacityShare)
+                    + "%";
         }
         return null;
     }
--- a/src/main/java/topazladder/disruption/DisruptionCommand.java
+++ b/src/main/java/topazladder/disruption/DisruptionCommand.java
@@ -5,7 +5,7 @@
 /** A command of the replicated log about disruptions; one that is applied twice, or late, does no harm. */
 public sealed interface DisruptionCommand {
 
-    /** Sets the budgets, by the leader's settings. One that is cut takes nothing back: it only grants less. */
+    /** Replaces the budgets by those of the leader's settings. A smaller one revokes no grant: it only allows fewer. */
     record SetBudgets(List<DisruptionBudget> budgets) implements DisruptionCommand {
     }
 
@@ -17,40 +17,40 @@
     record SetCapacity(DisruptionTarget target, double capacityPerSecond) implements DisruptionCommand {
     }
 
-    /** The target is no part of the cluster any more. */
+    /** Removes a target that is no longer part of the cluster. */
     record Forget(DisruptionTarget target) implements DisruptionCommand {
     }
 
-    /** Asks for a grant. */
+    /** Requests a grant. */
     record Request(DisruptionTarget target, Disruption.Reason reason, String requestId, String requestedBy)
             implements
                 DisruptionCommand {
     }
 
     /**
-     * Lets a target go that waits.
+     * Grants the request of a target that waits.
      *
-     * @param requestId that is granted, so that one made since is not
-     * @param incarnation of the process that may go
+     * @param requestId of the request, so that one made since is not granted
+     * @param incarnation of the process that may shut down
      */
     record Grant(DisruptionTarget target, String requestId, long incarnation) implements DisruptionCommand {
     }
 
-    /** The target does not want to go any more, or has not gone and stays. */
+    /** Withdraws a request, granted or not, of a target that has not shut down. */
     record Withdraw(DisruptionTarget target, String requestId) implements DisruptionCommand {
     }
 
     /**
-     * The target goes.
+     * The target shuts down.
      *
-     * @param token of its grant; 0 where somebody else told the process to end
+     * @param token of its grant; 0 where a signal from outside the cluster ends the process
      */
     record Leaving(DisruptionTarget target, long token, long incarnation, String requestedBy)
             implements
                 DisruptionCommand {
     }
 
-    /** Nobody hears that process. */
+    /** No member hears from that process. */
     record Lost(DisruptionTarget target, long incarnation) implements DisruptionCommand {
     }
 
@@ -62,15 +62,15 @@
     record Steady(DisruptionTarget target) implements DisruptionCommand {
     }
 
-    /** A dependency that is unavailable is used again, little by little. Readable from schema 3 on. */
+    /** A dependency that is out of use gets a slowly growing share of the calls again. Readable from schema 3 on. */
     record Rejoin(DisruptionTarget target) implements DisruptionCommand {
     }
 
-    /** A dependency that is unavailable stays so until an operator says otherwise. Readable from schema 3 on. */
+    /** A dependency that is out of use stays so until an operator's next command. Readable from schema 3 on. */
     record KeepOut(DisruptionTarget target, String requestId, String requestedBy) implements DisruptionCommand {
     }
 
-    /** An operator says that the target has been replaced, or does not come back. */
+    /** An operator declares that the target has been replaced, or does not return. */
     record GiveUp(DisruptionTarget target, String requestedBy) implements DisruptionCommand {
     }
 
--- a/src/main/java/topazladder/disruption/DisruptionController.java
+++ b/src/main/java/topazladder/disruption/DisruptionController.java
@@ -9,26 +9,26 @@
 import topazladder.disruption.Disruption.Reason;
 
 /**
- * The leader's side of the disruptions: decides who is lost, who has returned and is steady, and whose turn it is. What
- * it observes is its own and not replicated; what it concludes is proposed, and {@link DisruptionStateMachine} checks
- * it once more.
+ * The leader's decisions about disruptions: which instances are lost, which have returned and are steady, and which
+ * request is granted next. Its observations are not replicated. It proposes what follows from them as commands, which
+ * {@link DisruptionStateMachine} checks once more.
  *
  * <p>Rules:
  *
  * <ul>
- * <li>An instance that is suspected or not steady counts as unavailable though the state machine does not say so: the
- * others have to bear it now.
- * <li>While more than half of the instances look lost, nobody is taken for lost and nobody may go: the leader itself is
- * likely cut off.
- * <li>Targets go in the order in which they asked. The first that has to wait keeps the next free place: those behind
- * it go only where there is one more.
- * <li>A new leader grants nothing until it had time to hear of every member.
+ * <li>An instance that is suspected or not steady counts as unavailable, whatever the state machine says: the others
+ * carry its load now.
+ * <li>While more than half of the instances look lost, none is recorded as lost and nothing is granted: the leader
+ * itself is likely partitioned off.
+ * <li>Requests are granted in their order. The first that is blocked reserves its part of the budgets: later ones are
+ * granted only from what is left beside it.
+ * <li>A new leader grants nothing until it has had time to hear of every member.
  * </ul>
  *
- * <p>All calls come on one thread; times are seconds of one clock that never runs backwards.
+ * <p>All calls come on one thread; times are seconds of one monotonic clock.
  */
 public class DisruptionController {
-    /** By how much a capacity has to change, as a part of itself, before it is recorded anew. */
+    /** Relative change of a capacity from which on the new value is recorded. */
     private static final double CAPACITY_CHANGE = 0.2;
     private static final double MIN_CAPACITY = 1e-9;
 
@@ -36,15 +36,19 @@
     public enum Health {
         /** It serves as it should. */
         STEADY,
-        /** It is there, and starts, drains or struggles. */
+        /** It is heard, and starts, drains or is overloaded. */
         UNSTEADY,
-        /** It may be gone. */
+        /** Membership suspects that it has failed. */
         SUSPECTED,
-        /** Nobody hears it. */
+        /** No member hears from it. */
         GONE
     }
 
-    /** @param incarnation of the process that looks so */
+    /**
+     * What the leader knows of one instance.
+     *
+     * @param incarnation of the process that was observed
+     */
     public record Observation(Health health, long incarnation) {
     }
 
@@ -70,7 +74,7 @@
 
     // ---- leadership
 
-    /** This voter leads; it decides nothing for so many seconds, as it may not have heard of every member yet. */
+    /** This voter leads; it decides nothing for {@code quietSeconds}, as it may not have heard of every member yet. */
     public void becomeLeader(double now, double quietSeconds) {
         leading = true;
         observations.resetGoneSince();
@@ -88,15 +92,15 @@
         leading = false;
     }
 
-    // ---- what is observed
+    // ---- observations
 
-    /** How all instances look to this member, from membership. */
+    /** Replaces the observations of all instances by those of this member's membership. */
     public void membersObserved(double now, Map<DisruptionTarget, Observation> observed) {
         reports.retainAll(observed.keySet());
         observations.replace(now, observed);
     }
 
-    /** What an instance reports of itself. */
+    /** Records what an instance reports about itself. */
     public void loadReported(double now, DisruptionTarget target, long incarnation, int schema, LoadReport report,
             boolean steady) {
         reports.put(now, target, incarnation, schema, report, steady);
@@ -112,7 +116,7 @@
         return reports.schemaOf(new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, instanceName, ""));
     }
 
-    /** An instance's own report that it is steady arrives sooner than the others' gossip about it. */
+    /** Trusts an instance's own report that it is steady, which arrives sooner than gossip about it. */
     private Observation withOwnClaim(double now, DisruptionTarget target, Observation observed) {
         return observed.health() == Health.UNSTEADY
                 && reports.claimsSteady(now, target, observed.incarnation())
@@ -121,12 +125,12 @@
 
     // ---- decisions
 
-    /** A command was applied, or nobody knows whether it was; where it was not it is proposed again. */
+    /** A command was applied, or its outcome is unknown; the next tick proposes it again where that is needed. */
     public void commandCompleted(DisruptionCommand command) {
         commandsInFlight.values().removeIf(command::equals);
     }
 
-    /** What is to be proposed by what is observed and what time it is. */
+    /** The commands to propose now, by the observations and the time. */
     public List<DisruptionCommand> tick(double now) {
         List<DisruptionCommand> proposals = new ArrayList<>();
         if (!isSettled(now)) {
@@ -169,8 +173,9 @@
     }
 
     /**
-     * An instance that returns and is gone again stays in that phase: as gone under the same incarnation it would pass
-     * for one that has said that it goes and was not told so yet, and be sent out once more.
+     * An instance that is gone again while it returns stays in that phase. Recorded as gone under the same incarnation,
+     * it would look like one that has announced its shutdown and not been told of its grant yet, and would be told to
+     * shut down once more.
      */
     private void followGone(double now, DisruptionTarget target, Observation observed, boolean blind,
             List<DisruptionCommand> proposals) {
@@ -194,14 +199,14 @@
                 propose(new DisruptionCommand.Returning(target, observed.incarnation()), target, proposals);
             }
         } else if (phase == Phase.RETURNING && wasRestarted) {
-            // Then it returns under its new incarnation.
+            // Recorded as gone first, so that it returns under its new incarnation.
             propose(new DisruptionCommand.Lost(target, disruption.incarnation()), target, proposals);
         } else if (phase == Phase.RETURNING && isSteady(now, target, observed)) {
             propose(new DisruptionCommand.Steady(target), target, proposals);
         }
     }
 
-    /** By its own report, and by what it serves beside its peers: one that gets no load has not returned yet. */
+    /** Whether it reports so itself and serves like its peers: an instance that gets no load has not returned yet. */
     protected boolean isSteady(double now, DisruptionTarget target, Observation observed) {
         return observed.health() == Health.STEADY && PeerComparison.servesAsItsPeers(
                 reports.getFresh(now, target, observed.incarnation()), peerReports(now, target));
@@ -221,7 +226,7 @@
 
     // ---- grants
 
-    /** Whether an instance that looks so counts as unavailable, whatever the state machine says. */
+    /** Whether an instance that is observed like that counts as unavailable, whatever the state machine says. */
     protected boolean countsAsUnavailable(Observation observed) {
         return observed.health() != Health.STEADY;
     }
@@ -235,11 +240,11 @@
             if (reason != null) {
                 blockedReasons.put(target, reason);
                 if (isFirstBlocked) {
-                    unavailable.add(target); // keeps the next free place
+                    unavailable.add(target); // reserves its part of the budgets
                     isFirstBlocked = false;
                 }
             } else if (proposeGrant(waiting, proposals)) {
-                unavailable.add(target); // until the state machine says so itself
+                unavailable.add(target); // until the grant is applied to the state machine
             }
         }
     }
@@ -256,12 +261,12 @@
 
     private String blockedReason(DisruptionTarget target, boolean blind, List<DisruptionTarget> unavailable) {
         if (blind) {
-            return "most of the hall looks lost from the leader";
+            return "more than half of the cluster looks lost from the leader";
         }
         Observation observed = observations.get(target);
         boolean isGone = observed == null || observed.health() == Health.GONE;
         if (target.kind() == DisruptionTarget.Kind.INSTANCE && isGone) {
-            return "it is not heard";
+            return "the leader hears nothing from " + target;
         }
         return stateMachine.rejection(target, unavailable);
     }
@@ -273,7 +278,7 @@
                 waiting.target(), proposals);
     }
 
-    /** Why each target that waits does so; for operators. */
+    /** Why each waiting target is not granted yet, for operators. */
     public Map<DisruptionTarget, String> blockedReasons() {
         return Map.copyOf(blockedReasons);
     }
--- a/src/main/java/topazladder/disruption/DisruptionStateMachine.java
+++ b/src/main/java/topazladder/disruption/DisruptionStateMachine.java
@@ -17,9 +17,15 @@
 /**
  * The replicated state of the disruptions: the same commands in the same order give the same state at every voter.
  *
- * <p>Invariants: a grant fits every budget that covers its target at the moment it is applied, whoever proposed it, and
- * nothing is granted that no budget covers; a target stops using its budget when it is steady, when an operator gives
- * it up, or when it withdraws before it went, and in no other way; tokens only grow.
+ * <p>Invariants:
+ *
+ * <ul>
+ * <li>A grant fits every budget that covers its target when it is applied, whoever proposed it, and nothing is granted
+ * that no budget covers.
+ * <li>A target stops using its budget when it is steady, when an operator gives it up, or when its request is withdrawn
+ * before it has shut down, and in no other way.
+ * <li>Tokens only grow.
+ * </ul>
  */
 public class DisruptionStateMachine {
     private final Map<DisruptionTarget, Disruption> disruptions = new TreeMap<>(); // no more than there are targets
@@ -89,7 +95,7 @@
         } else if (command instanceof DisruptionCommand.SuspendGrants suspend) {
             return handle(suspend);
         }
-        throw new IllegalArgumentException("no command about disruptions: " + command);
+        throw new IllegalArgumentException("unknown disruption command: " + command);
     }
 
     private Outcome handle(DisruptionCommand.SetBudgets command) {
@@ -105,7 +111,7 @@
 
     private Outcome handle(DisruptionCommand.Forget command) {
         if (disruptions.containsKey(command.target())) {
-            return new Outcome(0, "it takes a place; an operator may give that up");
+            return new Outcome(0, command.target() + " has a disruption, which an operator has to give up first");
         }
         capacities.remove(command.target());
         return Outcome.applied(lastToken);
@@ -114,17 +120,17 @@
     private Outcome handle(DisruptionCommand.Request command) {
         Disruption earlier = disruptions.get(command.target());
         if (earlier != null && earlier.requestId().equals(command.requestId())) {
-            return Outcome.applied(earlier.token()); // repeated, as the answer was lost
+            return Outcome.applied(earlier.token()); // repeated, as the response was lost
         }
         if (earlier != null && earlier.phase() == Phase.RETURNING && command.reason() == Reason.RELEASE
                 && suspendedReason == null) {
-            return goOnceMore(earlier, command);
+            return regrant(earlier, command);
         }
         if (earlier != null && earlier.usesBudget()) {
-            return new Outcome(earlier.token(), "it is out already: " + describe(earlier));
+            return new Outcome(earlier.token(), describe(earlier) + " already");
         }
         if (!command.reason().needsGrant()) {
-            return new Outcome(0, "nobody asks for that: " + command.reason());
+            return new Outcome(0, "no grant can be requested for the reason " + command.reason());
         }
         long requestOrder = earlier == null ? ++lastRequestOrder : earlier.requestOrder();
         disruptions.put(command.target(), new Disruption(command.target(), command.reason(), Phase.ASKED,
@@ -134,10 +140,10 @@
     }
 
     /**
-     * An instance that returns may go again for a rollout under the budget that it uses already: a version that never
-     * serves as its peers do would otherwise keep its own rollback closed.
+     * An instance that returns may shut down again for a rollout under the budget that it uses already. Otherwise a
+     * version that never serves like its peers would block its own rollback.
      */
-    private Outcome goOnceMore(Disruption earlier, DisruptionCommand.Request command) {
+    private Outcome regrant(Disruption earlier, DisruptionCommand.Request command) {
         disruptions.put(command.target(), new Disruption(command.target(), command.reason(), Phase.GRANTED,
                 command.requestId(), ++lastToken, earlier.incarnation(), earlier.requestOrder(),
                 command.requestedBy()));
@@ -148,7 +154,8 @@
         Disruption disruption = disruptions.get(command.target());
         if (disruption == null || disruption.phase() != Phase.ASKED
                 || !disruption.requestId().equals(command.requestId())) {
-            return new Outcome(tokenOf(disruption), "it does not wait for that");
+            return new Outcome(tokenOf(disruption),
+                    command.target() + " does not wait for the request " + command.requestId());
         }
         String rejection = rejection(command.target(), List.of());
         if (rejection != null) {
@@ -161,16 +168,16 @@
     private Outcome handle(DisruptionCommand.Withdraw command) {
         Disruption disruption = disruptions.get(command.target());
         if (disruption == null || !disruption.requestId().equals(command.requestId())) {
-            return new Outcome(0, "it did not ask for that");
+            return new Outcome(0, command.target() + " has no request " + command.requestId());
         }
         if (disruption.phase() != Phase.ASKED && disruption.phase() != Phase.GRANTED) {
-            return new Outcome(disruption.token(), "it has gone");
+            return new Outcome(disruption.token(), describe(disruption) + " already");
         }
         disruptions.remove(command.target());
         return Outcome.applied(disruption.token());
     }
 
-    /** With a token only while that grant holds; told by somebody else it is recorded whatever the budgets say. */
+    /** With a token it is applied only while that grant is valid; without one it is recorded whatever the budgets. */
     protected Outcome handle(DisruptionCommand.Leaving command) {
         return command.token() > 0 ? leaveByGrant(command) : leaveUngranted(command);
     }
@@ -181,7 +188,8 @@
                 && disruption.incarnation() == command.incarnation()
                 && (disruption.phase() == Phase.GRANTED || disruption.phase() == Phase.GONE);
         if (!isGranted) {
-            return new Outcome(tokenOf(disruption), "it has no permission under " + command.token());
+            return new Outcome(tokenOf(disruption), "incarnation " + command.incarnation() + " of " + command.target()
+                    + " has no grant under the token " + command.token());
         }
         disruptions.put(command.target(), disruption.inPhase(Phase.GONE, command.incarnation()));
         return Outcome.applied(command.token());
@@ -197,7 +205,7 @@
                 command.requestedBy());
     }
 
-    /** One that was granted keeps its grant: it may only be cut off, and still know of it. */
+    /** A granted target keeps its grant: it may be partitioned off only, and act on the grant later. */
     private Outcome handle(DisruptionCommand.Lost command) {
         Disruption disruption = disruptions.get(command.target());
         if (disruption != null && disruption.phase() == Phase.RETURNING) {
@@ -205,12 +213,12 @@
             return Outcome.applied(disruption.token());
         }
         if (disruption != null && disruption.usesBudget()) {
-            return new Outcome(disruption.token(), "it takes its place already: " + describe(disruption));
+            return new Outcome(disruption.token(), describe(disruption) + " already");
         }
         return goUngranted(disruption, command.target(), Reason.LOST, command.incarnation(), "");
     }
 
-    /** @param earlier that waits for a grant, or null */
+    /** @param earlier the target's request that waits for a grant, or null */
     private Outcome goUngranted(Disruption earlier, DisruptionTarget target, Reason reason, long incarnation,
             String requestedBy) {
         String requestId = earlier == null ? "" : earlier.requestId();
@@ -220,14 +228,15 @@
         return Outcome.applied(lastToken);
     }
 
-    /** Another incarnation was heard; or the same, where it was only lost from sight. */
+    /** Another incarnation was heard; or the same one, where it had been recorded as lost. */
     private Outcome handle(DisruptionCommand.Returning command) {
         Disruption disruption = disruptions.get(command.target());
         if (disruption == null || disruption.phase() != Phase.GONE && disruption.phase() != Phase.GRANTED) {
-            return new Outcome(tokenOf(disruption), "it is not out");
+            return new Outcome(tokenOf(disruption), command.target() + " has not gone");
         }
         if (disruption.incarnation() == command.incarnation() && disruption.reason() != Reason.LOST) {
-            return new Outcome(disruption.token(), "it is the process that went");
+            return new Outcome(disruption.token(), "incarnation " + command.incarnation() + " of " + command.target()
+                    + " is the one that has gone");
         }
         disruptions.put(command.target(), disruption.inPhase(Phase.RETURNING, command.incarnation()));
         return Outcome.applied(disruption.token());
@@ -236,7 +245,7 @@
     private Outcome handle(DisruptionCommand.Steady command) {
         Disruption disruption = disruptions.get(command.target());
         if (disruption == null || disruption.phase() != Phase.RETURNING) {
-            return new Outcome(0, "it is not on its way back");
+            return new Outcome(0, command.target() + " is not returning");
         }
         disruptions.remove(command.target());
         return Outcome.applied(disruption.token());
@@ -246,17 +255,17 @@
     private Outcome handle(DisruptionCommand.Rejoin command) {
         Disruption disruption = disruptions.get(command.target());
         if (!isUnavailableDependency(disruption) || disruption.phase() == Phase.RETURNING) {
-            return new Outcome(0, "no service below that is out");
+            return new Outcome(0, command.target() + " is no dependency that is out of use");
         }
         disruptions.put(command.target(), disruption.inPhase(Phase.RETURNING, disruption.incarnation() + 1));
         return Outcome.applied(disruption.token());
     }
 
-    /** It goes on to use the budget that it has, and rejoins by an operator's command alone. */
+    /** It keeps using its budget, and rejoins only by an operator's command. */
     private Outcome handle(DisruptionCommand.KeepOut command) {
         Disruption disruption = disruptions.get(command.target());
         if (!isUnavailableDependency(disruption)) {
-            return new Outcome(0, "no service below that is out");
+            return new Outcome(0, command.target() + " is no dependency that is out of use");
         }
         disruptions.put(command.target(), new Disruption(command.target(), Reason.OPERATOR, Phase.GRANTED,
                 command.requestId(), ++lastToken, disruption.incarnation(), disruption.requestOrder(),
@@ -270,8 +279,8 @@
     }
 
     private Outcome handle(DisruptionCommand.GiveUp command) {
-        return disruptions.remove(command.target()) == null ? new Outcome(0, "it takes no place")
-                : Outcome.applied(lastToken);
+        return disruptions.remove(command.target()) == null
+                ? new Outcome(0, command.target() + " has no disruption") : Outcome.applied(lastToken);
     }
 
     private Outcome handle(DisruptionCommand.SuspendGrants command) {
@@ -284,7 +293,7 @@
     }
 
     private static String describe(Disruption disruption) {
-        return disruption.phase().name().toLowerCase(Locale.ROOT) + " for "
+        return disruption.target() + " is " + disruption.phase().name().toLowerCase(Locale.ROOT) + " for reason "
                 + disruption.reason().name().toLowerCase(Locale.ROOT);
     }
 
@@ -293,7 +302,7 @@
     /**
      * Why one more target may not become unavailable, or null where it may.
      *
-     * @param besides targets that count as unavailable beside those that are recorded
+     * @param besides more targets that count as unavailable, beside those that use a budget
      */
     protected String rejection(DisruptionTarget candidate, Collection<DisruptionTarget> besides) {
         if (suspendedReason != null) {
@@ -307,8 +316,9 @@
                 return rejection;
             }
         }
-        // While the settings are not read yet there are no budgets, which must not mean that there are no limits.
-        return budgets.values().stream().anyMatch(budget -> budget.covers(candidate)) ? null : "no budget covers it";
+        // Until the settings are read there are no budgets, which must not mean that there are no limits.
+        return budgets.values().stream().anyMatch(budget -> budget.covers(candidate)) ? null
+                : "no budget covers " + candidate;
     }
 
     /** The targets that count against the budgets that cover them. */
--- a/src/main/java/topazladder/disruption/DisruptionTarget.java
+++ b/src/main/java/topazladder/disruption/DisruptionTarget.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * What can be unavailable: an instance of the cluster, or a dependency. Two of one kind and name are equal, whatever is
- * said of their zone.
+ * What can be unavailable: an instance of the cluster, or a dependency endpoint. Two targets of the same kind and name
+ * are equal, whatever their zones.
  *
  * @param zone where it runs, or empty
  */
@@ -14,7 +14,7 @@
     public enum Kind {
         /** An instance of this cluster. */
         INSTANCE,
-        /** A server that the instances call. */
+        /** A dependency endpoint that the instances call. */
         DEPENDENCY
     }
 
@@ -34,7 +34,7 @@
         return byKind != 0 ? byKind : name.compareTo(other.name);
     }
 
-    /** As operators read and write it. */
+    /** As operators read and write it, so the form stays. */
     @Override
     public String toString() {
         return (kind == Kind.DEPENDENCY ? "below " : "") + name;
--- a/src/main/java/topazladder/disruption/InstanceObservations.java
+++ b/src/main/java/topazladder/disruption/InstanceObservations.java
@@ -7,9 +7,9 @@
 import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.DisruptionController.Observation;
 
-/** How the instances look to the leader by its membership, and since when it has not heard those that are gone. */
+/** The leader's observations of the instances, from its membership, and since when each that is gone has been so. */
 final class InstanceObservations {
-    /** Part of the instances that may look lost before that says more about the leader than about them. */
+    /** Part of the instances above which, if they look lost, the leader itself is more likely partitioned off. */
     private static final double MAX_LOST_SHARE = 0.5;
 
     private final Map<DisruptionTarget, Observation> byTarget = new HashMap<>(); // as many as there are members
@@ -27,12 +27,12 @@
         });
     }
 
-    /** What an earlier leadership has seen of the time since when instances are gone counts no more. */
+    /** Forgets since when instances have been gone: a new leadership counts from its own observations. */
     void resetGoneSince() {
         goneSince.clear();
     }
 
-    /** How the instance looks, or null where it was never heard of. */
+    /** The observation of that instance, or null where it was never heard of. */
     Observation get(DisruptionTarget target) {
         return byTarget.get(target);
     }
@@ -41,14 +41,14 @@
         byTarget.forEach(action);
     }
 
-    /** Seconds for which the instance has been gone; 0 for one that is not. */
+    /** Seconds for which the instance has been gone; 0 for one that is not gone. */
     double goneSeconds(double now, DisruptionTarget target) {
         return now - goneSince.getOrDefault(target, now);
     }
 
     /**
-     * Whether so many instances look lost that the leader itself is likely cut off: more than half of all, beside those
-     * that are known to be unavailable.
+     * Whether so many instances look lost that the leader itself is likely partitioned off: more than half of all, not
+     * counting those that are known to be unavailable.
      */
     boolean isBlind(Set<DisruptionTarget> knownUnavailable) {
         long lost = byTarget.entrySet().stream()
--- a/src/main/java/topazladder/disruption/LoadReports.java
+++ b/src/main/java/topazladder/disruption/LoadReports.java
@@ -4,11 +4,11 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What the instances last reported of themselves to this leader. */
+/** The last load report of each instance to this leader. */
 final class LoadReports {
-    /** A report that is older says nothing of how the instance serves now. */
+    /** An older report says nothing about how the instance serves now. */
     private static final double STALE_SECONDS = 30;
-    /** For which an instance's own report that it is steady counts before gossip has passed it on. */
+    /** For which an instance's own report that it is steady counts: by then gossip has passed the same on. */
     private static final double STEADY_CLAIM_SECONDS = 3;
 
     private record Entry(double at, long incarnation, int schema, LoadReport report, boolean steady) {
@@ -37,7 +37,7 @@
                 ? entry.report() : null;
     }
 
-    /** Whether that incarnation reported lately that it is steady. */
+    /** Whether that incarnation has reported recently that it is steady. */
     boolean claimsSteady(double now, DisruptionTarget target, long incarnation) {
         Entry entry = byTarget.get(target);
         return entry != null && entry.incarnation() == incarnation && entry.steady()
--- a/src/main/java/topazladder/disruption/ThroughputMeter.java
+++ b/src/main/java/topazladder/disruption/ThroughputMeter.java
@@ -4,14 +4,15 @@
 import java.util.Deque;
 
 /**
- * Makes rates over the last three seconds of an instance's running totals, and estimates its capacity: the most that
- * was served in any window, halved in each hour in which it is not seen again, as the machine below may have changed.
+ * Measures an instance's rates over the last three seconds from its running totals, and estimates its capacity: the
+ * highest payoff a second that was served in any window. The estimate halves in each hour in which it is not reached
+ * again, as the machine may have changed.
  *
  * <p>{@code capacity = max(capacity * 0.5 ^ (seconds / 3600), served payoff a second)}; a window counts once it spans
  * at least half its length.
  */
 public final class ThroughputMeter {
-    /** Short enough that an instance that returns is soon seen to serve. */
+    /** Short enough to show soon that an instance that returns serves again. */
     private static final double WINDOW_SECONDS = 3;
     private static final double CAPACITY_HALVING_SECONDS = 3600;
     private static final int MIN_SAMPLES = 2;
@@ -19,9 +20,9 @@
     /**
      * Running totals since the start.
      *
-     * @param offered payoff of all requests that were read
-     * @param served payoff of those that were served
-     * @param failed requests
+     * @param offered payoff of all requests that were received
+     * @param served payoff of the requests that were served
+     * @param failed number of requests that failed
      */
     public record Totals(double offered, double served, long failed) {
     }
@@ -34,12 +35,16 @@
     private double capacity;
     private double capacityAt = Double.NaN;
 
-    /** @param version that the instance runs, or empty */
+    /**
+     * Creates a meter that has measured nothing yet.
+     *
+     * @param version that the instance runs, or empty
+     */
     public ThroughputMeter(String version) {
         this.version = version;
     }
 
-    /** The rates up to now; to be called several times in a window. */
+    /** The rates of the window that ends now; to be called several times in each window. */
     public LoadReport measure(double now, Totals totals, double memoryMegabytes) {
         window.add(new Sample(now, totals));
         while (window.size() > MIN_SAMPLES && now - window.peek().at() > WINDOW_SECONDS) {
--- a/src/test/java/topazladder/disruption/DisruptionControllerTest.java
+++ b/src/test/java/topazladder/disruption/DisruptionControllerTest.java
@@ -13,7 +13,7 @@
 import topazladder.disruption.DisruptionController.Health;
 import topazladder.disruption.DisruptionTarget.Kind;
 
-/** What a leader concludes from what it observes: who is lost, who has returned, whose turn it is. */
+/** What a leader proposes from its observations: which instances are lost or have returned, what is granted next. */
 class DisruptionControllerTest {
     private final DisruptionStateMachine stateMachine = new DisruptionStateMachine();
     private final DisruptionController controller = new DisruptionController(stateMachine, 2);
@@ -49,18 +49,18 @@
         return commands;
     }
 
-    private void ask(int i) {
+    private void request(int i) {
         stateMachine.apply(new DisruptionCommand.Request(instance(i), Reason.OPERATOR, "r" + i, "op"));
     }
 
     private Phase phase(int i) {
-        Disruption out = stateMachine.get(instance(i));
-        return out == null ? null : out.phase();
+        Disruption disruption = stateMachine.get(instance(i));
+        return disruption == null ? null : disruption.phase();
     }
 
     @Test
     void aNewLeaderGrantsNothingBeforeItHadTimeToObserve() {
-        ask(0);
+        request(0);
         controller.becomeLeader(10, 4);
         assertThat(tick(13)).isEmpty();
         tick(14);
@@ -68,14 +68,14 @@
     }
 
     @Test
-    void theFirstThatIsBlockedKeepsTheNextFreePlace() {
-        ask(0);
-        ask(1);
-        ask(3);
-        ask(4);
+    void theFirstBlockedRequestReservesItsPartOfTheBudgets() {
+        request(0);
+        request(1);
+        request(3);
+        request(4);
         tick(2);
         assertThat(phase(0)).isEqualTo(Phase.GRANTED);
-        // n1 waits for the east, and the second place of the hall is kept for it.
+        // n1 waits for the budget of the east zone, and reserves the second unit of the cluster's budget meanwhile.
         assertThat(phase(1)).isEqualTo(Phase.ASKED);
         assertThat(phase(3)).isEqualTo(Phase.ASKED);
         assertThat(controller.blockedReasons().get(instance(1))).contains("east");
@@ -90,7 +90,7 @@
     void anInstanceThatIsSuspectedOrNotSteadyCountsAsUnavailable() {
         observe(4, Health.SUSPECTED, 1);
         observe(5, Health.UNSTEADY, 1);
-        ask(0);
+        request(0);
         tick(2);
         assertThat(phase(0)).isEqualTo(Phase.ASKED);
         observe(4, Health.STEADY, 1);
@@ -117,7 +117,7 @@
 
     @Test
     void anInstanceThatDrainsHasNotReturnedBeforeItsNextIncarnationIsHeard() {
-        ask(3);
+        request(3);
         tick(2);
         stateMachine.apply(new DisruptionCommand.Leaving(instance(3), stateMachine.get(instance(3)).token(), 1, ""));
         tick(3);
@@ -132,31 +132,31 @@
 
     @Test
     void aGrantedInstanceThatDiesReturnsLikeAnyOther() {
-        ask(3);
+        request(3);
         tick(2);
         observe(3, Health.GONE, 1);
         tick(8);
-        assertThat(phase(3)).as("it may only be cut off, and still go").isEqualTo(Phase.GRANTED);
+        assertThat(phase(3)).as("it may be partitioned off only, and still shut down").isEqualTo(Phase.GRANTED);
         observe(3, Health.UNSTEADY, 2);
         tick(9);
         assertThat(phase(3)).isEqualTo(Phase.RETURNING);
     }
 
     @Test
-    void withMostInstancesLostFromSightNobodyIsRecordedAsLostAndNobodyGoes() {
-        ask(0);
+    void whileMostInstancesLookLostNoneIsRecordedAsLostAndNothingIsGranted() {
+        request(0);
         for (int i = 2; i < 6; i++) {
             observe(i, Health.GONE, 1);
         }
         for (double t = 2; t < 20; t++) {
             assertThat(tick(t)).isEmpty();
         }
-        assertThat(controller.blockedReasons().get(instance(0))).contains("most of the hall");
+        assertThat(controller.blockedReasons().get(instance(0))).contains("more than half of the cluster");
     }
 
     @Test
     void aSuspensionBlocksAllGrantsAndSaysWhy() {
-        ask(0);
+        request(0);
         stateMachine.apply(new DisruptionCommand.SuspendGrants("by hand"));
         tick(2);
         assertThat(controller.blockedReasons().get(instance(0))).isEqualTo("halted: by hand");
--- a/src/test/java/topazladder/disruption/DisruptionStateMachineTest.java
+++ b/src/test/java/topazladder/disruption/DisruptionStateMachineTest.java
@@ -15,7 +15,7 @@
 import topazladder.disruption.Disruption.Reason;
 import topazladder.disruption.DisruptionTarget.Kind;
 
-/** The invariants for any commands, and the hard cases by name. */
+/** The invariants under arbitrary commands, and single cases that are hard to get right. */
 class DisruptionStateMachineTest {
     private static final DisruptionBudget ALL = new DisruptionBudget("hall", Kind.INSTANCE, "", 2, 1);
     private static final DisruptionBudget EAST = new DisruptionBudget("east", Kind.INSTANCE, "east", 1, 1);
@@ -34,7 +34,7 @@
         }
     }
 
-    private boolean goes(int i, String requestId) {
+    private boolean requestAndGrant(int i, String requestId) {
         stateMachine.apply(new DisruptionCommand.Request(instance(i), Reason.OPERATOR, requestId, "op"));
         return stateMachine.apply(new DisruptionCommand.Grant(instance(i), requestId, 1)).isApplied();
     }
@@ -105,11 +105,11 @@
     }
 
     @Test
-    void noMoreThanTheBudgetGoesOfTheClusterAndOfAZone() {
-        assertThat(goes(0, "a")).isTrue();
-        assertThat(goes(2, "a")).as("a second of the east").isFalse();
-        assertThat(goes(1, "a")).isTrue();
-        assertThat(goes(3, "a")).as("a third of the hall").isFalse();
+    void grantsStayWithinTheBudgetsOfTheClusterAndOfAZone() {
+        assertThat(requestAndGrant(0, "a")).isTrue();
+        assertThat(requestAndGrant(2, "a")).as("a second one in the east zone").isFalse();
+        assertThat(requestAndGrant(1, "a")).isTrue();
+        assertThat(requestAndGrant(3, "a")).as("a third one in the cluster").isFalse();
     }
 
     @Test
@@ -118,9 +118,9 @@
             assertThat(stateMachine.apply(new DisruptionCommand.Leaving(instance(i), 0, 1, "a signal")).isApplied())
                     .isTrue();
         }
-        assertThat(goes(5, "a")).isFalse();
+        assertThat(requestAndGrant(5, "a")).isFalse();
         stateMachine.apply(new DisruptionCommand.Returning(instance(0), 2));
-        assertThat(goes(5, "a")).as("back, and not steady").isFalse();
+        assertThat(requestAndGrant(5, "a")).as("while n0 has returned and is not steady").isFalse();
         for (int i = 0; i < 3; i++) {
             stateMachine.apply(new DisruptionCommand.Returning(instance(i), 2));
             stateMachine.apply(new DisruptionCommand.Steady(instance(i)));
@@ -130,9 +130,9 @@
 
     @Test
     void aGrantedInstanceThatIsLostUsesItsBudgetUntilItReturnsOrIsGivenUp() {
-        assertThat(goes(0, "a")).isTrue();
+        assertThat(requestAndGrant(0, "a")).isTrue();
         stateMachine.apply(new DisruptionCommand.Lost(instance(0), 1));
-        assertThat(goes(2, "a")).isFalse();
+        assertThat(requestAndGrant(2, "a")).isFalse();
         assertThat(stateMachine.apply(new DisruptionCommand.Steady(instance(0))).isApplied()).isFalse();
         assertThat(stateMachine.apply(new DisruptionCommand.GiveUp(instance(0), "op")).isApplied()).isTrue();
         assertThat(stateMachine.apply(new DisruptionCommand.Grant(instance(2), "a", 1)).isApplied()).isTrue();
@@ -140,9 +140,9 @@
 
     @Test
     void aGrantOfAnEarlierTokenIsRejected() {
-        goes(0, "a");
+        requestAndGrant(0, "a");
         long token = stateMachine.get(instance(0)).token();
-        // It was started again, and knows of nothing.
+        // n0 was restarted and does not know of its grant.
         stateMachine.apply(new DisruptionCommand.Returning(instance(0), 2));
         stateMachine.apply(new DisruptionCommand.Steady(instance(0)));
         assertThat(stateMachine.apply(new DisruptionCommand.Leaving(instance(0), token, 1, "")).isApplied()).isFalse();
@@ -151,7 +151,7 @@
 
     @Test
     void theNotificationThatItLeavesMayArriveTwice() {
-        goes(0, "a");
+        requestAndGrant(0, "a");
         long token = stateMachine.get(instance(0)).token();
         assertThat(stateMachine.apply(new DisruptionCommand.Leaving(instance(0), token, 1, "")).isApplied()).isTrue();
         assertThat(stateMachine.apply(new DisruptionCommand.Leaving(instance(0), token, 1, "")).isApplied()).isTrue();
@@ -162,44 +162,44 @@
 
     @Test
     void aBudgetThatIsCutWhileItIsUsedRevokesNothingAndGrantsLess() {
-        goes(0, "a");
-        goes(1, "a");
+        requestAndGrant(0, "a");
+        requestAndGrant(1, "a");
         stateMachine.apply(
                 new DisruptionCommand.SetBudgets(List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 1, 1))));
         assertThat(stateMachine.targetsUsingBudget()).hasSize(2);
         stateMachine.apply(new DisruptionCommand.GiveUp(instance(0), "op"));
-        assertThat(goes(3, "a")).isFalse();
+        assertThat(requestAndGrant(3, "a")).isFalse();
     }
 
     @Test
-    void theCapacityShareLimitsBesideTheCount() {
+    void theCapacityShareLimitsGrantsBesideTheCount() {
         stateMachine.apply(
                 new DisruptionCommand.SetBudgets(List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 5, 0.4))));
         for (int i = 0; i < 6; i++) {
             stateMachine.apply(new DisruptionCommand.SetCapacity(instance(i), i == 0 ? 10 : 2));
         }
-        assertThat(goes(0, "a")).as("half of all by itself").isFalse();
-        assertThat(goes(1, "a") && goes(2, "a") && goes(3, "a")).isTrue();
-        assertThat(goes(4, "a")).as("with a fourth 8 of 20, which is the share").isTrue();
-        assertThat(goes(5, "a")).isFalse();
+        assertThat(requestAndGrant(0, "a")).as("n0 alone is half of the capacity").isFalse();
+        assertThat(requestAndGrant(1, "a") && requestAndGrant(2, "a") && requestAndGrant(3, "a")).isTrue();
+        assertThat(requestAndGrant(4, "a")).as("n1 to n4 are 8 of 20, exactly the share").isTrue();
+        assertThat(requestAndGrant(5, "a")).isFalse();
     }
 
     @Test
     void withoutABudgetThatCoversItNothingIsGranted() {
         stateMachine.apply(new DisruptionCommand.SetBudgets(List.of()));
-        assertThat(goes(0, "a")).isFalse();
+        assertThat(requestAndGrant(0, "a")).isFalse();
         stateMachine.apply(new DisruptionCommand.Request(new DisruptionTarget(Kind.DEPENDENCY, "index", ""), Reason.ILL,
                 "a", "n1"));
         assertThat(
                 stateMachine
                         .apply(new DisruptionCommand.Grant(new DisruptionTarget(Kind.DEPENDENCY, "index", ""), "a", 0))
                         .rejection())
-                                .isEqualTo("no budget covers it");
+                                .isEqualTo("no budget covers below index");
     }
 
     @Test
     void aWithdrawnRequestFreesItsBudget() {
-        goes(0, "a");
+        requestAndGrant(0, "a");
         assertThat(stateMachine.apply(new DisruptionCommand.Withdraw(instance(0), "b")).isApplied()).isFalse();
         assertThat(stateMachine.apply(new DisruptionCommand.Withdraw(instance(0), "a")).isApplied()).isTrue();
         assertThat(stateMachine.targetsUsingBudget()).isEmpty();
