--- a/src/main/java/topazladder/knowledge/Fact.java
+++ b/src/main/java/topazladder/knowledge/Fact.java
@@ -31,7 +31,7 @@
      * that came by more hops looks younger, as its time on the way is not counted: of equal versions the older reading
      * is closer to the truth.
      */
-    Fact later(Fact other) {
+    Fact laterOf(Fact other) {
         if (version != other.version) {
             return version > other.version ? this : other;
         }
--- a/src/main/java/topazladder/knowledge/Knowledge.java
+++ b/src/main/java/topazladder/knowledge/Knowledge.java
@@ -49,7 +49,7 @@
         PMap<Key, Fact> merged = facts;
         for (Fact fact : more) {
             Fact earlier = merged.get(fact.key());
-            Fact kept = earlier == null ? fact : earlier.later(fact);
+            Fact kept = earlier == null ? fact : earlier.laterOf(fact);
             if (kept != earlier) {
                 merged = merged.plus(fact.key(), kept);
             }
--- a/src/main/java/topazladder/knowledge/Learning.java
+++ b/src/main/java/topazladder/knowledge/Learning.java
@@ -27,12 +27,13 @@
      *
      * @param here this instance
      * @param clock monotonic seconds
-     * @param leftOut kinds that are passed on but not handed to admission control
+     * @param excludedKinds kinds that are passed on but not handed to admission control
      */
-    public Learning(Origin here, DoubleSupplier clock, Collection<Kind> leftOut) {
+    public Learning(Origin here, DoubleSupplier clock, Collection<Kind> excludedKinds) {
         this.here = here;
         this.clock = clock;
-        this.excludedKinds = leftOut.isEmpty() ? EnumSet.noneOf(Kind.class) : EnumSet.copyOf(leftOut);
+        this.excludedKinds = excludedKinds.isEmpty() ? EnumSet.noneOf(Kind.class)
+                : EnumSet.copyOf(excludedKinds);
     }
 
     /** This instance. */
--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -59,87 +59,87 @@
 
     /** The commands to propose next. */
     public List<ReleaseOp> next(double now, long atMillis, View view) {
-        Release release = view.release();
+        Release rollout = view.release();
         ReleaseOp.By proposer = new ReleaseOp.By(by.duty(), by.token(), atMillis);
-        if (release == null || release.over()) {
+        if (rollout == null || rollout.over()) {
             analysis = null;
-            progress = release == null ? "there is no rollout" : "the last rollout is done";
+            progress = rollout == null ? "there is no rollout" : "the last rollout is done";
             return List.of();
         }
-        long key = release.id() << 16 | release.started();
+        long key = rollout.id() << 16 | rollout.started();
         if (analysisKey != key) {
             analysisKey = key;
-            analysis = new Judge(release.plan().judge());
+            analysis = new Judge(rollout.plan().judge());
             soakStartedAt = Double.NaN;
             endedProcesses.clear();
             awaySince.clear();
         }
-        sample(now, release, view);
-        trackInstances(now, release, view);
-        if (release.phase() == Phase.HALTED) {
+        sample(now, rollout, view);
+        trackInstances(now, rollout, view);
+        if (rollout.phase() == Phase.HALTED) {
             // After a resume the soak starts over, so that the rollout is not halted at once for the same samples.
             soakStartedAt = Double.NaN;
-            progress = "halted: " + release.why();
+            progress = "halted: " + rollout.why();
             return List.of();
         }
-        String haltReason = haltReason(now, release, view);
+        String haltReason = haltReason(now, rollout, view);
         if (haltReason != null) {
-            return List.of(new ReleaseOp.Halt(proposer, release.id(), haltReason));
+            return List.of(new ReleaseOp.Halt(proposer, rollout.id(), haltReason));
         }
-        return steps(now, release, view, proposer);
+        return steps(now, rollout, view, proposer);
     }
 
-    private List<ReleaseOp> steps(double now, Release release, View view, ReleaseOp.By proposer) {
-        List<ReleaseOp> commands = additions(release, view, proposer);
+    private List<ReleaseOp> steps(double now, Release rollout, View view, ReleaseOp.By proposer) {
+        List<ReleaseOp> commands = additions(rollout, view, proposer);
         // Voters go one at a time and so take longest: once the first wave has shown that B works, they go beside the
         // others from the start. In the first wave they go last.
-        boolean votersFirst = release.wave() > 0 || release.back();
-        List<Place> open = release.places().stream()
-                .filter(place -> place.wave() <= release.wave() && place.stage() != Stage.MOVED)
+        boolean votersFirst = rollout.wave() > 0 || rollout.back();
+        List<Place> open = rollout.places().stream()
+                .filter(place -> place.wave() <= rollout.wave() && place.stage() != Stage.MOVED)
                 .sorted(Comparator.comparing((Place place) -> place.name().equals(self))
                         .thenComparing(place -> place.votes() != votersFirst)
                         // Each leader that goes costs an election, and the time in which the next one observes.
                         .thenComparing(place -> place.name().equals(view.leader())).thenComparing(Place::name))
                 .toList();
-        int requestsLeft = requestsLeft(release, view);
+        int requestsLeft = requestsLeft(rollout, view);
         boolean isVoterRequested =
-                release.places().stream().anyMatch(place -> place.votes() && place.stage() == Stage.ASKED);
+                rollout.places().stream().anyMatch(place -> place.votes() && place.stage() == Stage.ASKED);
         int remaining = 0;
         for (Place place : open) {
-            Sight seen = view.of(place.name());
-            if (seen != null && isMoved(release, seen)) {
-                commands.add(new ReleaseOp.Moved(proposer, release.id(), release.started(), place.name()));
+            Sight seen = view.member(place.name());
+            if (seen != null && isMoved(rollout, seen)) {
+                commands.add(new ReleaseOp.Moved(proposer, rollout.id(), rollout.started(), place.name()));
                 continue;
             }
             // This instance goes last of all, so that the rollout lease changes its holder only once for it. It goes
             // with its wave where it is all of that wave, or there would be nothing to analyse.
             if (place.name().equals(self) && place.stage() == Stage.LEFT
-                    && (open.size() > 1 || release.wave() < release.lastWave() && release.places().stream()
+                    && (open.size() > 1 || rollout.wave() < rollout.lastWave() && rollout.places().stream()
                             .anyMatch(other -> other.wave() == place.wave() && !other.name().equals(self)))) {
                 continue;
             }
             remaining++;
             if (place.stage() == Stage.ASKED) {
                 if (seen != null && seen.out() == null && seen.look() == Health.STEADY && seen.serving() != null) {
-                    commands.add(new ReleaseOp.Missed(proposer, release.id(), release.started(), place.name()));
+                    commands.add(new ReleaseOp.Missed(proposer, rollout.id(), rollout.started(), place.name()));
                 }
-            } else if (place.attempt() < release.plan().tries() && seen != null && mayBeRequested(release, seen)
+            } else if (place.attempt() < rollout.plan().tries() && seen != null && mayBeRequested(rollout, seen)
             // A restart gains nothing for an instance that runs the target version and is not steady yet. One that
             // reports no version may still be about to run it.
                     && seen.serving() != null && !seen.serving().version().isEmpty()
-                    && !seen.serving().version().equals(release.target())
+                    && !seen.serving().version().equals(rollout.target())
                     && (place.votes() ? !isVoterRequested : requestsLeft > 0)) {
-                commands.add(new ReleaseOp.Ask(proposer, release.id(), release.started(), place.name(),
+                commands.add(new ReleaseOp.Ask(proposer, rollout.id(), rollout.started(), place.name(),
                         place.attempt() + 1));
                 isVoterRequested |= place.votes();
                 requestsLeft -= place.votes() ? 0 : 1;
             }
         }
         if (remaining == 0 && commands.isEmpty()) {
-            finishWave(now, release, proposer, commands);
+            finishWave(now, rollout, proposer, commands);
         } else {
             soakStartedAt = Double.NaN;
-            progress = "wave " + release.wave() + ": " + remaining + " instances left";
+            progress = "wave " + rollout.wave() + ": " + remaining + " instances left";
         }
         return commands;
     }
@@ -149,14 +149,14 @@
      * started, or the leader that started it had not heard of them yet. Without a part they would stay on that version
      * after the rollout is done.
      */
-    private static List<ReleaseOp> additions(Release release, View view, ReleaseOp.By proposer) {
+    private static List<ReleaseOp> additions(Release rollout, View view, ReleaseOp.By proposer) {
         List<ReleaseOp> commands = new ArrayList<>();
         for (Sight seen : view.takesAdditions() ? view.members() : List.<Sight>of()) {
             boolean reportsVersion = seen.look() != Health.GONE && seen.serving() != null
                     && !seen.serving().version().isEmpty();
-            if (reportsVersion && release.place(seen.name()) == null
-                    && !seen.serving().version().equals(release.target())) {
-                commands.add(new ReleaseOp.AddPlace(proposer, release.id(), release.started(), seen.name(),
+            if (reportsVersion && rollout.place(seen.name()) == null
+                    && !seen.serving().version().equals(rollout.target())) {
+                commands.add(new ReleaseOp.AddPlace(proposer, rollout.id(), rollout.started(), seen.name(),
                         seen.zone(), false));
             }
         }
@@ -167,11 +167,11 @@
      * Requests that may still be made now: enough that no budget stays unused, and no more, as requests are granted in
      * their order and the next voter would wait behind all of them.
      */
-    private static int requestsLeft(Release release, View view) {
+    private static int requestsLeft(Release rollout, View view) {
         int waiting = 0;
         int unavailable = 0;
-        for (Place place : release.places()) {
-            Sight seen = place.stage() == Stage.ASKED ? view.of(place.name()) : null;
+        for (Place place : rollout.places()) {
+            Sight seen = place.stage() == Stage.ASKED ? view.member(place.name()) : null;
             if (seen != null) {
                 boolean isGranted = seen.out() != null && seen.out().usesBudget();
                 unavailable += isGranted ? 1 : 0;
@@ -182,43 +182,43 @@
     }
 
     /** In a rollback also an instance that has not become steady again: version B may be what prevents that. */
-    private static boolean mayBeRequested(Release release, Sight seen) {
-        return seen.out() == null || release.back() && seen.out().phase() == Disruption.Phase.RETURNING;
+    private static boolean mayBeRequested(Release rollout, Sight seen) {
+        return seen.out() == null || rollout.back() && seen.out().phase() == Disruption.Phase.RETURNING;
     }
 
     /** Whether the instance runs the target version and is steady. */
-    protected boolean isMoved(Release r, Sight s) {
-        return s.runs(r.target());
+    protected boolean isMoved(Release rollout, Sight seen) {
+        return seen.runs(rollout.target());
     }
 
     /** All of the wave are updated: analyses it for the soak time, then starts the next wave or ends the rollout. */
-    private void finishWave(double now, Release release, ReleaseOp.By proposer, List<ReleaseOp> commands) {
+    private void finishWave(double now, Release rollout, ReleaseOp.By proposer, List<ReleaseOp> commands) {
         if (Double.isNaN(soakStartedAt)) {
             soakStartedAt = now;
         }
         double soaked = now - soakStartedAt;
-        double soak = release.back() || release.places().stream().allMatch(place -> place.stage() == Stage.MOVED) ? 0
-                : release.plan().soak(release.wave());
-        Judge.Verdict verdict = soak == 0 ? Judge.Verdict.WELL : analysis.verdict();
-        progress = "wave " + release.wave() + ": analysed for " + Math.round(soaked) + " of " + Math.round(soak)
+        double soak = rollout.back() || rollout.places().stream().allMatch(place -> place.stage() == Stage.MOVED) ? 0
+                : rollout.plan().soakSeconds(rollout.wave());
+        Judge.Verdict verdict = soak == 0 ? Judge.Verdict.PASSED : analysis.verdict();
+        progress = "wave " + rollout.wave() + ": analysed for " + Math.round(soaked) + " of " + Math.round(soak)
                 + " s";
         if (soaked < soak) {
             return;
         }
-        if (verdict == Judge.Verdict.WELL || analysis.looks() == 0) {
-            commands.add(release.wave() < release.lastWave()
-                    ? new ReleaseOp.Next(proposer, release.id(), release.started(), release.wave() + 1)
-                    : new ReleaseOp.Done(proposer, release.id(), release.started()));
+        if (verdict == Judge.Verdict.PASSED || analysis.sampleCount() == 0) {
+            commands.add(rollout.wave() < rollout.lastWave()
+                    ? new ReleaseOp.Next(proposer, rollout.id(), rollout.started(), rollout.wave() + 1)
+                    : new ReleaseOp.Done(proposer, rollout.id(), rollout.started()));
             soakStartedAt = Double.NaN;
         } else if (soaked >= Math.max(MAX_INCONCLUSIVE_SOAKS * soak, MIN_ANALYSIS_SECONDS)) {
-            commands.add(new ReleaseOp.Halt(proposer, release.id(), "the canary analysis is inconclusive after "
+            commands.add(new ReleaseOp.Halt(proposer, rollout.id(), "the canary analysis is inconclusive after "
                     + Math.round(soaked) + " s: " + analysis));
         }
     }
 
     /** Takes one sample of each instance that serves, on A and on B at the same moment. */
-    private void sample(double now, Release release, View view) {
-        if (release.back() || now - lastSampleAt < SAMPLE_INTERVAL_SECONDS) {
+    private void sample(double now, Release rollout, View view) {
+        if (rollout.back() || now - lastSampleAt < SAMPLE_INTERVAL_SECONDS) {
             return;
         }
         lastSampleAt = now;
@@ -228,8 +228,8 @@
             // An instance that drains or warms up says nothing of its version.
             if (load != null && load.spanSeconds() > 0 && load.offeredPerSecond() > 0 && seen.out() == null
                     && seen.look() == Health.STEADY) {
-                boolean isOnB = load.version().equals(release.plan().to());
-                if (isOnB || load.version().equals(release.plan().from())) {
+                boolean isOnB = load.version().equals(rollout.plan().to());
+                if (isOnB || load.version().equals(rollout.plan().from())) {
                     samples.add(new Judge.Look(seen.name(), seen.zone(), isOnB, load.servedShare(),
                             load.failedPerSecond() / Math.max(1e-9, load.offeredPerSecond()),
                             load.memoryMegabytes()));
@@ -240,14 +240,14 @@
     }
 
     /** Hands the samples of one moment to the analysis. */
-    protected void judged(List<Judge.Look> looks) {
-        analysis.look(looks);
+    protected void judged(List<Judge.Look> samples) {
+        analysis.addSamples(samples);
     }
 
     /** Records since when each instance is away, and how many of its processes ended since its update was requested. */
-    private void trackInstances(double now, Release release, View view) {
-        for (Place place : release.places()) {
-            Sight seen = view.of(place.name());
+    private void trackInstances(double now, Release rollout, View view) {
+        for (Place place : rollout.places()) {
+            Sight seen = view.member(place.name());
             // Includes an instance that went before the rollout was turned into a rollback and has not come back since.
             boolean isAway = seen == null ? place.stage() == Stage.ASKED : seen.out() != null
                     && seen.out().usesBudget() && seen.out().phase() != Disruption.Phase.GRANTED
@@ -270,28 +270,28 @@
     }
 
     /** Why the rollout must not go on, or null where it may. */
-    private String haltReason(double now, Release release, View view) {
-        for (Place place : release.places()) {
-            if (now - awaySince.getOrDefault(place.name(), now) > release.plan().patience()) {
-                return place.name() + " is not back after " + Math.round(release.plan().patience()) + " s";
+    private String haltReason(double now, Release rollout, View view) {
+        for (Place place : rollout.places()) {
+            if (now - awaySince.getOrDefault(place.name(), now) > rollout.plan().patience()) {
+                return place.name() + " is not back after " + Math.round(rollout.plan().patience()) + " s";
             }
             int ended = endedProcesses.getOrDefault(place.name(), 0);
             if (ended > MAX_ENDED_PROCESSES) {
                 return place.name() + " does not stay up: " + ended + " of its processes have ended during its update";
             }
-            if (place.stage() == Stage.LEFT && place.attempt() >= release.plan().tries()
-                    && view.of(place.name()) != null && view.of(place.name()).out() == null
-                    && !isMoved(release, view.of(place.name()))) {
-                return place.name() + " does not come back as " + release.target() + " after " + place.attempt()
+            if (place.stage() == Stage.LEFT && place.attempt() >= rollout.plan().tries()
+                    && view.member(place.name()) != null && view.member(place.name()).out() == null
+                    && !isMoved(rollout, view.member(place.name()))) {
+                return place.name() + " does not come back as " + rollout.target() + " after " + place.attempt()
                         + " attempts";
             }
         }
         long others = view.members().stream().filter(seen -> seen.out() != null && seen.out().usesBudget()
                 && seen.out().reason() != Disruption.Reason.RELEASE).count();
-        if (others > release.plan().mostOut()) {
+        if (others > rollout.plan().mostOut()) {
             return others + " instances are out for other reasons than the rollout, more than "
-                    + release.plan().mostOut();
+                    + rollout.plan().mostOut();
         }
-        return !release.back() && analysis.verdict() == Judge.Verdict.WORSE ? analysis.why() : null;
+        return !rollout.back() && analysis.verdict() == Judge.Verdict.FAILED ? analysis.failureReason() : null;
     }
 }
--- a/src/main/java/topazladder/release/Judge.java
+++ b/src/main/java/topazladder/release/Judge.java
@@ -51,11 +51,11 @@
     /** What the samples so far show. */
     public enum Verdict {
         /** Too few samples, or B looks worse by chance or by less than it may. */
-        UNKNOWN,
+        INCONCLUSIVE,
         /** B looks as good as A. */
-        WELL,
+        PASSED,
         /** B is worse than it may be. */
-        WORSE
+        FAILED
     }
 
     /** Mean and variance (Welford) of one quantity over time; for differences, B less A. */
@@ -93,7 +93,7 @@
     private final Series memory = new Series();
     private final Map<String, Series> servedByInstanceOnA = new HashMap<>();
     private int instancesOnB;
-    private String why = "";
+    private String failureReason = "";
 
     /** Creates an analysis without samples. */
     public Judge(Terms terms) {
@@ -101,9 +101,9 @@
     }
 
     /** Adds the samples of all instances that serve at one moment; without any of A, or any of B, they are ignored. */
-    public void look(List<Look> now) {
-        List<Look> a = now.stream().filter(sample -> !sample.moved()).toList();
-        List<Look> b = now.stream().filter(Look::moved).toList();
+    public void addSamples(List<Look> samples) {
+        List<Look> a = samples.stream().filter(sample -> !sample.moved()).toList();
+        List<Look> b = samples.stream().filter(Look::moved).toList();
         if (a.isEmpty() || b.isEmpty()) {
             return;
         }
@@ -150,34 +150,34 @@
         for (Map.Entry<String, Series> entry : payoff.entrySet()) {
             Series series = entry.getValue();
             if (series.mean + series.radius(error) + spread < -terms.payoff()) {
-                why = String.format(Locale.ROOT,
+                failureReason = String.format(Locale.ROOT,
                         "B serves a smaller share of the offered payoff than A%s: %.1f%% ± %.1f%% less",
                         entry.getKey().isEmpty() ? "" : " in zone " + entry.getKey(), -100 * series.mean,
                         100 * (series.radius(error) + spread));
-                return Verdict.WORSE;
+                return Verdict.FAILED;
             }
         }
         if (failed.mean - failed.radius(error) > terms.failed()) {
-            why = String.format(Locale.ROOT, "B fails a larger share of the requests than A: %.1f%% more",
+            failureReason = String.format(Locale.ROOT, "B fails a larger share of the requests than A: %.1f%% more",
                     100 * failed.mean);
-            return Verdict.WORSE;
+            return Verdict.FAILED;
         }
         if (memory.mean - memory.radius(error) > terms.memory() - 1) {
-            why = String.format(Locale.ROOT, "B holds %.1f times the memory of A", 1 + memory.mean);
-            return Verdict.WORSE;
+            failureReason = String.format(Locale.ROOT, "B holds %.1f times the memory of A", 1 + memory.mean);
+            return Verdict.FAILED;
         }
         Series all = payoff.get(ALL_ZONES);
-        return all == null || all.n < MIN_SAMPLES ? Verdict.UNKNOWN
-                : all.mean > -terms.payoff() && failed.mean < terms.failed() ? Verdict.WELL : Verdict.UNKNOWN;
+        return all == null || all.n < MIN_SAMPLES ? Verdict.INCONCLUSIVE
+                : all.mean > -terms.payoff() && failed.mean < terms.failed() ? Verdict.PASSED : Verdict.INCONCLUSIVE;
     }
 
     /** In what B is worse, for operators; empty until {@link #verdict} has found it. */
-    public String why() {
-        return why;
+    public String failureReason() {
+        return failureReason;
     }
 
     /** Moments at which both versions were sampled. */
-    public int looks() {
+    public int sampleCount() {
         return payoff.containsKey(ALL_ZONES) ? payoff.get(ALL_ZONES).n : 0;
     }
 
--- a/src/main/java/topazladder/release/Place.java
+++ b/src/main/java/topazladder/release/Place.java
@@ -22,7 +22,7 @@
         MOVED
     }
 
-    Place at(Stage nextStage, int nextAttempt) {
+    Place inStage(Stage nextStage, int nextAttempt) {
         return new Place(name, zone, votes, wave, nextStage, nextAttempt);
     }
 }
--- a/src/main/java/topazladder/release/Plan.java
+++ b/src/main/java/topazladder/release/Plan.java
@@ -35,7 +35,7 @@
     }
 
     /** Soak seconds of that wave; the wave of those left out takes the last wave's. */
-    double soak(int wave) {
+    double soakSeconds(int wave) {
         return waves.isEmpty() ? 0 : waves.get(Math.min(wave, waves.size() - 1)).soak();
     }
 }
--- a/src/main/java/topazladder/release/Release.java
+++ b/src/main/java/topazladder/release/Release.java
@@ -50,8 +50,8 @@
     }
 
     /** The id of an instance's request for a grant; stored, so its form stays. */
-    public String request(Place p) {
-        return "release " + id + '.' + started + '/' + p.name() + '/' + p.attempt();
+    public String requestId(Place place) {
+        return "release " + id + '.' + started + '/' + place.name() + '/' + place.attempt();
     }
 
     /** Whether the wave and all before it are updated, apart from the rollout lease's holder, which goes last. */
@@ -86,7 +86,7 @@
     /** Starts over towards A from the first wave; instances that run A already are found to be updated. */
     Release rolledBack() {
         return new Release(id, plan, true, Phase.RUNNING, "", 0, started + 1, places.stream()
-                .map(place -> place.at(Stage.LEFT, 0)).toList(), history);
+                .map(place -> place.inStage(Stage.LEFT, 0)).toList(), history);
     }
 
     Release withEvent(long atMillis, String what) {
--- a/src/main/java/topazladder/release/ReleaseLedger.java
+++ b/src/main/java/topazladder/release/ReleaseLedger.java
@@ -20,14 +20,14 @@
  * nothing is requested for it.
  */
 public class ReleaseLedger {
-    private final LeaseStateMachine duties;
-    private final DisruptionStateMachine outs;
-    private Release release;
+    private final LeaseStateMachine leases;
+    private final DisruptionStateMachine disruptions;
+    private Release rollout;
 
     /** Creates a state machine without a rollout, which reads the leases and changes the disruptions. */
-    public ReleaseLedger(LeaseStateMachine duties, DisruptionStateMachine outs) {
-        this.duties = duties;
-        this.outs = outs;
+    public ReleaseLedger(LeaseStateMachine leases, DisruptionStateMachine disruptions) {
+        this.leases = leases;
+        this.disruptions = disruptions;
     }
 
     /**
@@ -45,71 +45,71 @@
     }
 
     /** Applies one command of the log. */
-    public Outcome apply(ReleaseOp op) {
-        String rejection = op.by().conducts() ? notTheConductor(op.by()) : null;
-        rejection = rejection != null ? rejection : rejection(op);
+    public Outcome apply(ReleaseOp command) {
+        String rejection = command.by().conducts() ? notTheConductor(command.by()) : null;
+        rejection = rejection != null ? rejection : rejection(command);
         if (rejection != null) {
-            return new Outcome(release == null ? 0 : release.id(), rejection);
+            return new Outcome(rollout == null ? 0 : rollout.id(), rejection);
         }
-        execute(op);
-        return new Outcome(release.id(), null);
+        execute(command);
+        return new Outcome(rollout.id(), null);
     }
 
     // ---- checks
 
     /** Why the proposer may not advance the rollout, or null where it may. */
     protected String notTheConductor(ReleaseOp.By by) {
-        LeaseState lease = duties.get(by.duty());
+        LeaseState lease = leases.get(by.duty());
         return lease != null && lease.isHeld() && lease.fencingToken() == by.token() ? null
                 : "the proposer does not hold the lease " + by.duty() + " under the fencing token " + by.token();
     }
 
-    private String rejection(ReleaseOp op) {
-        if (op instanceof ReleaseOp.Start start) {
+    private String rejection(ReleaseOp command) {
+        if (command instanceof ReleaseOp.Start start) {
             return rejectionOfStart(start);
         }
-        if (release == null) {
+        if (rollout == null) {
             return "there is no rollout";
         }
-        if (op instanceof ReleaseOp.Halt halt) {
+        if (command instanceof ReleaseOp.Halt halt) {
             return isOther(halt.id()) ? "rollout " + halt.id() + " is over"
-                    : release.phase() != Phase.RUNNING ? "the rollout is " + release.phase() + " already" : null;
-        } else if (op instanceof ReleaseOp.Resume resume) {
-            return isOther(resume.id()) || release.phase() != Phase.HALTED
+                    : rollout.phase() != Phase.RUNNING ? "the rollout is " + rollout.phase() + " already" : null;
+        } else if (command instanceof ReleaseOp.Resume resume) {
+            return isOther(resume.id()) || rollout.phase() != Phase.HALTED
                     ? "rollout " + resume.id() + " is not halted" : null;
-        } else if (op instanceof ReleaseOp.Back back) {
+        } else if (command instanceof ReleaseOp.Back back) {
             return rejectionOfRollback(back);
-        } else if (op instanceof ReleaseOp.Ask ask) {
+        } else if (command instanceof ReleaseOp.Ask ask) {
             return rejectionOfStep(ask.id(), ask.started(), () -> refused(ask));
-        } else if (op instanceof ReleaseOp.Missed missed) {
+        } else if (command instanceof ReleaseOp.Missed missed) {
             return rejectionOfStep(missed.id(), missed.started(), () -> {
-                Place place = release.place(missed.place());
+                Place place = rollout.place(missed.place());
                 return place == null || !hasReturned(place) ? missed.place() + " is not back" : null;
             });
-        } else if (op instanceof ReleaseOp.Moved moved) {
+        } else if (command instanceof ReleaseOp.Moved moved) {
             return rejectionOfStep(moved.id(), moved.started(), () -> {
-                Place place = release.place(moved.place());
+                Place place = rollout.place(moved.place());
                 return place == null || place.stage() == Stage.MOVED
                         ? moved.place() + " is updated already, or not part of the rollout" : null;
             });
-        } else if (op instanceof ReleaseOp.Next next) {
-            return rejectionOfStep(next.id(), next.started(), () -> next.wave() != release.wave() + 1
-                    ? "the rollout is in wave " + release.wave() + ", which wave " + next.wave() + " does not follow"
-                    : !release.isWaveUpdated(leaseHolder(next.by())) ? "wave " + release.wave() + " is not done"
+        } else if (command instanceof ReleaseOp.Next next) {
+            return rejectionOfStep(next.id(), next.started(), () -> next.wave() != rollout.wave() + 1
+                    ? "the rollout is in wave " + rollout.wave() + ", which wave " + next.wave() + " does not follow"
+                    : !rollout.isWaveUpdated(leaseHolder(next.by())) ? "wave " + rollout.wave() + " is not done"
                             : null);
-        } else if (op instanceof ReleaseOp.AddPlace add) {
-            return rejectionOfStep(add.id(), add.started(), () -> release.place(add.place()) != null
+        } else if (command instanceof ReleaseOp.AddPlace add) {
+            return rejectionOfStep(add.id(), add.started(), () -> rollout.place(add.place()) != null
                     ? add.place() + " is part of the rollout already" : null);
-        } else if (op instanceof ReleaseOp.Done done) {
-            return rejectionOfStep(done.id(), done.started(), () -> release.places().stream()
+        } else if (command instanceof ReleaseOp.Done done) {
+            return rejectionOfStep(done.id(), done.started(), () -> rollout.places().stream()
                     .allMatch(place -> place.stage() == Stage.MOVED) ? null : "some instances are not updated");
         }
         return null;
     }
 
     private String rejectionOfStart(ReleaseOp.Start start) {
-        if (release != null && !release.over()) {
-            return "a rollout is under way: " + release.plan().name() + ", " + release.phase();
+        if (rollout != null && !rollout.over()) {
+            return "a rollout is under way: " + rollout.plan().name() + ", " + rollout.phase();
         }
         return start.places().isEmpty() ? "the rollout covers no instance" : null;
     }
@@ -117,104 +117,104 @@
     private String rejectionOfRollback(ReleaseOp.Back back) {
         if (isOther(back.id())) {
             return "rollout " + back.id() + " is not the last one";
-        } else if (release.back()) {
+        } else if (rollout.back()) {
             return "the rollout is rolled back already";
         }
-        return release.plan().oneWay() ? "the plan says that there is no way back (one_way: true)" : null;
+        return rollout.plan().oneWay() ? "the plan says that there is no way back (one_way: true)" : null;
     }
 
     /** Rejects a step of another rollout or of an earlier direction, then any while the rollout does not run. */
     private String rejectionOfStep(long id, int started, Supplier<String> furtherChecks) {
-        return isOther(id) || started != release.started() ? "the step is of another rollout, or of another direction"
-                : release.phase() != Phase.RUNNING ? "the rollout is " + release.phase() : furtherChecks.get();
+        return isOther(id) || started != rollout.started() ? "the step is of another rollout, or of another direction"
+                : rollout.phase() != Phase.RUNNING ? "the rollout is " + rollout.phase() : furtherChecks.get();
     }
 
     /** Why no grant is requested: the step was taken before, its wave has not started, or another voter is away. */
-    protected String refused(ReleaseOp.Ask a) {
-        Place place = release.place(a.place());
-        if (place == null || place.stage() != Stage.LEFT || a.attempt() != place.attempt() + 1) {
-            return "attempt " + a.attempt() + " to update " + a.place() + " is not its next";
-        } else if (place.wave() > release.wave()) {
-            return "wave " + place.wave() + " of " + a.place() + " has not started";
+    protected String refused(ReleaseOp.Ask ask) {
+        Place place = rollout.place(ask.place());
+        if (place == null || place.stage() != Stage.LEFT || ask.attempt() != place.attempt() + 1) {
+            return "attempt " + ask.attempt() + " to update " + ask.place() + " is not its next";
+        } else if (place.wave() > rollout.wave()) {
+            return "wave " + place.wave() + " of " + ask.place() + " has not started";
         }
-        Disruption disruption = outs.get(disruptionTarget(place));
+        Disruption disruption = disruptions.get(disruptionTarget(place));
         if (disruption != null && disruption.usesBudget()
-                && !(release.back() && disruption.phase() == Disruption.Phase.RETURNING)) {
-            return a.place() + " is unavailable already";
+                && !(rollout.back() && disruption.phase() == Disruption.Phase.RETURNING)) {
+            return ask.place() + " is unavailable already";
         }
-        return place.votes() && release.places().stream()
+        return place.votes() && rollout.places().stream()
                 .anyMatch(other -> other.votes() && other.stage() == Stage.ASKED)
                         ? "another voter is being updated" : null;
     }
 
     private String leaseHolder(ReleaseOp.By by) {
-        LeaseState lease = duties.get(by.duty());
+        LeaseState lease = leases.get(by.duty());
         return lease == null || !lease.isHeld() ? "" : lease.holder().name();
     }
 
     private boolean isOther(long id) {
-        return id != release.id();
+        return id != rollout.id();
     }
 
     // ---- changes; the texts of the events are part of the replicated state and stay
 
-    private void execute(ReleaseOp op) {
-        long at = op.by().atMillis();
-        if (op instanceof ReleaseOp.Start start) {
-            release = new Release(release == null ? 1 : release.id() + 1, start.plan(), false, Phase.RUNNING, "", 0, 1,
+    private void execute(ReleaseOp command) {
+        long at = command.by().atMillis();
+        if (command instanceof ReleaseOp.Start start) {
+            rollout = new Release(rollout == null ? 1 : rollout.id() + 1, start.plan(), false, Phase.RUNNING, "", 0, 1,
                     start.places(), List.of())
                             .withEvent(at, "starts: " + start.plan().from() + " to " + start.plan().to());
-        } else if (op instanceof ReleaseOp.Ask ask) {
-            Place place = release.place(ask.place()).at(Stage.ASKED, ask.attempt());
-            outs.apply(new DisruptionCommand.Request(disruptionTarget(place), Disruption.Reason.RELEASE,
-                    release.request(place), "release " + release.plan().name()));
-            release = release.withChanged(place).withEvent(at, place.name() + " is asked for");
-        } else if (op instanceof ReleaseOp.Missed missed) {
-            Place place = release.place(missed.place());
-            release = release.withChanged(place.at(Stage.LEFT, place.attempt()))
+        } else if (command instanceof ReleaseOp.Ask ask) {
+            Place place = rollout.place(ask.place()).inStage(Stage.ASKED, ask.attempt());
+            disruptions.apply(new DisruptionCommand.Request(disruptionTarget(place), Disruption.Reason.RELEASE,
+                    rollout.requestId(place), "release " + rollout.plan().name()));
+            rollout = rollout.withChanged(place).withEvent(at, place.name() + " is asked for");
+        } else if (command instanceof ReleaseOp.Missed missed) {
+            Place place = rollout.place(missed.place());
+            rollout = rollout.withChanged(place.inStage(Stage.LEFT, place.attempt()))
                     .withEvent(at, place.name() + " came back as it was");
-        } else if (op instanceof ReleaseOp.Moved moved) {
-            Place place = release.place(moved.place());
-            release = release.withChanged(place.at(Stage.MOVED, place.attempt()))
-                    .withEvent(at, place.name() + " runs " + release.target());
-        } else if (op instanceof ReleaseOp.Next next) {
-            release = release.inWave(next.wave()).withEvent(at, "wave " + next.wave());
-        } else if (op instanceof ReleaseOp.AddPlace add) {
-            release = release
-                    .withAdded(new Place(add.place(), add.zone(), add.votes(), release.lastWave(), Stage.LEFT, 0))
+        } else if (command instanceof ReleaseOp.Moved moved) {
+            Place place = rollout.place(moved.place());
+            rollout = rollout.withChanged(place.inStage(Stage.MOVED, place.attempt()))
+                    .withEvent(at, place.name() + " runs " + rollout.target());
+        } else if (command instanceof ReleaseOp.Next next) {
+            rollout = rollout.inWave(next.wave()).withEvent(at, "wave " + next.wave());
+        } else if (command instanceof ReleaseOp.AddPlace add) {
+            rollout = rollout
+                    .withAdded(new Place(add.place(), add.zone(), add.votes(), rollout.lastWave(), Stage.LEFT, 0))
                     .withEvent(at, add.place() + " was not known before, and is added");
-        } else if (op instanceof ReleaseOp.Done) {
-            release = release.inPhase(Phase.DONE, "").withEvent(at, "done");
-        } else if (op instanceof ReleaseOp.Halt halt) {
+        } else if (command instanceof ReleaseOp.Done) {
+            rollout = rollout.inPhase(Phase.DONE, "").withEvent(at, "done");
+        } else if (command instanceof ReleaseOp.Halt halt) {
             withdraw();
-            release = release.inPhase(Phase.HALTED, halt.why()).withEvent(at, "halted: " + halt.why());
-        } else if (op instanceof ReleaseOp.Resume) {
-            release = release.inPhase(Phase.RUNNING, "").withEvent(at, "goes on");
-        } else if (op instanceof ReleaseOp.Back) {
+            rollout = rollout.inPhase(Phase.HALTED, halt.why()).withEvent(at, "halted: " + halt.why());
+        } else if (command instanceof ReleaseOp.Resume) {
+            rollout = rollout.inPhase(Phase.RUNNING, "").withEvent(at, "goes on");
+        } else if (command instanceof ReleaseOp.Back) {
             withdraw();
-            release = release.rolledBack().withEvent(at, "goes back to " + release.plan().from());
+            rollout = rollout.rolledBack().withEvent(at, "goes back to " + rollout.plan().from());
         }
     }
 
     /** Withdraws the requests of instances that have not gone; one that has gone comes back by itself. */
     protected void withdraw() {
-        for (Place place : release.places()) {
-            Disruption disruption = outs.get(disruptionTarget(place));
+        for (Place place : rollout.places()) {
+            Disruption disruption = disruptions.get(disruptionTarget(place));
             if (place.stage() == Stage.ASKED && (disruption == null
-                    || disruption.requestId().equals(release.request(place))
+                    || disruption.requestId().equals(rollout.requestId(place))
                             && disruption.reason() == Disruption.Reason.RELEASE
-                            && outs.apply(new DisruptionCommand.Withdraw(disruptionTarget(place),
+                            && disruptions.apply(new DisruptionCommand.Withdraw(disruptionTarget(place),
                                     disruption.requestId())).isApplied())) {
-                release = release.withChanged(place.at(Stage.LEFT, place.attempt()));
+                rollout = rollout.withChanged(place.inStage(Stage.LEFT, place.attempt()));
             }
         }
     }
 
     /** Whether the disruption that was requested for that instance has ended, so that it may be requested again. */
     private boolean hasReturned(Place place) {
-        Disruption disruption = outs.get(disruptionTarget(place));
+        Disruption disruption = disruptions.get(disruptionTarget(place));
         return place.stage() == Stage.ASKED
-                && (disruption == null || !disruption.requestId().equals(release.request(place)));
+                && (disruption == null || !disruption.requestId().equals(rollout.requestId(place)));
     }
 
     private static DisruptionTarget disruptionTarget(Place place) {
@@ -226,20 +226,20 @@
     /**
      * The version in which an instance that goes now has to come back; empty where it does not go for the rollout.
      *
-     * @param request id of the request under which it goes
+     * @param requestId of the request under which it goes
      */
-    public String versionFor(String member, String request) {
-        Place place = release == null ? null : release.place(member);
-        return place != null && release.request(place).equals(request) ? release.target() : "";
+    public String versionFor(String instance, String requestId) {
+        Place place = rollout == null ? null : rollout.place(instance);
+        return place != null && rollout.requestId(place).equals(requestId) ? rollout.target() : "";
     }
 
     /** The rollout in progress, or the last one; null where there was none. */
     public Release release() {
-        return release;
+        return rollout;
     }
 
     /** Replaces the state by that of a snapshot. */
     public void replace(Release other) {
-        release = other;
+        rollout = other;
     }
 }
--- a/src/main/java/topazladder/release/View.java
+++ b/src/main/java/topazladder/release/View.java
@@ -39,7 +39,7 @@
         }
     }
 
-    Sight of(String name) {
+    Sight member(String name) {
         return members.stream().filter(member -> member.name().equals(name)).findFirst().orElse(null);
     }
 }
--- a/src/main/java/topazladder/release/Waves.java
+++ b/src/main/java/topazladder/release/Waves.java
@@ -18,11 +18,11 @@
      * Assigns all instances; those that no wave takes form one more wave at the end.
      *
      * @param members all instances of the cluster; their wave, stage and attempt are ignored
-     * @param conductor name of the rollout lease's holder, or empty; it comes last
+     * @param leaseHolder name of the holder of the rollout lease, or empty; it comes last
      */
-    public static List<Place> of(Plan plan, List<Place> members, String conductor) {
+    public static List<Place> of(Plan plan, List<Place> members, String leaseHolder) {
         List<Place> ordered = new ArrayList<>(members);
-        ordered.sort(Comparator.comparing((Place place) -> place.name().equals(conductor)).thenComparing(Place::votes)
+        ordered.sort(Comparator.comparing((Place place) -> place.name().equals(leaseHolder)).thenComparing(Place::votes)
                 .thenComparing(Place::name));
         List<Place> assigned = new ArrayList<>();
         Set<String> assignedNames = new HashSet<>();
--- a/src/test/java/topazladder/release/JudgeTest.java
+++ b/src/test/java/topazladder/release/JudgeTest.java
@@ -39,8 +39,8 @@
                 samples.add(new Judge.Look("n" + i, "zone-" + i % 2, isOnB, served, isWorse ? failed : 0,
                         60 + random.nextDouble(-5, 5) + (isWorse ? leak * n : 0)));
             }
-            analysis.look(samples);
-            if (analysis.verdict() == Verdict.WORSE) {
+            analysis.addSamples(samples);
+            if (analysis.verdict() == Verdict.FAILED) {
                 return n;
             }
         }
@@ -77,9 +77,9 @@
     void withoutInstancesOnATheVerdictIsInconclusive() {
         Judge analysis = new Judge(Judge.Terms.USUAL);
         for (int i = 0; i < 50; i++) {
-            analysis.look(List.of(new Judge.Look("n0", "", true, 0.1, 0.5, 900)));
+            analysis.addSamples(List.of(new Judge.Look("n0", "", true, 0.1, 0.5, 900)));
         }
-        assertThat(analysis.verdict()).isEqualTo(Verdict.UNKNOWN);
-        assertThat(analysis.looks()).isZero();
+        assertThat(analysis.verdict()).isEqualTo(Verdict.INCONCLUSIVE);
+        assertThat(analysis.sampleCount()).isZero();
     }
 }
