--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -13,10 +13,10 @@
 import topazladder.release.View.Sight;
 
 /**
- * Decides the next steps of a rollout. It runs on the instance that holds the rollout lease, and goes by the status
- * that the leader of the consensus group sends. All state that has to outlive the holder is in the replicated log. What
- * is kept here (samples of the canary analysis, since when an instance has been away) is lost with the lease: the next
- * holder observes and analyses from the start.
+ * Decides the next steps of a rollout. It runs on the instance that holds the rollout lease, on the status that the
+ * leader of the consensus group sends. All state that has to outlive the holder is in the replicated log. What is kept
+ * here (samples of the canary analysis, since when an instance has been away) is lost with the lease: the next holder
+ * observes and analyses from the start.
  */
 public class Conductor {
     /** Multiple of the soak time after which a rollout whose canary analysis is inconclusive is halted. */
@@ -91,14 +91,14 @@
 
     private List<ReleaseOp> steps(double now, Release rollout, View view, ReleaseOp.By proposer) {
         List<ReleaseOp> commands = additions(rollout, view, proposer);
-        // Voters go one at a time and so take longest: once the first wave has shown that B works, they go beside the
-        // others from the start. In the first wave they go last.
+        // Voters are updated one at a time and so take longest: they come first once the first wave has shown that B
+        // works, so that the others are updated meanwhile. In the first wave they come last.
         boolean votersFirst = rollout.wave() > 0 || rollout.back();
         List<Place> open = rollout.places().stream()
                 .filter(place -> place.wave() <= rollout.wave() && place.stage() != Stage.MOVED)
                 .sorted(Comparator.comparing((Place place) -> place.name().equals(self))
                         .thenComparing(place -> place.votes() != votersFirst)
-                        // Each leader that goes costs an election, and the time in which the next one observes.
+                        // Updating a leader costs an election, and the time in which the next one only observes.
                         .thenComparing(place -> place.name().equals(view.leader())).thenComparing(Place::name))
                 .toList();
         int requestsLeft = requestsLeft(rollout, view);
@@ -111,8 +111,8 @@
                 commands.add(new ReleaseOp.Moved(proposer, rollout.id(), rollout.started(), place.name()));
                 continue;
             }
-            // This instance goes last of all, so that the rollout lease changes its holder only once for it. It goes
-            // with its wave where it is all of that wave, or there would be nothing to analyse.
+            // This instance is updated last of all, so that the rollout lease changes its holder only once for it. Where
+            // it is all of its wave it is updated with that wave, or there would be nothing to analyse.
             if (place.name().equals(self) && place.stage() == Stage.LEFT
                     && (open.size() > 1 || rollout.wave() < rollout.lastWave() && rollout.places().stream()
                             .anyMatch(other -> other.wave() == place.wave() && !other.name().equals(self)))) {
@@ -244,11 +244,11 @@
         analysis.addSamples(samples);
     }
 
-    /** Records since when each instance is away, and how many of its processes ended since its update was requested. */
+    /** Records since when instances have been away, and how many processes of each ended during its update. */
     private void trackInstances(double now, Release rollout, View view) {
         for (Place place : rollout.places()) {
             Sight seen = view.member(place.name());
-            // Includes an instance that went before the rollout was turned into a rollback and has not come back since.
+            // Includes an instance that shut down before the rollout became a rollback and has not returned since.
             boolean isAway = seen == null ? place.stage() == Stage.ASKED : seen.out() != null
                     && seen.out().usesBudget() && seen.out().phase() != Disruption.Phase.GRANTED
                     && (place.stage() == Stage.ASKED || seen.out().reason() == Disruption.Reason.RELEASE);
--- a/src/main/java/topazladder/release/Place.java
+++ b/src/main/java/topazladder/release/Place.java
@@ -14,7 +14,7 @@
 
     /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Stage {
-        /** Not updated: it has not gone, or it has come back in another version than the target. */
+        /** Not updated: it has not been restarted yet, or it has returned in another version than the target. */
         LEFT,
         /** Its grant is requested; the {@link topazladder.disruption.Disruption} says how far it is. */
         ASKED,
--- a/src/main/java/topazladder/release/Plan.java
+++ b/src/main/java/topazladder/release/Plan.java
@@ -8,7 +8,7 @@
  * @param name for operators
  * @param from version A, which the instances run before
  * @param to version B, which they are to run
- * @param waves in order; the instances that they leave out form one more wave at the end
+ * @param waves in order; instances that are in none of them form one more wave at the end
  * @param judge by how much B may be worse in the canary analysis
  * @param patience seconds that an updated instance may stay away before the rollout is halted
  * @param tries attempts to update one instance
@@ -29,12 +29,12 @@
     public record Wave(String zone, int most, double share, double soak) {
     }
 
-    /** The version that the rollout, or its rollback, goes to. */
+    /** The version to which the rollout, or its rollback, takes the instances. */
     public String target(boolean back) {
         return back ? from : to;
     }
 
-    /** Soak seconds of that wave; the wave of those left out takes the last wave's. */
+    /** Soak seconds of that wave; the additional last wave takes those of the wave before. */
     double soakSeconds(int wave) {
         return waves.isEmpty() ? 0 : waves.get(Math.min(wave, waves.size() - 1)).soak();
     }
--- a/src/main/java/topazladder/release/Release.java
+++ b/src/main/java/topazladder/release/Release.java
@@ -39,7 +39,7 @@
         return phase == Phase.DONE;
     }
 
-    /** The version that it goes to now. */
+    /** The version to which it takes the instances now. */
     public String target() {
         return plan.target(back);
     }
@@ -54,7 +54,7 @@
         return "release " + id + '.' + started + '/' + place.name() + '/' + place.attempt();
     }
 
-    /** Whether the wave and all before it are updated, apart from the rollout lease's holder, which goes last. */
+    /** Whether the wave and all before it are updated, apart from the rollout lease's holder, which is last. */
     boolean isWaveUpdated(String leaseHolder) {
         return places.stream().allMatch(place -> place.wave() > wave || place.stage() == Stage.MOVED
                 || place.name().equals(leaseHolder));
--- a/src/main/java/topazladder/release/ReleaseLedger.java
+++ b/src/main/java/topazladder/release/ReleaseLedger.java
@@ -196,7 +196,7 @@
         }
     }
 
-    /** Withdraws the requests of instances that have not gone; one that has gone comes back by itself. */
+    /** Withdraws the requests of instances that have not shut down; one that has shut down returns by itself. */
     protected void withdraw() {
         for (Place place : rollout.places()) {
             Disruption disruption = disruptions.get(disruptionTarget(place));
@@ -224,9 +224,10 @@
     // ---- reading
 
     /**
-     * The version in which an instance that goes now has to come back; empty where it does not go for the rollout.
+     * The version in which an instance that shuts down has to be started again; empty where it does not shut down for
+     * the rollout.
      *
-     * @param requestId of the request under which it goes
+     * @param requestId of the request under which it shuts down
      */
     public String versionFor(String instance, String requestId) {
         Place place = rollout == null ? null : rollout.place(instance);
