--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -111,8 +111,8 @@
                 commands.add(new ReleaseOp.Moved(proposer, rollout.id(), rollout.started(), place.name()));
                 continue;
             }
-            // This instance is updated last of all, so that the rollout lease changes its holder only once for it. Where
-            // it is all of its wave it is updated with that wave, or there would be nothing to analyse.
+            // This instance is updated last of all, so that the rollout lease changes its holder only once for it. A
+            // wave that consists of it alone is the exception, or there would be nothing to analyse.
             if (place.name().equals(self) && place.stage() == Stage.LEFT
                     && (open.size() > 1 || rollout.wave() < rollout.lastWave() && rollout.places().stream()
                             .anyMatch(other -> other.wave() == place.wave() && !other.name().equals(self)))) {
