--- a/src/main/java/topazladder/lease/HeldLease.java
+++ b/src/main/java/topazladder/lease/HeldLease.java
@@ -1,18 +1,21 @@
 package topazladder.lease;
 
-/** One lease at its holder, under one fencing token. Owned by {@link HeldLeases}; times are by the holder's clock. */
+/**
+ * A lease as its holder sees it, under one fencing token. Owned by {@link HeldLeases}; all times are seconds of the
+ * holder's clock.
+ */
 final class HeldLease {
-    /** Part of the duration before the end at which the work is told to stop, so that it has ended by then. */
+    /** Fraction of the lease duration left when the task is told to stop, so that it can finish before expiry. */
     private static final double STOP_BEFORE_END = 0.15;
     private static final double MILLIS_PER_SECOND = 1e3;
 
-    /** How far the work under the lease is; the names are printed to operators. */
+    /** The state of the task that runs under the lease. The constant names are printed to operators. */
     enum Phase {
-        /** The work goes on. */
+        /** The task runs. */
         HOLDING,
-        /** The work was told to stop, and may still have effects until the lease runs out. */
+        /** The task was told to stop; its effects are still allowed until the lease expires. */
         STOPPING,
-        /** No effect is allowed any more; reported to the leader until the group has recorded it. */
+        /** No effect is allowed any more. Reported to the leader until the consensus group has recorded it. */
         STOPPED
     }
 
@@ -36,7 +39,7 @@
         return durationSeconds;
     }
 
-    /** Why the work could not be done; null where it was stopped in order, or goes on. */
+    /** Why the task failed; null if it stopped normally or has not stopped yet. */
     String failure() {
         return failure;
     }
@@ -49,7 +52,7 @@
         return phase == Phase.STOPPED;
     }
 
-    /** Whether an effect may be made now. */
+    /** Whether the task may have an effect now. */
     boolean allowsEffects(double now) {
         return phase != Phase.STOPPED && now < expiresAt;
     }
@@ -71,17 +74,17 @@
         failure = failureOrNull;
     }
 
-    /** Whether the work must stop now to have ended before the lease runs out. */
+    /** Whether a running task must be told to stop now in order to finish before the lease expires. */
     boolean mustStop(double now) {
         return phase == Phase.HOLDING && expiresAt - now < STOP_BEFORE_END * durationSeconds;
     }
 
-    /** Whether the lease ran out before the work had reported its end. */
+    /** Whether the lease expired before the task reported that it had stopped. */
     boolean isOverdue(double now) {
         return phase == Phase.STOPPING && now >= expiresAt;
     }
 
-    /** When the next of {@link #mustStop} and {@link #isOverdue} comes true; never, once stopped. */
+    /** When {@link #mustStop} or {@link #isOverdue} next becomes true; infinity once stopped. */
     double nextChangeAt() {
         return switch (phase) {
             case HOLDING -> expiresAt - STOP_BEFORE_END * durationSeconds;
--- a/src/main/java/topazladder/lease/HeldLeases.java
+++ b/src/main/java/topazladder/lease/HeldLeases.java
@@ -8,14 +8,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * The leases that a member holds, and what it has stopped that the group has not recorded yet. Of leases that are over
- * here it keeps the highest token, so that a delayed response never starts the work under that token again.
+ * The leases that a member holds, and those that it has stopped but the consensus group has not recorded as released
+ * yet. For each lease that has ended here it keeps the highest fencing token, so that a delayed response never restarts
+ * a task under that token.
  */
 final class HeldLeases {
-    private final Map<String, HeldLease> byName = new TreeMap<>(); // no more than the group grants
-    private final Map<String, EndedLease> ended = new HashMap<>(); // by lease, no more than are defined
+    private final Map<String, HeldLease> byName = new TreeMap<>(); // bounded by the leases granted to this member
+    private final Map<String, EndedLease> ended = new HashMap<>(); // by lease name, bounded by the defined leases
 
-    /** @param stoppedAt when its end was last noted */
+    /** @param stoppedAt when the lease was last marked as stopped */
     private record EndedLease(long highestToken, double stoppedAt) {
     }
 
@@ -35,13 +36,13 @@
         byName.forEach(action);
     }
 
-    /** Whether the work under that token, or under a later one, has ended here. */
+    /** Whether a task under this token, or under a later one of the same lease, has already ended here. */
     boolean hasEnded(String leaseName, long fencingToken) {
         EndedLease last = ended.get(leaseName);
         return fencingToken <= (last == null ? 0 : last.highestToken());
     }
 
-    /** No effect is made under the lease any more. */
+    /** Marks the lease as stopped: it allows no effect from now on. */
     void markStopped(double now, String leaseName, HeldLease lease, String failure) {
         lease.stopped(failure);
         EndedLease last = ended.get(leaseName);
@@ -49,7 +50,10 @@
         ended.put(leaseName, new EndedLease(highestToken, now));
     }
 
-    /** Forgets stopped leases that are missing in the response to a request that reported them. */
+    /**
+     * Removes stopped leases that the leader no longer lists. Only a response to a request sent after the stop counts,
+     * as an earlier request did not report it.
+     */
     void forgetRecorded(LeaseResponse response, double requestedAt) {
         byName.entrySet().removeIf(entry -> entry.getValue().isStopped()
                 && !isNamed(response, entry.getKey(), entry.getValue().fencingToken())
@@ -61,7 +65,7 @@
                 .anyMatch(grant -> grant.leaseName().equals(leaseName) && grant.fencingToken() == fencingToken);
     }
 
-    /** Seconds; very many where none is held. */
+    /** The shortest duration among these leases; {@link Double#MAX_VALUE} if there is none. */
     double shortestDurationSeconds() {
         return byName.values().stream().mapToDouble(HeldLease::durationSeconds).min().orElse(Double.MAX_VALUE);
     }
@@ -70,7 +74,7 @@
         return byName.values().stream().mapToDouble(HeldLease::nextChangeAt).min().orElse(Double.POSITIVE_INFINITY);
     }
 
-    /** The member's request with all that is held and all that is stopped. */
+    /** Builds a request that reports every held and every stopped lease. */
     LeaseRequest request(MemberIdentity member, long sequence, boolean eligible) {
         List<LeaseRequest.Held> held = new ArrayList<>();
         List<LeaseRequest.Stopped> stopped = new ArrayList<>();
