--- a/src/main/java/topazladder/lease/KnownMember.java
+++ b/src/main/java/topazladder/lease/KnownMember.java
@@ -1,6 +1,6 @@
 package topazladder.lease;
 
-/** One incarnation of a member, as the leader has heard of it. Owned by {@link KnownMembers}. */
+/** One incarnation of a member, as known to the leader from its requests. Owned by {@link KnownMembers}. */
 final class KnownMember {
     private final MemberIdentity identity;
     private double lastHeardAt;
@@ -29,7 +29,7 @@
         return eligible;
     }
 
-    /** Whether it has said for longer than that, without a break, that it should be granted nothing. */
+    /** Whether the member has declared itself ineligible without interruption for longer than this. */
     boolean isIneligibleForLongerThan(double seconds, double now) {
         return !eligible && now - ineligibleSince > seconds;
     }
--- a/src/main/java/topazladder/lease/KnownMembers.java
+++ b/src/main/java/topazladder/lease/KnownMembers.java
@@ -8,11 +8,11 @@
 import java.util.stream.Stream;
 
 /**
- * The members that a leader has heard of lately, one incarnation for each name. Nothing of it is replicated: a new
- * leader begins with none.
+ * The members that have sent the leader a request recently, one incarnation for each name. This is not replicated: a
+ * new leader starts without any.
  */
 final class KnownMembers {
-    private final Map<String, KnownMember> byName = new TreeMap<>(); // bounded by forgetSilent
+    private final Map<String, KnownMember> byName = new TreeMap<>(); // bounded by forgetSilent()
 
     void clear() {
         byName.clear();
@@ -22,16 +22,16 @@
         return byName.size();
     }
 
-    /** Whether a later incarnation of the member was heard: its process should have ended. */
+    /** Whether a later incarnation of the member is known, so that the process of this one should have ended. */
     boolean isOutdated(MemberIdentity identity) {
         KnownMember known = byName.get(identity.name());
         return known != null && known.identity().incarnation() > identity.incarnation();
     }
 
     /**
-     * Notes what a member says of itself.
+     * Records that a member has sent a request, and whether it is eligible for leases.
      *
-     * @return whether this incarnation was not known before
+     * @return whether this incarnation was unknown before
      */
     boolean heard(double now, LeaseRequest request) {
         MemberIdentity identity = request.member();
@@ -49,12 +49,12 @@
         byName.values().removeIf(known -> known.silentSeconds(now) > longerThanSeconds);
     }
 
-    /** The incarnation that was heard of under that name, or null. */
+    /** The known incarnation of the member, or null. */
     KnownMember get(String memberName) {
         return byName.get(memberName);
     }
 
-    /** Whether a member of that name was heard of and may be granted leases. */
+    /** Whether the member is known and may be granted leases. */
     boolean isEligible(String memberName) {
         KnownMember known = byName.get(memberName);
         return known != null && known.isEligible();
@@ -64,7 +64,7 @@
         return eligible().anyMatch(member -> !member.equals(identity));
     }
 
-    /** All that may be granted leases, in their natural order. */
+    /** All members that may be granted leases, in natural order. */
     List<MemberIdentity> eligibleMembers() {
         return eligible().sorted().toList();
     }
