--- a/src/main/java/topazladder/lease/LeaseAssignment.java
+++ b/src/main/java/topazladder/lease/LeaseAssignment.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 
 /**
- * Which member should hold a lease, and when a holder should give one up though its time has not run out. Goes by the
- * members that the leader has heard of; decides nothing about time limits, which are {@link LeaseManager}'s.
+ * Decides which member should be granted a lease, and when a holder should release one that has not expired. It
+ * considers the members known to the leader; expiry is up to {@link LeaseManager}.
  */
 final class LeaseAssignment {
     private final LeaseStateMachine stateMachine;
@@ -20,11 +20,12 @@
     }
 
     /**
-     * The member to grant a lease to: the one that an operator prefers if it is eligible, else by
-     * {@link LeasePlacement} among all eligible members but the one that lost the lease last. That one is chosen only
-     * where it is the only one, as it may be the cause of the loss.
+     * The member to grant a lease to: the one that an operator prefers if it is eligible, otherwise the choice of
+     * {@link LeasePlacement} among the eligible members. The member that lost the lease last may have caused the loss,
+     * so it is chosen only if no other member is eligible.
      *
-     * @param load by member, the leases that it holds
+     * @param load number of leases held, by member
+     * @return empty if no member is eligible
      */
     Optional<MemberIdentity> holderFor(LeaseState lease, Map<MemberIdentity, Integer> load) {
         if (members.isEligible(lease.preferredMember())) {
@@ -40,8 +41,9 @@
     }
 
     /**
-     * Whether the holder should give the lease up: it is suspended, it moves to even the load, an operator wants it at
-     * another member that is eligible, or the holder is no longer eligible and another member is.
+     * Whether the holder should release the lease: because the lease is suspended, because it is being moved to balance
+     * the load, because an operator prefers another member that is eligible, or because the holder is no longer
+     * eligible and another member is.
      */
     boolean shouldRelease(double now, LeaseState lease) {
         return lease.isSuspended() || balancer.isMoving(lease.settings().name()) || isPreferredElsewhere(lease)
@@ -53,7 +55,10 @@
                 && members.isEligible(lease.preferredMember());
     }
 
-    /** Only after a whole lease: a holder that is ineligible for a moment would release it and be granted it again. */
+    /**
+     * Requires ineligibility for longer than the lease duration: a holder that was ineligible for a moment would
+     * otherwise release the lease and might be granted it again at once.
+     */
     private boolean isHolderIneligible(double now, LeaseState lease) {
         KnownMember holder = members.get(lease.holder().name());
         return holder != null && holder.isIneligibleForLongerThan(lease.settings().durationSeconds(), now)
--- a/src/main/java/topazladder/lease/LeaseBalancer.java
+++ b/src/main/java/topazladder/lease/LeaseBalancer.java
@@ -7,16 +7,16 @@
 import java.util.Set;
 
 /**
- * Evens the load by moving leases away from members that hold well more than their share: more than
- * {@code bound + max(1, bound / 4)}, with the bound of {@link LeasePlacement#bound}.
+ * Balances the load by moving leases away from members that hold clearly more than their share, which is more than
+ * {@code bound + max(1, bound / 4)} leases with the bound of {@link LeasePlacement#bound}.
  *
- * <p>At most once in a poll interval, and with no more than one lease in twenty under way at a time, so that leases
- * move slowly when a whole zone joins. What an operator put somewhere stays there.
+ * <p>Leases are chosen at most once per poll interval, and no more are chosen once over a twentieth of all leases are
+ * moving, so that leases move gradually when a whole zone joins. A lease that an operator has placed is never moved.
  */
 final class LeaseBalancer {
-    /** One in so many leases may be under way to another member. */
+    /** No more moves are started once more than one lease in this many is moving. */
     private static final int LEASES_PER_MOVE = 20;
-    /** A member may exceed its bound by one in so many leases before it loses any. */
+    /** A member may exceed its bound by one lease in this many, and at least by one, before leases move away. */
     private static final int BOUND_PER_EXCESS = 4;
     private static final int MIN_MEMBERS = 2;
 
@@ -28,12 +28,12 @@
         lastMoveAt = now;
     }
 
-    /** Whether the holder is to give the lease up, to even the load. */
+    /** Whether the holder should release the lease to balance the load. */
     boolean isMoving(String leaseName) {
         return moving.contains(leaseName);
     }
 
-    /** The lease has been given up, or its holder was lost. */
+    /** Called when the lease was released, has expired, or its holder has failed. */
     void moved(String leaseName) {
         moving.remove(leaseName);
     }
@@ -43,12 +43,12 @@
     }
 
     /**
-     * Chooses the leases that are to move.
+     * Chooses leases to move away from overloaded members.
      *
-     * @param leases all that are defined
-     * @param eligible members that may take leases
-     * @param load by member, the leases that it holds or is about to hold; a lease that is to move is subtracted
-     * @param intervalSeconds between two choices
+     * @param leases all defined leases
+     * @param eligible members that may be granted leases
+     * @param load number of leases held or about to be granted, by member; reduced by the leases chosen
+     * @param intervalSeconds minimum time between two rounds of choices
      */
     void balance(double now, Collection<LeaseState> leases, List<MemberIdentity> eligible,
             Map<MemberIdentity, Integer> load, double intervalSeconds) {
