--- a/src/main/java/topazladder/lease/LeaseHolder.java
+++ b/src/main/java/topazladder/lease/LeaseHolder.java
@@ -9,45 +9,46 @@
 import topazladder.lease.LeaseResponse.Grant;
 
 /**
- * A member's side of the leases: polls the leader, counts its leases down, and starts and stops the work.
+ * The member side of the lease protocol: polls the leader, tracks the expiry of the leases it holds, and starts and
+ * stops the tasks that run under them.
  *
  * <p>Invariants:
  *
  * <ul>
- * <li>A lease counts from before its request was sent, and never longer than {@code durationSeconds} from there.
- * Nothing that arrives late makes it longer.
- * <li>The work is told to stop when less than 15% of the lease is left, and is allowed no effect past its end, whether
- * it has reported that it stopped or not. The leader grants the lease again only after that, as it counts with slack
- * for clocks that run apart.
- * <li>The work under a token is started once, and never before the work under the last token has stopped.
+ * <li>A lease counts from the moment before its request was sent and lasts at most {@code durationSeconds} from there.
+ * A response that arrives late does not extend it.
+ * <li>A task is told to stop when less than 15% of its lease is left, and is allowed no effect after expiry, whether or
+ * not it has reported that it stopped. The leader grants the lease again only after that, as it adds slack for clocks
+ * that run at different rates.
+ * <li>A task is started once under each token, and never before the task under the previous token has stopped.
  * </ul>
  *
- * <p>It goes by one clock that never runs backwards and goes on while the process is stalled; times are seconds of that
- * clock. Whoever has an effect to make asks {@link #fencingToken} just before it, and hands the token to whatever the
- * effect is on. All calls come on one thread.
+ * <p>All times are seconds of one monotonic clock that keeps running while the process is stalled. A task calls
+ * {@link #fencingToken} just before each effect, and passes the token to the system that the effect changes. All calls
+ * come on one thread.
  */
 public class LeaseHolder {
     private static final double MIN_TICK_SECONDS = 0.001;
 
-    /** What the caller has to do. */
+    /** An action that the caller has to carry out. */
     public sealed interface Step {
 
         /**
          * Send a request to the leader.
          *
-         * @param otherVoter to another voter than the last request, which got no response
+         * @param otherVoter whether to send it to another voter, as the last request got no response
          */
         record Send(LeaseRequest request, boolean otherVoter) implements Step {
         }
 
-        /** Start the work under that token. */
+        /** Start the task under that token. */
         record Start(String leaseName, long fencingToken) implements Step {
         }
 
         /**
-         * Stop the work, and report it by {@link LeaseHolder#taskStopped}.
+         * Stop the task, and call {@link LeaseHolder#taskStopped} once it has stopped.
          *
-         * @param withinSeconds after which no effect is allowed any more
+         * @param withinSeconds time left until no effect is allowed any more
          */
         record Stop(String leaseName, long fencingToken, double withinSeconds, String reason) implements Step {
         }
@@ -59,19 +60,19 @@
     private boolean eligible;
     private boolean shuttingDown;
 
-    /** @param identity of this process */
+    /** @param identity the identity of this process */
     public LeaseHolder(MemberIdentity identity) {
         this.identity = identity;
     }
 
-    /** The process that this is a part of. */
+    /** The identity of this process. */
     public MemberIdentity identity() {
         return identity;
     }
 
-    // ---- the process
+    // ---- lifecycle
 
-    /** Whether this may be granted anything from now on; it keeps what it holds until the leader asks for it. */
+    /** Sets whether this member may be granted leases; it keeps those it holds until the leader requests a release. */
     public List<Step> setEligible(double now, boolean isEligible) {
         if (eligible != isEligible) {
             eligible = isEligible;
@@ -80,24 +81,24 @@
         return tick(now);
     }
 
-    /** The process will end: all work is stopped in order, and nothing is taken any more. */
+    /** Begins a graceful shutdown: all tasks are told to stop, and no lease is accepted any more. */
     public List<Step> shutDown(double now) {
         shuttingDown = true;
         List<Step> steps = new ArrayList<>();
-        leases.forEach((leaseName, lease) -> stop(now, leaseName, lease, "the instance leaves", steps));
+        leases.forEach((leaseName, lease) -> stop(now, leaseName, lease, "instance is shutting down", steps));
         polls.pollAtOnce();
         steps.addAll(tick(now));
         return steps;
     }
 
-    /** Whether nothing is left to stop, or to report, before the process ends. */
+    /** Whether the process may end: no task is left to stop, and no stop is left to report. */
     public boolean isIdle() {
         return leases.isEmpty();
     }
 
-    // ---- the work
+    // ---- tasks
 
-    /** The token under which an effect may be made now; empty where none may. To be asked before each effect. */
+    /** The fencing token for an effect now; empty if no effect is allowed. Must be called before each effect. */
     public OptionalLong fencingToken(double now, String leaseName) {
         HeldLease lease = leases.get(leaseName);
         return lease != null && lease.allowsEffects(now) ? OptionalLong.of(lease.fencingToken())
@@ -105,9 +106,9 @@
     }
 
     /**
-     * The work has ended: no effect under that token is made any more.
+     * The task has stopped and has no further effect under that token.
      *
-     * @param failure why it could not be done; null where it was stopped in order
+     * @param failure why the task failed; null if it stopped normally
      */
     public List<Step> taskStopped(double now, String leaseName, long fencingToken, String failure) {
         HeldLease lease = leases.get(leaseName);
@@ -131,7 +132,7 @@
 
     // ---- responses
 
-    /** A response arrived, maybe late or twice; one to a request that is not known gives nothing. */
+    /** Handles a response, which may be late or a duplicate. A response to an unknown request is ignored. */
     public List<Step> handleResponse(double now, LeaseResponse response) {
         List<Step> steps = new ArrayList<>();
         OptionalDouble requestedAt = polls.answered(response);
@@ -147,7 +148,10 @@
         return steps;
     }
 
-    /** From when a lease counts. From the response, it would go on longer here than the leader believes. */
+    /**
+     * When a lease starts to count that a response has granted. Counted from the arrival of the response, it would last
+     * longer here than the leader assumes.
+     */
     protected double leaseStart(double requestedAt, double now) {
         return requestedAt;
     }
@@ -157,12 +161,12 @@
         if (lease != null && lease.fencingToken() == grant.fencingToken()) {
             handleRenewal(now, expiresAt, lease, grant, steps);
         } else if (lease != null && lease.fencingToken() > grant.fencingToken()) {
-            return; // the response was overtaken by a later one
+            return; // a response with a later token arrived first
         } else if (leases.hasEnded(grant.leaseName(), grant.fencingToken())) {
             reportEndAgain(now, expiresAt, grant);
         } else if (lease != null && !lease.isStopped()) {
-            // Granted anew before the work under the last token has stopped: it would run beside itself.
-            stop(now, grant.leaseName(), lease, "it was granted anew", steps);
+            // The task under the previous token still runs: starting it now would run it twice at the same time.
+            stop(now, grant.leaseName(), lease, "lease was granted again under a later token", steps);
         } else {
             begin(now, expiresAt, grant, steps);
         }
@@ -174,11 +178,14 @@
         }
         lease.renew(expiresAt);
         if (grant.stopRequested()) {
-            stop(now, grant.leaseName(), lease, "the group wants it elsewhere", steps);
+            stop(now, grant.leaseName(), lease, "leader requested the release", steps);
         }
     }
 
-    /** The leader that was told of the end is none any more: without another report it would be renewed for ever. */
+    /**
+     * Reports again that a lease has ended. The leader that got the first report may have stepped down before the
+     * release was committed; without another report, its successor would renew the lease forever.
+     */
     private void reportEndAgain(double now, double expiresAt, Grant grant) {
         HeldLease lease = leases.get(grant.leaseName());
         if (lease == null) {
@@ -200,18 +207,18 @@
 
     // ---- time
 
-    /** Something was granted here: polls at once. */
+    /** Polls immediately, for example because the leader has granted this member a lease. */
     public List<Step> wakeUp(double now) {
         polls.pollAtOnce();
         return tick(now);
     }
 
-    /** Stops what runs out and polls where a poll is due. To be called when {@link #secondsUntilTick} says. */
+    /** Stops tasks whose leases are about to expire, and polls if due. To be called after {@link #secondsUntilTick}. */
     public List<Step> tick(double now) {
         List<Step> steps = new ArrayList<>();
         leases.forEach((leaseName, lease) -> {
             if (lease.mustStop(now)) {
-                stop(now, leaseName, lease, "its lease was not renewed", steps);
+                stop(now, leaseName, lease, "lease was not renewed in time", steps);
             }
             if (lease.isOverdue(now)) {
                 markStopped(now, leaseName, lease, null);
@@ -236,14 +243,14 @@
         return Math.max(MIN_TICK_SECONDS, dueAt - now);
     }
 
-    // ---- for operators
+    // ---- diagnostics
 
-    /** How many polls were sent, and how many of the latest wait for their responses. */
+    /** Number of polls sent, and how many of the latest ones are unanswered. */
     public String describeRequests() {
         return polls.describe();
     }
 
-    /** By lease: its phase, token and seconds left. */
+    /** Phase, fencing token and remaining seconds of each lease, by lease name. */
     public Map<String, String> describeLeases(double now) {
         Map<String, String> described = new TreeMap<>();
         leases.forEach((leaseName, lease) -> described.put(leaseName, lease.describe(now)));
