--- a/src/main/java/topazladder/lease/LeaseManager.java
+++ b/src/main/java/topazladder/lease/LeaseManager.java
@@ -18,52 +18,59 @@
 import topazladder.lease.LeaseState.Loss;
 
 /**
- * The leader's side of the leases: answers members' requests, grants leases that nobody holds, and ends those that have
- * run out. Only the leader's has a say, from when the first command of its term is applied.
+ * The leader side of the lease protocol: answers members' requests, grants leases that are not held, and proposes the
+ * expiry of leases that were not renewed. Every voter has one; only the leader's makes decisions, from when the first
+ * command of its term is applied.
  *
  * <p>Invariants:
  *
  * <ul>
- * <li>A request is answered once a majority has confirmed, after it came, that this voter leads: one that was cut off
- * may believe in itself for long, and must not renew what another leader has granted to somebody else.
- * <li>A lease expires {@code safeExpirySeconds} after the last response about it, or after this leader's start for one
- * that an earlier leader granted: {@code durationSeconds * 1.05 / 0.95}, by this leader's clock. No response renews a
- * lease once its end is proposed, even where nobody knows whether the proposal came through.
- * <li>Nothing is granted before every member had a poll interval to be heard, or else the first to ask would be granted
- * all; nor, after a group was formed anew, before the longest lease of the earlier group has run out.
+ * <li>A request is answered only once a majority has confirmed, in a round that began after the request arrived, that
+ * this voter leads. A partitioned leader may take itself for the leader for a long time, and must not renew a lease
+ * that another leader has granted to another member.
+ * <li>A lease expires {@code safeExpirySeconds} after the last response that renewed it, or after the start of this
+ * leader's term if an earlier leader granted it: {@code durationSeconds * 1.05 / 0.95}, by this leader's clock. No
+ * response renews a lease once its end is proposed, even if the outcome of the proposal is unknown.
+ * <li>Nothing is granted before every member had one poll interval to send a request, as the first member to send one
+ * would otherwise be granted every lease. After a consensus group was formed anew, nothing is granted before the
+ * longest lease of the earlier group has expired.
  * </ul>
  *
- * <p>What it believes about times is not replicated: it is lost with the leader, and the next one waits out what it
- * can't know. All calls come on one thread; times are seconds of one clock that never runs backwards.
+ * <p>Deadlines are not replicated: they are lost with the leader's term, and the next leader lets the full duration of
+ * every granted lease pass before it expires one. All calls come on one thread; all times are seconds of one monotonic
+ * clock.
  */
 public class LeaseManager {
-    /** Requests a second, over all members, that the leader wants from those that hold nothing. */
+    /** Most requests per second from all members without leases; the poll interval of large clusters is set by it. */
     private static final double MAX_IDLE_REQUESTS_PER_SECOND = 200;
-    /** Stands for the shortest lease while none is defined. */
+    /** Used as the shortest lease duration while no lease is defined. */
     private static final double DEFAULT_DURATION_SECONDS = 10;
-    /** Of a member whose return is waited for. */
+    /** Poll interval of members whose return to service is awaited. */
     private static final double FAST_POLL_SECONDS = 0.5;
-    /** Lease durations for which a holder has to hold before its work counts as not the cause of earlier losses. */
+    /** Lease durations that a holder must last before the task no longer counts as the cause of earlier losses. */
     private static final double SETTLED_AFTER_DURATIONS = 5;
-    /** Poll intervals without a request after which a member is forgotten. */
+    /** Poll intervals without a request after which a member is no longer known. */
     private static final double MAX_MISSED_POLLS = 3;
 
-    /** What the caller has to do. */
+    /** An action that the caller has to carry out. */
     public sealed interface Step {
 
-        /** Propose a command; then {@link #commandApplied} or {@link #commandFailed}. */
+        /** Propose a command, then call {@link #commandApplied} or {@link #commandFailed}. */
         record Propose(LeaseCommand command) implements Step {
         }
 
-        /** Ask a majority whether this still leads; then {@link #leadershipConfirmed} or its opposite. */
+        /**
+         * Confirm with a majority that this voter still leads, then call {@link #leadershipConfirmed} or
+         * {@link #leadershipUnconfirmed}.
+         */
         record ConfirmLeadership(long round) implements Step {
         }
 
-        /** Send a response. */
+        /** Send a response to a member. */
         record Reply(MemberIdentity member, LeaseResponse response) implements Step {
         }
 
-        /** Tell a member that was granted something to poll at once. */
+        /** Tell a member that was granted a lease to poll immediately. */
         record WakeUp(MemberIdentity member) implements Step {
         }
     }
@@ -74,13 +81,13 @@
     private final LeaseDeadlines deadlines = new LeaseDeadlines();
     private final LeaseBalancer balancer = new LeaseBalancer();
     private final LeaseAssignment assignment;
-    private final Map<String, LeaseCommand> commandsInFlight = new HashMap<>(); // by lease, one each
+    private final Map<String, LeaseCommand> commandsInFlight = new HashMap<>(); // by lease name, at most one each
     private boolean leading;
     private Set<String> fastPollingMembers = Set.of();
     private double mayGrantFrom;
     private double earlierGroupUntil = Double.NEGATIVE_INFINITY;
 
-    /** @param stateMachine replicated; read here, and changed only by commands that are applied */
+    /** @param stateMachine the replicated state; only read here, as committed commands alone change it */
     public LeaseManager(LeaseStateMachine stateMachine) {
         this.stateMachine = stateMachine;
         assignment = new LeaseAssignment(stateMachine, members, balancer);
@@ -88,14 +95,14 @@
 
     // ---- leadership
 
-    /** Whether this voter leads, as far as it knows. */
+    /** Whether this voter takes itself for the leader. */
     public boolean isLeader() {
         return leading;
     }
 
     /**
-     * The first command of this leader's term is applied: all that earlier leaders had agreed on is known here. What
-     * they told the holders is not, so each lease counts from now.
+     * Begins this voter's term as leader. The first command of the term is applied, so every command that earlier
+     * leaders committed is known here. When they last renewed each lease is unknown, so each lease counts from now.
      */
     public void becomeLeader(double now) {
         leading = true;
@@ -113,17 +120,20 @@
         }
     }
 
-    /** When a lease that an earlier leader granted has surely run out. */
+    /** When a lease that an earlier leader granted or renewed has expired for certain. */
     protected double inheritedExpiry(double now, LeaseSettings settings) {
         return now + safeExpirySeconds(settings);
     }
 
-    /** Seconds by this clock after which a lease that is granted now has run out by any clock. */
+    /**
+     * Seconds of the leader's clock after which a lease granted now has expired at its holder for certain, up to the
+     * largest clock drift allowed.
+     */
     protected double safeExpirySeconds(LeaseSettings settings) {
         return LeaseSettings.safeExpirySeconds(settings.durationSeconds());
     }
 
-    /** Another voter leads, or may lead. */
+    /** Ends this voter's term as leader, as another voter leads or may lead. */
     public void stepDown() {
         leading = false;
         requests.clear();
@@ -131,7 +141,7 @@
 
     // ---- requests
 
-    /** A member polls. It is answered after a confirmation that begins after this call. */
+    /** Handles a member's request. It is answered after a leadership confirmation that begins after this call. */
     public List<Step> handleRequest(double now, LeaseRequest request) {
         if (!leading || members.isOutdated(request.member())) {
             return List.of();
@@ -149,7 +159,7 @@
         return steps;
     }
 
-    /** Earlier incarnations of the member have ended: each loss of theirs counts as brought about by the work. */
+    /** Earlier incarnations of the member have ended: each of their losses counts as a crash caused by the task. */
     private void reportCrashes(MemberIdentity member, List<Step> steps) {
         for (LeaseState lease : stateMachine.leases()) {
             for (Loss loss : lease.losses()) {
@@ -177,7 +187,7 @@
         }
     }
 
-    /** A majority has confirmed that this voter led at some moment after the round began. */
+    /** Answers the requests of a round: a majority has confirmed that this voter led at some time after it began. */
     public List<Step> leadershipConfirmed(double now, long round) {
         List<Step> steps = new ArrayList<>();
         if (!leading || round != requests.round()) {
@@ -211,14 +221,14 @@
     }
 
     /**
-     * Whether a lease may be renewed while that command about it is in flight. Not while it ends: by the time the
-     * response arrives the lease may be another's.
+     * Whether a lease may be renewed while this command about it is in flight. If its end is proposed it must not be
+     * renewed, as another member may hold it by the time the response arrives.
      */
     protected boolean isRenewable(LeaseCommand inFlight) {
         return inFlight instanceof HolderSettled;
     }
 
-    /** The majority did not answer: the members that wait poll again, here or elsewhere. */
+    /** Drops the requests of a round that no majority has confirmed; the members repeat them, here or elsewhere. */
     public List<Step> leadershipUnconfirmed(long round) {
         if (round == requests.round()) {
             requests.dropUnconfirmed();
@@ -230,12 +240,12 @@
         return steps;
     }
 
-    /** Members that should poll often, as others wait for their return to service. */
+    /** Sets the members that should poll often, as others wait for their return to service. */
     public void setFastPolling(Set<String> memberNames) {
         fastPollingMembers = memberNames;
     }
 
-    /** Half the shortest lease, or longer where the members are too many for that. */
+    /** Half the shortest lease duration, or longer if that many members would exceed the request rate. */
     private double pollIntervalSeconds() {
         double shortest = stateMachine.leases().stream().mapToDouble(lease -> lease.settings().durationSeconds()).min()
                 .orElse(DEFAULT_DURATION_SECONDS);
@@ -260,7 +270,7 @@
         }
     }
 
-    /** A command was applied at this voter, whoever proposed it. */
+    /** Handles a command that was applied at this voter, whichever voter proposed it. */
     public List<Step> commandApplied(double now, LeaseCommand command, LeaseStateMachine.Outcome outcome) {
         List<Step> steps = new ArrayList<>();
         if (!leading) {
@@ -300,11 +310,11 @@
 
     private void handleDefineApplied(double now) {
         commandsInFlight.clear();
-        // The poll interval was a guess while no lease was defined.
+        // While no lease was defined, the poll interval was based on the default duration.
         mayGrantFrom = Math.min(mayGrantFrom, now + pollIntervalSeconds());
     }
 
-    /** Holders of the earlier group may go on for as long as their leases. */
+    /** Holds back grants, as holders of the earlier group may keep their leases until these expire. */
     private void handleTokenFloorRaised(double now) {
         commandsInFlight.clear();
         double longest = stateMachine.leases().stream().mapToDouble(lease -> safeExpirySeconds(lease.settings())).max()
@@ -313,8 +323,8 @@
     }
 
     /**
-     * A command did not come through, or nobody knows whether it did. An expiry stays in flight: it may still come
-     * through, so the lease must not be renewed any more.
+     * Handles a command that was not committed, or whose outcome is unknown. An expiry stays in flight: it may still be
+     * committed, so the lease must not be renewed any more.
      */
     public void commandFailed(LeaseCommand command) {
         if (command instanceof Grant || command instanceof Release || command instanceof HolderFailed
@@ -325,7 +335,7 @@
 
     // ---- time
 
-    /** Ends leases that have run out and grants those that nobody holds. To be called several times in a lease. */
+    /** Proposes to expire overdue leases and to grant free ones. To be called several times per lease duration. */
     public List<Step> tick(double now) {
         List<Step> steps = new ArrayList<>();
         if (!leading) {
@@ -352,7 +362,7 @@
     private void checkHolder(double now, LeaseState lease, List<Step> steps) {
         String leaseName = lease.settings().name();
         if (isExpired(now, lease)) {
-            // Again where the last proposal was lost: the command names the token, so a second one changes nothing.
+            // Repeated at each tick, as a proposal may be lost; a duplicate is rejected by its fencing token.
             Expire expire = new Expire(leaseName, lease.fencingToken());
             commandsInFlight.put(leaseName, expire);
             steps.add(new Step.Propose(expire));
@@ -362,7 +372,7 @@
         }
     }
 
-    /** Whether the holder's time has surely run out, by this clock. */
+    /** Whether the lease has expired at its holder for certain, by the leader's clock. */
     protected boolean isExpired(double now, LeaseState lease) {
         LeaseSettings settings = lease.settings();
         return now >= deadlines.expiresAt(settings.name(), now + safeExpirySeconds(settings));
@@ -385,7 +395,7 @@
         });
     }
 
-    /** The members that this leader has heard of lately, in their natural order. */
+    /** The members that have sent this leader a request recently, in natural order. */
     public Set<MemberIdentity> knownMembers() {
         return members.identities();
     }
