--- a/src/main/java/topazladder/lease/LeasePlacement.java
+++ b/src/main/java/topazladder/lease/LeasePlacement.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * Which member a lease goes to: rendezvous hashing with bounded loads, so that a member that joins or leaves moves only
- * its own part of the leases, and none is overloaded by chance.
+ * Chooses the member for a lease by rendezvous hashing with bounded loads, so that a member that joins or leaves moves
+ * only its own share of the leases, and no member is overloaded by chance.
  *
- * <p>Of the members that hold fewer than {@code ceil(1.25 * leases / members)}, the one with the highest
- * {@code hash(lease name, member name)}; where all have reached the bound, the one that holds the fewest.
+ * <p>Among the members that hold fewer than {@code ceil(1.25 * leases / members)} leases, the one with the highest
+ * {@code hash(lease name, member name)} is chosen; if all members have reached the bound, the one with the fewest.
  */
 public final class LeasePlacement {
-    /** Times an even share that one member may hold. */
+    /** Multiple of the even share that one member may hold. */
     private static final double MAX_SHARE_FACTOR = 1.25;
 
     private LeasePlacement() {}
@@ -25,12 +25,12 @@
     }
 
     /**
-     * The member that a lease should be granted to.
+     * Chooses the member that a lease should be granted to.
      *
-     * @param members that may be granted it
-     * @param heldLeases by member, the leases that it holds; members that hold none may be missing
-     * @param bound that a member may reach, by {@link #bound}
-     * @return empty where there are no members
+     * @param members the eligible members
+     * @param heldLeases number of leases held, by member; members without leases may be absent
+     * @param bound the most leases that one member should hold, from {@link #bound}
+     * @return empty if there are no eligible members
      */
     public static Optional<MemberIdentity> choose(String leaseName, Collection<MemberIdentity> members,
             Map<MemberIdentity, Integer> heldLeases, int bound) {
@@ -44,7 +44,7 @@
                                 .thenComparing(Comparator.naturalOrder()));
     }
 
-    /** By the member's name alone: one that was restarted takes the same place. */
+    /** Hashes the member's name without its incarnation, so that a restart does not change the ranking. */
     private static long rank(String leaseName, MemberIdentity member) {
         return Hashing.komihash5_0().hashStream().putString(leaseName).putString(member.name()).getAsLong();
     }
