--- a/src/main/java/topazladder/lease/LeaseState.java
+++ b/src/main/java/topazladder/lease/LeaseState.java
@@ -5,25 +5,25 @@
 import java.util.List;
 
 /**
- * One lease as the group has agreed on it; immutable, replaced by each command that changes it.
+ * The replicated state of one lease. Immutable; each command that changes the lease replaces it.
  *
- * @param fencingToken the last one granted; it only grows
- * @param holder who was granted the lease under that token, or null while nobody holds it
- * @param suspendedReason why the lease is granted to nobody, or null while it is not suspended
- * @param preferredMember name of the member that an operator wants to hold it, or empty
- * @param placedByOperator whether an operator put it where it is; it is then not moved to even the load
- * @param losses of holders that expired, failed or ended, oldest first; emptied once a holder settles
+ * @param fencingToken the last token granted; it never decreases
+ * @param holder the member that holds the lease under that token, or null while it is not held
+ * @param suspendedReason why the lease is suspended, or null while it is not
+ * @param preferredMember name of the member that an operator prefers as the next holder, or empty
+ * @param placedByOperator whether an operator has placed the lease at a member, so that load balancing does not move it
+ * @param losses the latest losses, oldest first; cleared when a holder settles or an operator resumes the lease
  */
 public record LeaseState(LeaseSettings settings, long fencingToken, MemberIdentity holder, String suspendedReason,
         String preferredMember, boolean placedByOperator, List<Loss> losses) {
 
-    /** Losses kept; more than {@link LeaseSettings#maxConsecutiveLosses} may be set to. */
+    /** Number of losses kept. Must not be below the largest {@link LeaseSettings#maxConsecutiveLosses} allowed. */
     static final int MAX_KEPT_LOSSES = 16;
 
     /**
-     * A holder that did not release the lease in order.
+     * A holder whose lease expired or whose task failed, instead of a release.
      *
-     * @param processEnded whether its process is known to have ended, or to have failed at the work
+     * @param processEnded whether the process is known to have ended, or the task to have failed there
      */
     public record Loss(long fencingToken, MemberIdentity holder, boolean processEnded) {
     }
@@ -32,12 +32,12 @@
         return new LeaseState(settings, fencingToken, null, null, "", false, List.of());
     }
 
-    /** Whether somebody holds the lease by the replicated state. */
+    /** Whether a member holds the lease by the replicated state. */
     public boolean isHeld() {
         return holder != null;
     }
 
-    /** Whether the lease is granted to nobody until an operator resumes it. */
+    /** Whether the lease is not granted until an operator resumes it. */
     public boolean isSuspended() {
         return suspendedReason != null;
     }
@@ -78,7 +78,10 @@
                 List.of());
     }
 
-    /** Adds a loss, or replaces what was known of it; suspends once enough holders are known to have ended. */
+    /**
+     * Adds a loss, or replaces the one under the same token. Suspends the lease once enough of the losses kept are
+     * known to be crashes or failures.
+     */
     LeaseState lost(Loss loss) {
         List<Loss> kept = new ArrayList<>(losses);
         kept.removeIf(earlier -> earlier.fencingToken() == loss.fencingToken());
@@ -88,18 +91,19 @@
             kept.remove(0);
         }
         long ended = kept.stream().filter(Loss::processEnded).count();
+        // Stored in the state: replicas of different versions must compute the same text.
         String reason = suspendedReason == null && ended >= settings.maxConsecutiveLosses()
                 ? "it brought down " + ended + " holders one after another" : suspendedReason;
         return new LeaseState(settings, fencingToken, holder, reason, preferredMember, placedByOperator,
                 List.copyOf(kept));
     }
 
-    /** The loss under that token, or null where none is kept. */
+    /** The loss under that token, or null if none is kept. */
     Loss lossUnder(long token) {
         return losses.stream().filter(loss -> loss.fencingToken() == token).findFirst().orElse(null);
     }
 
-    /** The holder that lost the lease last, or null where no loss is kept. */
+    /** The holder of the latest loss, or null if no loss is kept. */
     MemberIdentity lastLostHolder() {
         return losses.isEmpty() ? null : losses.get(losses.size() - 1).holder();
     }
