--- a/src/main/java/topazladder/lease/LeaseStateMachine.java
+++ b/src/main/java/topazladder/lease/LeaseStateMachine.java
@@ -25,21 +25,21 @@
 import topazladder.lease.LeaseState.Loss;
 
 /**
- * The replicated state of the leases: the same commands in the same order give the same state at every voter.
+ * The replicated state of the leases: the same commands in the same order produce the same state at every voter.
  *
- * <p>Invariants: the fencing token of a lease never falls; a token is granted once; a lease that is held is granted to
- * nobody else. A command that does not fit the state (a token that is no longer current, a lease that is held) is
- * rejected and changes nothing.
+ * <p>Invariants: the fencing token of a lease never decreases; a token is granted once; a lease that is held is not
+ * granted to another member. A command that does not match the state, for example by an outdated token, is rejected and
+ * changes nothing.
  */
 public class LeaseStateMachine {
     private final Map<String, LeaseState> leases = new TreeMap<>();
     private long tokenFloor;
 
     /**
-     * What became of a command.
+     * The result of a command.
      *
-     * @param fencingToken the last one granted for the lease, or the floor for commands about no single lease
-     * @param rejection why the command changed nothing, or null where it was applied
+     * @param fencingToken the last token granted for the lease, or the token floor for other commands
+     * @param rejection why the command was rejected, or null if it was applied
      */
     public record Outcome(long fencingToken, String rejection) {
 
@@ -53,11 +53,11 @@
         }
     }
 
-    /** All of the state, to restore another replica from. */
+    /** The complete state, from which another replica can be restored. */
     public record Snapshot(long tokenFloor, List<LeaseState> leases) {
     }
 
-    /** Applies one command of the log. */
+    /** Applies one committed command. */
     public Outcome apply(LeaseCommand command) {
         if (command instanceof OnLease onLease) {
             return applyToLease(onLease);
@@ -68,7 +68,7 @@
         } else if (command instanceof BeginLeadership) {
             return Outcome.applied(tokenFloor);
         }
-        throw new IllegalArgumentException("no command about leases: " + command);
+        throw new IllegalArgumentException("unsupported lease command: " + command);
     }
 
     private Outcome define(Collection<LeaseSettings> defined) {
@@ -87,7 +87,7 @@
         return Outcome.applied(tokenFloor);
     }
 
-    /** Should the lease be defined again, its tokens must go on above all that were ever granted. */
+    /** Removes a lease, and raises the floor so that its tokens keep increasing if it is defined again. */
     private void remove(LeaseState state) {
         tokenFloor = Math.max(tokenFloor, state.fencingToken());
         leases.remove(state.settings().name());
@@ -95,7 +95,8 @@
 
     private Outcome raiseTokenFloor(long newFloor) {
         if (newFloor <= tokenFloor) {
-            return new Outcome(tokenFloor, "tokens are above that");
+            return new Outcome(tokenFloor,
+                    "token floor must increase: requested=" + newFloor + " current=" + tokenFloor);
         }
         tokenFloor = newFloor;
         leases.replaceAll((name, state) -> LeaseState.neverGranted(state.settings(),
@@ -117,27 +118,31 @@
         return Outcome.applied(next.fencingToken());
     }
 
-    /** Why a command does not fit the state, or null where it does. */
+    /** Why a command does not match the state, or null if it does. */
     protected String rejection(LeaseState state, OnLease command) {
         if (command instanceof Grant grant) {
             return rejection(state, grant);
         } else if (command instanceof HolderCrashed crashed) {
             Loss loss = state.lossUnder(crashed.fencingToken());
-            return loss != null && !loss.processEnded() ? null : "no such loss";
+            return loss != null && !loss.processEnded() ? null
+                    : "no unconfirmed loss: lease=" + crashed.leaseName() + " token=" + crashed.fencingToken();
         } else if (command instanceof OnGrant onGrant) {
             return state.isHeld() && state.fencingToken() == onGrant.fencingToken() ? null
-                    : "the token is not the one that holds";
+                    : "token is not the current holder's: lease=" + onGrant.leaseName() + " token="
+                            + onGrant.fencingToken() + " current=" + state.fencingToken() + " held=" + state.isHeld();
         }
         return null;
     }
 
     private static String rejection(LeaseState state, Grant grant) {
         if (state.isHeld()) {
-            return "it is held by " + state.holder();
+            return "lease is held: lease=" + grant.leaseName() + " holder=" + state.holder();
         } else if (state.isSuspended()) {
-            return "it is halted: " + state.suspendedReason();
+            return "lease is suspended: lease=" + grant.leaseName() + " reason=" + state.suspendedReason();
         }
-        return state.fencingToken() == grant.previousToken() ? null : "it was granted since";
+        return state.fencingToken() == grant.previousToken() ? null
+                : "lease was granted since: lease=" + grant.leaseName() + " expected-token=" + grant.previousToken()
+                        + " current=" + state.fencingToken();
     }
 
     private LeaseState changed(LeaseState state, OnLease command) {
@@ -152,7 +157,7 @@
         } else if (command instanceof Transfer transfer) {
             return state.transferTo(transfer.memberName());
         }
-        throw new IllegalArgumentException("no command about one lease: " + command);
+        throw new IllegalArgumentException("unsupported command about one lease: " + command);
     }
 
     private static LeaseState changed(LeaseState state, OnGrant command) {
@@ -168,30 +173,30 @@
         } else if (command instanceof HolderSettled) {
             return state.settled();
         }
-        throw new IllegalArgumentException("no command about a granted lease: " + command);
+        throw new IllegalArgumentException("unsupported command about a granted lease: " + command);
     }
 
-    /** The token of the next grant: above all that were granted, and above the floor. */
+    /** The token of the next grant: above every token granted for the lease, and above the floor. */
     protected long nextToken(LeaseState state) {
         return Math.max(state.fencingToken(), tokenFloor) + 1;
     }
 
-    /** The lease of that name, or null where none is defined. */
+    /** The lease of that name, or null if it is not defined. */
     public LeaseState get(String leaseName) {
         return leases.get(leaseName);
     }
 
-    /** All leases, by name. */
+    /** All leases, ordered by name. */
     public Collection<LeaseState> leases() {
         return Collections.unmodifiableCollection(leases.values());
     }
 
-    /** All of the state. */
+    /** Returns the complete state. */
     public Snapshot snapshot() {
         return new Snapshot(tokenFloor, List.copyOf(leases.values()));
     }
 
-    /** Replaces all of the state. */
+    /** Replaces the complete state. */
     public void restore(Snapshot snapshot) {
         tokenFloor = snapshot.tokenFloor();
         leases.clear();
--- a/src/test/java/topazladder/lease/LeaseStateMachineTest.java
+++ b/src/test/java/topazladder/lease/LeaseStateMachineTest.java
@@ -115,7 +115,7 @@
         }
         assertThat(stateMachine.get("probe").suspendedReason()).contains("brought down 3 holders");
         assertThat(stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 2), 3)).rejection())
-                .contains("halted");
+                .contains("suspended", "brought down 3 holders");
         stateMachine.apply(new LeaseCommand.Resume("probe"));
         assertThat(stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 2), 3)).isApplied())
                 .isTrue();
