--- a/src/main/java/topazladder/lease/LeasedTask.java
+++ b/src/main/java/topazladder/lease/LeasedTask.java
@@ -5,27 +5,27 @@
 import java.util.function.Supplier;
 
 /**
- * Work that a member does while it holds a lease. All calls come on the one thread that owns the holder's state; a task
- * that needs to wait does so elsewhere, and looks at its permission again after each wait.
+ * A task that a member runs while it holds a lease. All calls come on the one thread that owns the holder's state; a
+ * task that has to wait does so on another thread, and checks its permission again after each wait.
  */
 public interface LeasedTask {
 
     /**
-     * Begins the work under a new token, never before the work under the last one is stopped.
+     * Starts the task under a new token. It is never called before the task has stopped under the previous one.
      *
-     * @param fencingToken under which the lease was granted
-     * @param permission to be asked just before each effect: the token to hand along with the effect while it may be
-     * made, empty once it may not
-     * @param onFailure to be called with the reason where the work can't go on; nothing is done under the token after
-     * that
+     * @param fencingToken the token under which the lease was granted
+     * @param permission to be called just before each effect; returns the token to send along with the effect, or empty
+     * once effects are no longer allowed
+     * @param onFailure to be called with the reason if the task can't continue; it must have no effect under the token
+     * after that
      */
     void start(long fencingToken, Supplier<OptionalLong> permission, Consumer<String> onFailure);
 
     /**
-     * Ends the work.
+     * Stops the task.
      *
-     * @param withinSeconds after which no effect is allowed any more, whether the work has ended or not
-     * @param onStopped to be called once nothing is done under the token any more
+     * @param withinSeconds time after which no effect is allowed any more, whether or not the task has stopped
+     * @param onStopped to be called once the task has no further effect under the token
      */
     void stop(double withinSeconds, Runnable onStopped);
 }
--- a/src/main/java/topazladder/lease/MemberIdentity.java
+++ b/src/main/java/topazladder/lease/MemberIdentity.java
@@ -1,10 +1,10 @@
 package topazladder.lease;
 
 /**
- * One process that may hold leases.
+ * Identifies one process that may hold leases.
  *
- * @param name the same through restarts
- * @param incarnation differs between the processes that bear the name, and grows from one to the next
+ * @param name the member's name, which stays the same across restarts
+ * @param incarnation tells the processes with this name apart; each has a higher one than its predecessor
  */
 public record MemberIdentity(String name, long incarnation) implements Comparable<MemberIdentity> {
     private static final int PRINTED_RADIX = 36;
