--- a/src/main/java/topazladder/lease/PendingRequests.java
+++ b/src/main/java/topazladder/lease/PendingRequests.java
@@ -8,14 +8,15 @@
 /**
  * Members' requests that wait until a majority has confirmed that this voter still leads.
  *
- * <p>Confirmations come in rounds, one at a time. A request is answered by a round that began after the request came,
- * so a round that is under way does not count for it. All requests that came before a round share its one confirmation.
+ * <p>Confirmation rounds run one at a time. A request is answered only by a round that began after the request arrived,
+ * as an earlier round does not show that this voter led at that time. All requests that wait when a round begins share
+ * its confirmation.
  */
 final class PendingRequests {
-    /** Requests that wait at most; a member that comes beyond is not answered, and polls again by itself. */
+    /** Most requests that wait at a time. A request beyond that is dropped; its member polls again after a timeout. */
     private static final int MAX_PENDING = 4096;
 
-    /** @param round the first that confirms it */
+    /** @param round the first round that may confirm the request */
     private record PendingRequest(LeaseRequest request, long round) {
     }
 
@@ -23,25 +24,25 @@
     private long round;
     private boolean roundUnderWay;
 
-    /** Forgets all requests, and the round that may be under way. */
+    /** Drops all requests, and the round that may be in progress. */
     void reset() {
         roundUnderWay = false;
         pending.clear();
     }
 
-    /** Forgets all requests; a round that is under way goes on. */
+    /** Drops all requests; a round in progress continues. */
     void clear() {
         pending.clear();
     }
 
-    /** Adds a request in place of an earlier one of the same member. */
+    /** Adds a request, which replaces an earlier one of the same member. */
     void add(LeaseRequest request) {
         if (pending.size() < MAX_PENDING || pending.containsKey(request.member())) {
             pending.put(request.member(), new PendingRequest(request, round + 1));
         }
     }
 
-    /** Begins the next round where requests wait and none is under way. */
+    /** Begins the next round if requests wait and no round is in progress; returns whether it did. */
     boolean beginRound() {
         if (roundUnderWay || pending.isEmpty()) {
             return false;
@@ -51,12 +52,12 @@
         return true;
     }
 
-    /** The latest round that was begun. */
+    /** Number of the latest round that has begun. */
     long round() {
         return round;
     }
 
-    /** Ends the round that is under way, and takes out what it confirms, in the order in which it came. */
+    /** Ends the round in progress, and removes and returns the requests that it confirms, in order of arrival. */
     List<LeaseRequest> takeConfirmed() {
         roundUnderWay = false;
         List<LeaseRequest> confirmed = new ArrayList<>();
@@ -69,7 +70,7 @@
         return confirmed;
     }
 
-    /** Ends the round that is under way without an answer to those that waited for it. */
+    /** Ends the round in progress without confirmation, and drops the requests that waited for it. */
     void dropUnconfirmed() {
         roundUnderWay = false;
         pending.values().removeIf(waiting -> waiting.round() <= round);
--- a/src/main/java/topazladder/lease/PollSchedule.java
+++ b/src/main/java/topazladder/lease/PollSchedule.java
@@ -4,30 +4,31 @@
 import java.util.OptionalDouble;
 
 /**
- * When a member polls the leader, and what it knows of the polls that are not answered yet.
+ * Determines when a member polls the leader, and tracks the polls that are not answered yet.
  *
- * <p>With a response at hand, the next poll is due after the interval that the leader asked for, or a quarter of the
- * shortest lease held where that is less. Without one, it goes to another voter after an eighth of the shortest lease;
- * where there is something to report or to hold on to, after a second at most. One that was asked for is due at once.
+ * <p>If the last poll was answered, the next one is due after the interval that the leader requested, or after a
+ * quarter of the shortest lease duration held if that is less. If it was not answered, the next one goes to another
+ * voter after the same interval, or after an eighth of the shortest lease duration if that is less; with leases to
+ * renew or report, after one second at most. A poll that was requested explicitly is due at once.
  */
 final class PollSchedule {
-    /** Part of the shortest lease after which it is renewed. */
+    /** Fraction of the shortest lease duration after which leases are renewed. */
     private static final double RENEW_AFTER = 0.25;
-    /** Part of the shortest lease after which a poll without a response is repeated. */
+    /** Fraction of the shortest lease duration after which an unanswered poll is repeated. */
     private static final double RETRY_AFTER = 0.125;
-    /** Polls whose time is remembered; responses to older ones are ignored. */
+    /** Number of unanswered polls that are tracked; responses to older ones are ignored. */
     private static final int MAX_IN_FLIGHT = 16;
-    /** Before a leader has asked for an interval, and at most where something is to be reported. */
+    /** Interval until a leader requests another; also the longest retry interval with leases to renew or report. */
     private static final double INITIAL_INTERVAL_SECONDS = 1;
 
-    private final LinkedHashMap<Long, Double> sentAt = new LinkedHashMap<>(); // by sequence, those not answered
+    private final LinkedHashMap<Long, Double> sentAt = new LinkedHashMap<>(); // unanswered polls, by sequence number
     private long sequence;
     private double lastSentAt = Double.NEGATIVE_INFINITY;
     private double lastAnsweredSentAt = Double.NEGATIVE_INFINITY;
     private double intervalSeconds = INITIAL_INTERVAL_SECONDS;
     private boolean atOnce = true;
 
-    /** The next poll is due at once. */
+    /** Makes the next poll due immediately. */
     void pollAtOnce() {
         atOnce = true;
     }
@@ -37,17 +38,17 @@
         return atOnce && lastSentAt < now || now - lastSentAt >= waitSeconds(leases);
     }
 
-    /** When the next poll is due, unless one is asked for before. */
+    /** When the next poll is due, unless an immediate one is requested before. */
     double nextPollAt(HeldLeases leases) {
         return lastSentAt + waitSeconds(leases);
     }
 
-    /** Whether the next poll should go to another voter, as the last one got no response in time. */
+    /** Whether the next poll should go to another voter, as the last one was not answered in time. */
     boolean shouldTryOtherVoter() {
         return isUnanswered() && !atOnce;
     }
 
-    /** A poll is sent now; returns its sequence number. */
+    /** Records that a poll is sent now; returns its sequence number. */
     long sent(double now) {
         atOnce = false;
         lastSentAt = now;
@@ -59,7 +60,7 @@
         return sequence;
     }
 
-    /** When the poll was sent that is answered now; empty for one that is unknown, or was answered before. */
+    /** Records a response; returns when its poll was sent, or empty if that poll is unknown or was answered before. */
     OptionalDouble answered(LeaseResponse response) {
         Double sent = sentAt.remove(response.sequence());
         if (sent == null) {
@@ -84,8 +85,8 @@
         return Math.min(retryAfter, shortest * RETRY_AFTER);
     }
 
-    /** For operators. */
+    /** Number of polls sent, and of the latest {@value #MAX_IN_FLIGHT} that are unanswered. */
     String describe() {
-        return sequence + " asks, " + sentAt.size() + " open";
+        return "polls=" + sequence + " unanswered=" + sentAt.size();
     }
 }
