--- a/src/main/java/topazladder/replication/ClusterReplica.java
+++ b/src/main/java/topazladder/replication/ClusterReplica.java
@@ -16,11 +16,12 @@
 import topazladder.service.Scheduler;
 
 /**
- * One voter's replica with the domains of the cluster registered. A new domain is registered here, and nowhere else.
+ * One voter's replica of the consensus group, with the state machines and leader services of every domain registered. A
+ * new domain is registered here, and nowhere else.
  */
 public final class ClusterReplica {
 
-    /** Where what is decided goes to; all of it may be lost but the failure. */
+    /** Receives the messages that the replica sends, any of which may be lost, and the report of its failure. */
     public interface Environment
             extends
                 ConsensusReplica.Environment,
@@ -28,24 +29,24 @@
                 DisruptionReplication.Messages {}
 
     /**
-     * What an installation sets for its group.
+     * The configuration of the consensus group.
      *
-     * @param voters names of those that should vote; 3, 5 or 7
-     * @param heartbeatSeconds between the leader's heartbeats
-     * @param leases there are
-     * @param budgets of what may be disrupted at once
+     * @param voters names of the members that should vote; 3, 5 or 7
+     * @param heartbeatSeconds interval of the leader's heartbeats
+     * @param leases the leases to define
+     * @param budgets limits on how much may be disrupted at a time
      */
     public record Settings(Collection<String> voters, double heartbeatSeconds, List<LeaseSettings> leases,
             List<DisruptionBudget> budgets) {
     }
 
     /**
-     * The domains' own objects, which outlive a replica that failed.
+     * The domains' objects, which are reused when a failed replica is replaced.
      *
-     * @param state that is agreed on
+     * @param state the replicated state
      * @param leaseManager decides on leases at the leader
      * @param disruptionController decides on disruptions at the leader
-     * @param verdicts decide on ejections at the leader
+     * @param verdicts decides on ejections at the leader
      */
     public record Domains(ClusterState state, LeaseManager leaseManager, DisruptionController disruptionController,
             Verdicts verdicts) {
@@ -57,7 +58,7 @@
     private final DisruptionReplication disruptions;
     private final RolloutReplication rollouts;
 
-    /** Makes a replica of what the store has; it does nothing before {@link #start}. */
+    /** Creates a replica from the contents of the store. It is inactive until {@link #start}. */
     public ClusterReplica(VoterStore store, Settings settings, Scheduler timers, DoubleSupplier clock,
             RandomGenerator random, Environment environment, Domains domains) {
         state = domains.state();
@@ -70,39 +71,40 @@
                 leaseManager::setFastPolling, environment);
         rollouts = new RolloutReplication(consensus, state, disruptions, schemas);
         consensus.register(leases);
-        // Ahead of disruptions: what is withdrawn by it is not granted in the same moment.
+        // Registered before disruptions, as services run in this order: what an ejection command withdraws must not be
+        // granted in the same tick.
         consensus.register(new EjectionReplication(consensus, domains.verdicts(), schemas));
         consensus.register(disruptions);
     }
 
-    /** Begins to take part in elections and in the log. */
+    /** Starts to take part in elections and in log replication. */
     public void start() {
         consensus.start();
     }
 
-    /** Ends the replica in order; the store may be closed once the callback is run. */
+    /** Shuts the replica down; the store may be closed once the callback has run. */
     public void close(Runnable done) {
         consensus.close(done);
     }
 
-    /** Takes a message of another voter. */
+    /** Handles a message from another voter. */
     public void handle(RaftMessage message) {
         consensus.handle(message);
     }
 
-    /** The settings were read anew; the heartbeat stays as it was. */
+    /** Applies reloaded settings, except for the heartbeat interval, which stays. */
     public void replaceSettings(Settings next) {
         leases.replaceSettings(next.leases());
         disruptions.replaceBudgets(next.budgets());
         consensus.settingsChanged(next.voters());
     }
 
-    /** Somebody whose folder was empty asks to be added as a voter. */
+    /** Handles the request of a member whose folder was empty to be added as a voter. */
     public void joinRequested(VoterEndpoint endpoint) {
         consensus.joinRequested(endpoint);
     }
 
-    /** What is agreed on, as applied here. */
+    /** The replicated state, as of the commands applied here. */
     public ClusterState state() {
         return state;
     }
@@ -119,22 +121,22 @@
         return rollouts;
     }
 
-    /** Whether this voter leads, and knows all that leaders before it have committed. */
+    /** Whether this voter leads and has applied every command that earlier leaders committed. */
     public boolean leading() {
         return consensus.isLeader();
     }
 
-    /** Who leads as far as is known here; null while nobody does. */
+    /** The leader as far as this voter knows; null while none is known. */
     public VoterEndpoint leader() {
         return consensus.leader();
     }
 
-    /** This voter's identity. */
+    /** The identity of this voter. */
     public VoterEndpoint here() {
         return consensus.here();
     }
 
-    /** The committed configuration: who votes, ordered by identity. */
+    /** The voters of the committed configuration, ordered by identity. */
     public Collection<VoterEndpoint> voting() {
         return consensus.voting();
     }
@@ -143,7 +145,7 @@
         return consensus.term();
     }
 
-    /** Entries of the log that are committed; 0 before the library has reported. */
+    /** Index of the last committed log entry; 0 until the consensus library has reported one. */
     public long commitIndex() {
         return consensus.commitIndex();
     }
--- a/src/main/java/topazladder/replication/ClusterState.java
+++ b/src/main/java/topazladder/replication/ClusterState.java
@@ -12,12 +12,12 @@
 import topazladder.release.ReleaseOp;
 
 /**
- * All that the voters agree on, as of the commands that are applied here: who holds which lease, who is disrupted, and
- * how far a rollout is.
+ * The replicated state of all domains, as of the commands applied here: which member holds which lease, what is
+ * disrupted, and how far a rollout has progressed.
  */
 public record ClusterState(LeaseStateMachine leases, DisruptionStateMachine disruptions, ReleaseLedger rollouts) {
 
-    /** Nothing agreed on yet. */
+    /** Creates an empty state. */
     public ClusterState() {
         this(new LeaseStateMachine(), new DisruptionStateMachine());
     }
@@ -26,7 +26,7 @@
         this(leases, disruptions, new ReleaseLedger(leases, disruptions));
     }
 
-    /** The state machines, to be registered with a replica. */
+    /** The state machines of all domains, to be registered with a replica. */
     public StateMachineRegistry stateMachines() {
         return new StateMachineRegistry(List.of(
                 new ReplicatedStateMachine<>(ReleaseOp.class, Release.class, rollouts::apply, rollouts::release,
