--- a/src/main/java/topazladder/replication/DisruptionReplication.java
+++ b/src/main/java/topazladder/replication/DisruptionReplication.java
@@ -19,18 +19,21 @@
 import topazladder.lease.MemberIdentity;
 import topazladder.release.Release;
 
-/** Disruptions at the leader: proposes what the {@link DisruptionController} decides, and lets members know. */
+/**
+ * Disruptions at the leader: proposes the commands that the {@link DisruptionController} decides on, and tells members
+ * that they may shut down.
+ */
 public final class DisruptionReplication implements LeaderService {
-    /** Heartbeats for which a new leader observes the members before it grants a disruption. */
+    /** Number of heartbeats for which a new leader observes the members before it grants a disruption. */
     private static final double OBSERVATION_HEARTBEATS = 20;
 
-    /** Messages to members; they may be lost. */
+    /** Sends messages to members; any of them may be lost. */
     public interface Messages {
 
-        /** The member may shut down under that token, and says so before it does. */
+        /** Tells a member that it may shut down under that token. It requests the shutdown before it does so. */
         void mayGo(String member, long token);
 
-        /** The member shuts down now, and comes back as that version; empty for as it is. */
+        /** Tells a member to shut down now and to restart in that version; empty to keep its version. */
         void go(String member, long token, String version);
     }
 
@@ -43,7 +46,7 @@
     private List<DisruptionBudget> budgets;
     private Map<DisruptionTarget, Observation> seen = Map.of();
 
-    /** With the names of the members on their way back handed on at each tick. */
+    /** @param returningMembers receives, at each tick, the names of the members that are returning to service */
     DisruptionReplication(ReplicatedLog log, ClusterState state, DisruptionController controller,
             ClusterReplica.Settings settings, Consumer<Set<String>> returningMembers, Messages messages) {
         this.log = log;
@@ -55,12 +58,12 @@
         this.messages = messages;
     }
 
-    /** What the leader makes of the members, for operators. */
+    /** The controller that decides on disruptions. */
     public DisruptionController controller() {
         return controller;
     }
 
-    /** How the instances look from here; of use only while this voter leads. */
+    /** Records how this voter observes the instances; used only while it leads. */
     public void membersObserved(Map<DisruptionTarget, Observation> looks) {
         seen = Map.copyOf(looks);
         controller.membersObserved(log.now(), seen);
@@ -70,18 +73,18 @@
         return seen;
     }
 
-    /** What a member did of late, and which schema it reads. */
+    /** Records a member's recent load, and the schema version that it reads. */
     public void loadReported(MemberIdentity from, int schema, LoadReport load, boolean steady) {
         controller.loadReported(log.now(), instance(from.name()), from.incarnation(), schema, load, steady);
     }
 
-    /** The instance of that name, with its zone where it was seen. */
+    /** The instance of that name, with its zone if it has been observed. */
     public DisruptionTarget instance(String name) {
         DisruptionTarget unplaced = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
         return seen.keySet().stream().filter(unplaced::equals).findFirst().orElse(unplaced);
     }
 
-    /** A member that may shut down would do so now: once that is committed it is told to. */
+    /** Handles a member's request to shut down under its grant. It is told to do so once that is committed. */
     public void shutdownRequested(MemberIdentity from, long token) {
         if (!log.isLeader()) {
             return;
@@ -96,7 +99,9 @@
         });
     }
 
-    /** A member was told to shut down by somebody else, and does so whatever is agreed on here. */
+    /**
+     * Records that a member shuts down by order of something other than this group, whose agreement it does not need.
+     */
     public void leaving(MemberIdentity from, String by) {
         Disruption disruption = state.disruptions().get(instance(from.name()));
         boolean known = disruption != null && disruption.phase() == Disruption.Phase.GONE
@@ -106,7 +111,7 @@
         }
     }
 
-    /** Proposes an operator's or a member's command; tells its outcome, or that nobody knows it. */
+    /** Proposes an operator's or a member's command, and reports its outcome, or that the outcome is unknown. */
     public void propose(DisruptionCommand command, Consumer<Outcome> then) {
         if (!log.isLeader()) {
             then.accept(new Outcome(0, ProposalFailures.NOT_LEADER));
@@ -144,7 +149,7 @@
         tellWhoMayGo();
     }
 
-    /** Repeated until they have gone, as the message may be lost, and so may the answer. */
+    /** Sent at every tick until the member has shut down, as this message or the member's request may be lost. */
     private void tellWhoMayGo() {
         for (Disruption disruption : state.disruptions().disruptions()) {
             boolean mayGo = disruption.phase() == Disruption.Phase.GRANTED || isGoneAndStillThere(disruption);
@@ -155,8 +160,8 @@
     }
 
     /**
-     * Whether a member has said that it goes and is still there: the leader that committed it may have ended before it
-     * told the member so. Not while the rollout that it would go for is halted.
+     * Whether a member's shutdown is committed but the member still runs, as the leader that committed it may have
+     * failed before it told the member. False while the rollout that it shuts down for is halted.
      */
     private boolean isGoneAndStillThere(Disruption disruption) {
         Observation look = seen.get(disruption.target());
--- a/src/main/java/topazladder/replication/EjectionReplication.java
+++ b/src/main/java/topazladder/replication/EjectionReplication.java
@@ -5,10 +5,11 @@
 import topazladder.consensus.ReplicatedLog;
 
 /**
- * Ejection of servers of the dependency at the leader: proposes what {@link Verdicts} makes of all members' reports.
+ * Ejection of dependency endpoints at the leader: proposes the commands that {@link Verdicts} decides on from the call
+ * outcomes that members report.
  */
 final class EjectionReplication implements LeaderService {
-    /** The schema from which on a voter can read commands about servers of the dependency. */
+    /** The first schema version in which a voter can read commands about dependency endpoints. */
     private static final int EJECTION_SCHEMA = 3;
 
     private final ReplicatedLog log;
