--- a/src/main/java/topazladder/replication/LeaseReplication.java
+++ b/src/main/java/topazladder/replication/LeaseReplication.java
@@ -14,17 +14,17 @@
 import topazladder.lease.LeaseStateMachine.Outcome;
 import topazladder.lease.MemberIdentity;
 
-/** Leases at the leader: carries out the steps that the {@link LeaseManager} decides on. */
+/** Leases at the leader: carries out the steps that the {@link LeaseManager} returns. */
 public final class LeaseReplication implements LeaderService {
-    /** Bits for the fencing tokens of one generation of the group; more than are ever granted. */
+    /** Bits of a fencing token below the group generation; 2^40 tokens are more than one generation ever grants. */
     private static final int GENERATION_TOKEN_BITS = 40;
 
-    /** Messages to members; they may be lost. */
+    /** Sends messages to members; any of them may be lost. */
     public interface Messages {
 
         void reply(MemberIdentity to, LeaseResponse response);
 
-        /** Has the member ask at once. */
+        /** Tells a member to poll immediately. */
         void wakeUp(MemberIdentity to);
     }
 
@@ -40,12 +40,12 @@
         this.settings = settings;
     }
 
-    /** A member's request; answered by {@link Messages#reply} if this voter leads and a majority confirms it. */
+    /** Handles a member's request, answered by {@link Messages#reply} once a majority confirms that this voter leads. */
     public void handleRequest(LeaseRequest request) {
         carryOut(manager.handleRequest(log.now(), request));
     }
 
-    /** Proposes an operator's command; tells its outcome, or that nobody knows it. */
+    /** Proposes an operator's command, and reports its outcome, or that the outcome is unknown. */
     public void propose(LeaseCommand command, Consumer<Outcome> then) {
         if (!log.isLeader()) {
             then.accept(new Outcome(0, ProposalFailures.NOT_LEADER));
@@ -64,7 +64,7 @@
         List<LeaseCommand> commands = new ArrayList<>();
         commands.add(new LeaseCommand.Define(settings));
         if (groupGeneration > 0) {
-            // Nobody knows how many tokens the generation before has granted; so far above them, it never came.
+            // How many tokens earlier generations granted is unknown; this floor is above any that they can have reached.
             commands.add(new LeaseCommand.RaiseTokenFloor(groupGeneration << GENERATION_TOKEN_BITS));
         }
         return commands;
--- a/src/main/java/topazladder/replication/LeaseTermStart.java
+++ b/src/main/java/topazladder/replication/LeaseTermStart.java
@@ -4,7 +4,7 @@
 import topazladder.consensus.TermStart;
 import topazladder.lease.LeaseCommand;
 
-/** The start of a leader's term among the commands of leases, where the log has always had it. */
+/** Encodes the start of a leader's term as a lease command, which is its form in logs stored by earlier versions. */
 final class LeaseTermStart implements TermStart.Codec {
 
     @Override
--- a/src/main/java/topazladder/replication/ProposalFailures.java
+++ b/src/main/java/topazladder/replication/ProposalFailures.java
@@ -1,13 +1,13 @@
 package topazladder.replication;
 
-/** Why an operator's command has no outcome, in words. */
+/** Messages for operators whose command has no outcome. */
 final class ProposalFailures {
-    static final String NOT_LEADER = "this voter does not lead";
+    static final String NOT_LEADER = "this voter is not the leader and proposed nothing; repeat the command";
 
     private ProposalFailures() {}
 
-    /** The command may be committed yet. */
+    /** For a command that failed at this voter but may still be committed. */
     static String indeterminate(Throwable failure) {
-        return "nobody knows whether it was done: " + failure.getMessage();
+        return "outcome unknown, the command may still be committed: " + failure.getMessage();
     }
 }
