--- a/src/main/java/topazladder/replication/RolloutReplication.java
+++ b/src/main/java/topazladder/replication/RolloutReplication.java
@@ -13,9 +13,9 @@
 import topazladder.release.ReleaseOp;
 import topazladder.release.View;
 
-/** Rollouts at the leader: what a rollout's conductor and operators see, and what they propose. */
+/** Rollouts at the leader: the status for the rollout controller and operators, and the commands that they propose. */
 public final class RolloutReplication {
-    /** The schema from which on a voter can read that a rollout takes in one more instance. */
+    /** The first schema version in which a voter can read the command that adds an instance to a rollout. */
     private static final int ADDITIONS_SCHEMA = 4;
 
     private final ConsensusReplica replica;
@@ -31,7 +31,7 @@
         this.schemas = schemas;
     }
 
-    /** All that a conductor goes by. */
+    /** The status from which the rollout controller decides its next steps. */
     public View view() {
         DisruptionController controller = disruptions.controller();
         Map<DisruptionTarget, String> blocked = controller.blockedReasons();
@@ -44,25 +44,25 @@
                 schemas.majorityReads(ADDITIONS_SCHEMA));
     }
 
-    /** Whether this voter has led for long enough to have heard of every member. */
+    /** Whether this voter has led for long enough to have observed every member. */
     public boolean isSettled() {
         return replica.isLeader() && disruptions.controller().isSettled(replica.now());
     }
 
-    /** Proposes a conductor's commands, in its order; then it is shown what came of them. */
+    /** Proposes the rollout controller's commands in order, and reports the status once all of them are committed. */
     public void conduct(List<ReleaseOp> commands, Consumer<View> then) {
         CompletableFuture<?>[] outcomes = commands.stream().map(this::completed).filter(Objects::nonNull)
                 .map(replica::replicate).toArray(CompletableFuture[]::new);
         CompletableFuture.allOf(outcomes).whenComplete((done, failure) -> {
             if (failure != null) {
-                replica.replicationFailed(failure); // the conductor asks again, whoever leads by then
+                replica.replicationFailed(failure); // the rollout controller repeats its commands to the next leader
             } else {
                 then.accept(view());
             }
         });
     }
 
-    /** With what only the leader knows; null for one that most voters could not read. */
+    /** Adds what only the leader knows to a command; null if a majority of the voters could not read it. */
     private ReleaseOp completed(ReleaseOp command) {
         if (!(command instanceof ReleaseOp.AddPlace addition)) {
             return command;
@@ -71,7 +71,7 @@
         return schemas.majorityReads(ADDITIONS_SCHEMA) ? addition.withVotes(votes) : null;
     }
 
-    /** Proposes an operator's command; tells its outcome, or that nobody knows it. */
+    /** Proposes an operator's command, and reports its outcome, or that the outcome is unknown. */
     public void propose(ReleaseOp command, Consumer<ReleaseLedger.Outcome> then) {
         replica.<ReleaseLedger.Outcome>replicate(command).whenComplete((outcome, failure) -> then.accept(
                 failure == null ? outcome
--- a/src/main/java/topazladder/replication/VoterSchemas.java
+++ b/src/main/java/topazladder/replication/VoterSchemas.java
@@ -6,8 +6,8 @@
 import topazladder.disruption.DisruptionController;
 
 /**
- * Which commands may enter the log. A voter that can't read a command stands still until it is of a later version,
- * which must never happen to a majority of them.
+ * Decides which commands may enter the log, by the schema version that each voter reads. A voter that can't read a
+ * committed command stops applying the log until it runs a later version; a majority of the voters must never stop.
  */
 final class VoterSchemas {
     private final ReplicatedLog log;
@@ -18,7 +18,7 @@
         this.controller = controller;
     }
 
-    /** Whether a majority of the voters has said that it reads that schema. */
+    /** Whether a majority of the voters has reported that it reads this schema version. */
     boolean majorityReads(int schema) {
         Collection<VoterEndpoint> voting = log.voting();
         long readers = voting.stream().filter(voter -> controller.schemaOf(voter.name()) >= schema).count();
--- a/src/main/java/topazladder/replication/package-info.java
+++ b/src/main/java/topazladder/replication/package-info.java
@@ -1,6 +1,7 @@
 /**
- * The domains that the voters agree on, registered with the {@link topazladder.consensus.ConsensusReplica}: for each an
- * adapter that carries commands and messages between the replica and the domain's own classes, which do no I/O and know
- * nothing of consensus. One thread owns all of it.
+ * Connects the replicated domains (leases, disruptions, ejections and rollouts) to the
+ * {@link topazladder.consensus.ConsensusReplica}. Each domain has an adapter that passes commands and messages between
+ * the replica and the domain's own classes, which do no I/O and do not depend on consensus. One thread owns all objects
+ * of this package.
  */
 package topazladder.replication;
