--- a/src/main/java/topazladder/replication/LeaseReplication.java
+++ b/src/main/java/topazladder/replication/LeaseReplication.java
@@ -40,7 +40,7 @@
         this.settings = settings;
     }
 
-    /** Handles a member's request, answered by {@link Messages#reply} once a majority confirms that this voter leads. */
+    /** Handles a member's request; {@link Messages#reply} answers it once a majority confirms that this voter leads. */
     public void handleRequest(LeaseRequest request) {
         carryOut(manager.handleRequest(log.now(), request));
     }
@@ -64,7 +64,7 @@
         List<LeaseCommand> commands = new ArrayList<>();
         commands.add(new LeaseCommand.Define(settings));
         if (groupGeneration > 0) {
-            // How many tokens earlier generations granted is unknown; this floor is above any that they can have reached.
+            // How many tokens earlier generations granted is unknown; this floor is above any they can have reached.
             commands.add(new LeaseCommand.RaiseTokenFloor(groupGeneration << GENERATION_TOKEN_BITS));
         }
         return commands;
--- a/src/main/java/topazladder/replication/VoterSchemas.java
+++ b/src/main/java/topazladder/replication/VoterSchemas.java
@@ -7,7 +7,7 @@
 
 /**
  * Decides which commands may enter the log, by the schema version that each voter reads. A voter that can't read a
- * committed command stops applying the log until it runs a later version; a majority of the voters must never stop.
+ * command of the log makes no progress until it runs a later version, which must never happen to a majority of them.
  */
 final class VoterSchemas {
     private final ReplicatedLog log;
