--- a/src/test/java/topazladder/lease/LeaseHolderTest.java
+++ b/src/test/java/topazladder/lease/LeaseHolderTest.java
@@ -8,7 +8,7 @@
 import topazladder.lease.LeaseHolder.Step;
 import topazladder.lease.LeaseResponse.Grant;
 
-/** What a member starts, keeps and stops, by its own clock. */
+/** Which tasks a member starts, keeps running and stops, by its own clock. */
 class LeaseHolderTest {
     private static final double DURATION_SECONDS = 2;
 
@@ -28,7 +28,7 @@
         return new LeaseResponse(sequence, List.of(new Grant("probe", fencingToken, DURATION_SECONDS, false)), 1);
     }
 
-    /** Polls at 0 and is granted the lease by a response that arrives at 0.4. */
+    /** Polls at 0 s and is granted the lease by a response that arrives at 0.4 s. */
     private void granted(long fencingToken) {
         LeaseRequest request = sent(holder.setEligible(0, true));
         assertThat(holder.handleResponse(0.4, response(request.sequence(), fencingToken)))
@@ -84,7 +84,7 @@
         granted(1);
         LeaseRequest report = sent(holder.taskStopped(1.0, "probe", 1, "no file"));
         assertThat(report.stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, "no file"));
-        // The leader that was told is none any more: the next one still takes it for held here.
+        // The leader that got the report was replaced: its successor still renews the lease.
         LeaseRequest again = sent(holder.handleResponse(1.2, response(report.sequence(), 1)));
         assertThat(again == null ? sent(holder.tick(1.9)).stopped() : again.stopped())
                 .extracting(LeaseRequest.Stopped::fencingToken).containsExactly(1L);
@@ -100,7 +100,7 @@
         LeaseRequest request = sent(holder.wakeUp(1.2));
         assertThat(holder.handleResponse(1.3, response(request.sequence(), 1))).noneMatch(s -> s instanceof Step.Start);
         LeaseRequest next = sent(holder.wakeUp(1.5));
-        assertThat(next.stopped()).as("it reports the end again").isNotEmpty();
+        assertThat(next.stopped()).as("stopped leases reported again").isNotEmpty();
         assertThat(holder.handleResponse(1.6, response(next.sequence(), 2))).contains(new Step.Start("probe", 2));
     }
 
--- a/src/test/java/topazladder/lease/LeaseManagerTest.java
+++ b/src/test/java/topazladder/lease/LeaseManagerTest.java
@@ -11,8 +11,8 @@
 import topazladder.lease.LeaseManager.Step;
 
 /**
- * What the leader grants, renews and ends; its commands are applied as soon as they are proposed, where a test does not
- * say otherwise.
+ * Which leases the leader grants, renews and ends. Unless a test says otherwise, commands are applied as soon as they
+ * are proposed.
  */
 class LeaseManagerTest {
     private final LeaseStateMachine stateMachine = new LeaseStateMachine();
@@ -43,7 +43,7 @@
         return new LeaseRequest(from, sequence, eligible, List.of(), List.of(stopped));
     }
 
-    /** Carries out all at once: confirms, and applies what is proposed. */
+    /** Carries out steps immediately: confirms leadership, and applies proposed commands. */
     private void carryOut(double now, List<Step> steps) {
         for (Step s : steps) {
             said.add(s);
@@ -117,7 +117,7 @@
         assertThat(all).containsExactly(new Step.ConfirmLeadership(1));
         int answers = leader.leadershipConfirmed(0.2, 1).size();
         answers += leader.leadershipConfirmed(0.3, 2).size();
-        assertThat(answers).isEqualTo(500 + 1); // and the second round
+        assertThat(answers).isEqualTo(500 + 1); // plus the step that confirms the second round
     }
 
     @Test
@@ -135,12 +135,12 @@
         tick(1.1);
         List<Step> over = leader.tick(1.1 + 2 * 1.05 / 0.95 + 0.1);
         assertThat(over).contains(new Step.Propose(new LeaseCommand.Expire("duty-0", 1)));
-        // While the command is in flight, the holder polls.
+        // The holder polls while the command is in flight.
         List<Step> steps = leader.handleRequest(3.5, request(member(0), 2, true));
         long round = ((Step.ConfirmLeadership) steps.get(0)).round();
         assertThat(leader.leadershipConfirmed(3.6, round)).filteredOn(s -> s instanceof Step.Reply)
                 .extracting(s -> ((Step.Reply) s).response().grants()).containsExactly(List.of());
-        // Nobody knows whether it came through: still no renewal.
+        // The outcome of the command is unknown: the lease is still not renewed.
         leader.commandFailed(new LeaseCommand.Expire("duty-0", 1));
         long next = ((Step.ConfirmLeadership) leader.handleRequest(3.7, request(member(0), 3, true)).get(0)).round();
         assertThat(leader.leadershipConfirmed(3.8, next)).filteredOn(s -> s instanceof Step.Reply)
@@ -206,12 +206,12 @@
         long tokens = stateMachine.leases().stream().mapToLong(LeaseState::fencingToken).sum();
         rounds(20, 60, 5);
         assertThat(stateMachine.leases().stream().mapToLong(LeaseState::fencingToken).sum()).isEqualTo(tokens);
-        // A transfer to the member that holds the lease already marks it as placed too.
+        // A transfer to the current holder also marks the lease as placed by an operator, and leaves no preference.
         stateMachine.apply(new LeaseCommand.Transfer("duty-1", "n3"));
         assertThat(stateMachine.get("duty-1").preferredMember()).isEmpty();
     }
 
-    /** Every half second all members poll, and stop what they are told to. */
+    /** Runs rounds of half a second in which each member polls, and stops and reports the tasks that it is told to. */
     private void rounds(int from, int to, int members) {
         for (int round = from; round < to; round++) {
             double now = round * 0.5;
@@ -239,7 +239,7 @@
         assertThat(load).hasSize(12);
         assertThat(load.values()).allMatch(n -> n <= 1.25 * LeasePlacement.bound(300, 12));
         long moves = stateMachine.leases().stream().mapToLong(LeaseState::fencingToken).sum() - 300;
-        assertThat(moves).as("leases that moved when eight members joined four").isLessThanOrEqualTo(200);
+        assertThat(moves).as("leases moved after eight members joined four").isLessThanOrEqualTo(200);
     }
 
     @Test
--- a/src/test/java/topazladder/lease/LeaseStateMachineTest.java
+++ b/src/test/java/topazladder/lease/LeaseStateMachineTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** The invariants hold for any commands, in any order, however often. */
+/** The invariants of the lease state hold for any sequence of commands, including duplicates and outdated ones. */
 class LeaseStateMachineTest {
     private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
     private static final LeaseSettings SWEEP = new LeaseSettings("sweep", 2, 3);
@@ -57,7 +57,7 @@
             if (command instanceof LeaseCommand.Grant grant && outcome.isApplied()) {
                 assertThat(before.isHeld()).isFalse();
                 assertThat(before.suspendedReason()).isNull();
-                assertThat(granted.add(grant.leaseName() + outcome.fencingToken())).as(command + " gives a new token")
+                assertThat(granted.add(grant.leaseName() + outcome.fencingToken())).as(command + " has a new token")
                         .isTrue();
             }
             for (LeaseState state : stateMachine.leases()) {
@@ -109,7 +109,7 @@
                     stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n" + i, 1), i)).isApplied())
                             .isTrue();
             stateMachine.apply(new LeaseCommand.Expire("probe", i + 1));
-            // A holder that was only cut off was not brought down.
+            // An expiry alone, as after a network partition, does not count as a crash of the holder.
             assertThat(stateMachine.get("probe").suspendedReason()).isNull();
             stateMachine.apply(new LeaseCommand.HolderCrashed("probe", i + 1));
         }
--- a/src/test/java/topazladder/lease/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The promise that all else hangs on, between one leader and one holder whose clocks run apart: once the leader takes
- * a lease for expired, the holder is told no more that it may go on. Requests and responses arrive late, twice, or not
- * at all.
+ * Guards against two members having effects under one lease at a time, which would happen if the leader let a lease
+ * expire while its holder still takes it for valid. One leader and one holder run with clocks of different rates, and
+ * messages between them are delayed, duplicated or lost.
  */
 class LeaseTest {
     private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
@@ -21,7 +21,10 @@
     private record Delivery(double at, DoubleConsumer action) {
     }
 
-    /** One leader and one holder over a link that is cut at some moment; all times are true ones. */
+    /**
+     * One leader and one holder, whose requests are all lost from a random time on. Times are true time, from which both
+     * clocks differ.
+     */
     private static final class Scenario {
         private final SplittableRandom chance;
         private final double leaderRate;
@@ -49,12 +52,12 @@
             cutAt = chance.nextDouble(2, 9);
         }
 
-        /** Seconds from the expiry as the leader has it to the last moment the holder was told it may go on. */
+        /** Seconds from the expiry at the leader to the last time that the holder allowed effects; negative is safe. */
         double play() {
             for (double t = 0; t < 16 && Double.isNaN(expiredAt); t += STEP_SECONDS) {
                 step(t);
             }
-            assertThat(expiredAt).as("the leader ends it at last").isNotNaN();
+            assertThat(expiredAt).as("time of expiry at the leader").isNotNaN();
             for (double t = expiredAt; t < expiredAt + 4; t += STEP_SECONDS) {
                 look(t);
             }
@@ -97,7 +100,7 @@
             }
         }
 
-        /** One in ten responses is lost, and of the others one in two arrives twice. */
+        /** Loses one response in ten, and duplicates half of the others. */
         private void respond(double now, LeaseManager.Step step) {
             if (step instanceof LeaseManager.Step.Reply reply && chance.nextInt(10) > 0) {
                 for (int i = chance.nextInt(2); i >= 0; i--) {
@@ -117,7 +120,8 @@
     @Test
     void aLeaseRunsOutAtTheHolderBeforeItExpiresAtTheLeaderHoweverTheirClocksRun() {
         for (long seed = 1; seed <= 400; seed++) {
-            assertThat(new Scenario(seed, false).play()).as("seed " + seed).isLessThanOrEqualTo(0);
+            assertThat(new Scenario(seed, false).play()).as("seconds of effects after expiry, seed " + seed)
+                    .isLessThanOrEqualTo(0);
         }
     }
 
@@ -127,6 +131,6 @@
         for (long seed = 1; seed <= 400; seed++) {
             found += new Scenario(seed, true).play() > 0 ? 1 : 0;
         }
-        assertThat(found).as("seeds of 400 that show it").isGreaterThan(20);
+        assertThat(found).as("seeds out of 400 with an effect after expiry").isGreaterThan(20);
     }
 }
