--- a/src/test/java/topazladder/lease/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseTest.java
@@ -22,8 +22,8 @@
     }
 
     /**
-     * One leader and one holder, whose requests are all lost from a random time on. Times are true time, from which both
-     * clocks differ.
+     * One leader and one holder, whose requests are all lost from a random time on. Times are true time, from which the
+     * clocks of both drift.
      */
     private static final class Scenario {
         private final SplittableRandom chance;
