--- a/src/main/java/topazladder/lease/HeldLeases.java
+++ b/src/main/java/topazladder/lease/HeldLeases.java
@@ -42,7 +42,7 @@
         return fencingToken <= (last == null ? 0 : last.highestToken());
     }
 
-    /** Marks the lease as stopped: it allows no effect from now on. */
+    /** Marks the lease as stopped, and records its token so that its task is not started again under it. */
     void markStopped(double now, String leaseName, HeldLease lease, String failure) {
         lease.stopped(failure);
         EndedLease last = ended.get(leaseName);
--- a/src/main/java/topazladder/replication/DisruptionReplication.java
+++ b/src/main/java/topazladder/replication/DisruptionReplication.java
@@ -30,7 +30,7 @@
     /** Sends messages to members; any of them may be lost. */
     public interface Messages {
 
-        /** Tells a member that it may shut down under that token. It requests the shutdown before it does so. */
+        /** Tells a member that it may shut down under that token. The member asks for its {@link #go} first. */
         void mayGo(String member, long token);
 
         /** Tells a member to shut down now and to restart in that version; empty to keep its version. */
@@ -99,9 +99,7 @@
         });
     }
 
-    /**
-     * Records that a member shuts down by order of something other than this group, whose agreement it does not need.
-     */
+    /** Records that a member shuts down without a grant, as something outside the cluster has told it to. */
     public void leaving(MemberIdentity from, String by) {
         Disruption disruption = state.disruptions().get(instance(from.name()));
         boolean known = disruption != null && disruption.phase() == Disruption.Phase.GONE
--- a/src/main/java/topazladder/replication/RolloutReplication.java
+++ b/src/main/java/topazladder/replication/RolloutReplication.java
@@ -55,7 +55,8 @@
                 .map(replica::replicate).toArray(CompletableFuture[]::new);
         CompletableFuture.allOf(outcomes).whenComplete((done, failure) -> {
             if (failure != null) {
-                replica.replicationFailed(failure); // the rollout controller repeats its commands to the next leader
+                // The rollout controller repeats its commands, whichever voter leads by then.
+                replica.replicationFailed(failure);
             } else {
                 then.accept(view());
             }
