--- a/src/main/java/topazladder/lease/HeldLease.java
+++ b/src/main/java/topazladder/lease/HeldLease.java
@@ -61,15 +61,15 @@
         return Math.max(0, expiresAt - now);
     }
 
-    void renew(double until) {
-        expiresAt = Math.max(expiresAt, until);
+    void renew(double newExpiresAt) {
+        expiresAt = Math.max(expiresAt, newExpiresAt);
     }
 
-    void stopping() {
+    void markStopping() {
         phase = Phase.STOPPING;
     }
 
-    void stopped(String failureOrNull) {
+    void markStopped(String failureOrNull) {
         phase = Phase.STOPPED;
         failure = failureOrNull;
     }
--- a/src/main/java/topazladder/lease/HeldLeases.java
+++ b/src/main/java/topazladder/lease/HeldLeases.java
@@ -44,7 +44,7 @@
 
     /** Marks the lease as stopped, and records its token so that its task is not started again under it. */
     void markStopped(double now, String leaseName, HeldLease lease, String failure) {
-        lease.stopped(failure);
+        lease.markStopped(failure);
         EndedLease last = ended.get(leaseName);
         long highestToken = last == null ? lease.fencingToken() : Math.max(last.highestToken(), lease.fencingToken());
         ended.put(leaseName, new EndedLease(highestToken, now));
@@ -54,13 +54,13 @@
      * Removes stopped leases that the leader no longer lists. Only a response to a request sent after the stop counts,
      * as an earlier request did not report it.
      */
-    void forgetRecorded(LeaseResponse response, double requestedAt) {
+    void removeAcknowledged(LeaseResponse response, double requestedAt) {
         byName.entrySet().removeIf(entry -> entry.getValue().isStopped()
-                && !isNamed(response, entry.getKey(), entry.getValue().fencingToken())
+                && !isListed(response, entry.getKey(), entry.getValue().fencingToken())
                 && requestedAt >= ended.get(entry.getKey()).stoppedAt());
     }
 
-    private static boolean isNamed(LeaseResponse response, String leaseName, long fencingToken) {
+    private static boolean isListed(LeaseResponse response, String leaseName, long fencingToken) {
         return response.grants().stream()
                 .anyMatch(grant -> grant.leaseName().equals(leaseName) && grant.fencingToken() == fencingToken);
     }
--- a/src/main/java/topazladder/lease/KnownMember.java
+++ b/src/main/java/topazladder/lease/KnownMember.java
@@ -3,7 +3,7 @@
 /** One incarnation of a member, as known to the leader from its requests. Owned by {@link KnownMembers}. */
 final class KnownMember {
     private final MemberIdentity identity;
-    private double lastHeardAt;
+    private double lastRequestAt;
     private boolean eligible;
     private double ineligibleSince = Double.NaN;
 
@@ -11,8 +11,8 @@
         this.identity = identity;
     }
 
-    void heard(double now, boolean isEligible) {
-        lastHeardAt = now;
+    void recordRequest(double now, boolean isEligible) {
+        lastRequestAt = now;
         if (isEligible) {
             ineligibleSince = Double.NaN;
         } else if (eligible || Double.isNaN(ineligibleSince)) {
@@ -34,7 +34,7 @@
         return !eligible && now - ineligibleSince > seconds;
     }
 
-    double silentSeconds(double now) {
-        return now - lastHeardAt;
+    double secondsSinceLastRequest(double now) {
+        return now - lastRequestAt;
     }
 }
--- a/src/main/java/topazladder/lease/KnownMembers.java
+++ b/src/main/java/topazladder/lease/KnownMembers.java
@@ -12,7 +12,7 @@
  * new leader starts without any.
  */
 final class KnownMembers {
-    private final Map<String, KnownMember> byName = new TreeMap<>(); // bounded by forgetSilent()
+    private final Map<String, KnownMember> byName = new TreeMap<>(); // bounded by removeSilent()
 
     void clear() {
         byName.clear();
@@ -33,7 +33,7 @@
      *
      * @return whether this incarnation was unknown before
      */
-    boolean heard(double now, LeaseRequest request) {
+    boolean recordRequest(double now, LeaseRequest request) {
         MemberIdentity identity = request.member();
         KnownMember known = byName.get(identity.name());
         boolean isNew = known == null || !known.identity().equals(identity);
@@ -41,12 +41,12 @@
             known = new KnownMember(identity);
             byName.put(identity.name(), known);
         }
-        known.heard(now, request.eligible());
+        known.recordRequest(now, request.eligible());
         return isNew;
     }
 
-    void forgetSilent(double now, double longerThanSeconds) {
-        byName.values().removeIf(known -> known.silentSeconds(now) > longerThanSeconds);
+    void removeSilent(double now, double longerThanSeconds) {
+        byName.values().removeIf(known -> known.secondsSinceLastRequest(now) > longerThanSeconds);
     }
 
     /** The known incarnation of the member, or null. */
--- a/src/main/java/topazladder/lease/LeaseAssignment.java
+++ b/src/main/java/topazladder/lease/LeaseAssignment.java
@@ -32,9 +32,9 @@
             return Optional.of(members.get(lease.preferredMember()).identity());
         }
         List<MemberIdentity> eligible = members.eligibleMembers();
-        MemberIdentity lastLost = lease.lastLostHolder();
+        MemberIdentity lastLossHolder = lease.holderOfLastLoss();
         List<MemberIdentity> others = eligible.stream()
-                .filter(member -> lastLost == null || !member.name().equals(lastLost.name()))
+                .filter(member -> lastLossHolder == null || !member.name().equals(lastLossHolder.name()))
                 .toList();
         return LeasePlacement.choose(lease.settings().name(), others.isEmpty() ? eligible : others, load,
                 LeasePlacement.bound(stateMachine.leases().size(), eligible.size()));
--- a/src/main/java/topazladder/lease/LeaseBalancer.java
+++ b/src/main/java/topazladder/lease/LeaseBalancer.java
@@ -34,7 +34,7 @@
     }
 
     /** Called when the lease was released, has expired, or its holder has failed. */
-    void moved(String leaseName) {
+    void moveEnded(String leaseName) {
         moving.remove(leaseName);
     }
 
--- a/src/main/java/topazladder/lease/LeaseDeadlines.java
+++ b/src/main/java/topazladder/lease/LeaseDeadlines.java
@@ -8,37 +8,37 @@
  * leader counts every lease from the start of its own term.
  */
 final class LeaseDeadlines {
-    private final Map<String, Double> expiresAt = new HashMap<>(); // by lease name, bounded by the defined leases
-    private final Map<String, Double> heldSince = new HashMap<>(); // same keys and bound
+    private final Map<String, Double> expiryByLease = new HashMap<>(); // bounded by the defined leases
+    private final Map<String, Double> heldSinceByLease = new HashMap<>(); // same keys and bound
 
     void clear() {
-        expiresAt.clear();
-        heldSince.clear();
+        expiryByLease.clear();
+        heldSinceByLease.clear();
     }
 
     /** Starts to track a lease that is held from now on. */
-    void held(String leaseName, double now, double until) {
-        expiresAt.put(leaseName, until);
-        heldSince.put(leaseName, now);
+    void track(String leaseName, double now, double expiresAt) {
+        expiryByLease.put(leaseName, expiresAt);
+        heldSinceByLease.put(leaseName, now);
     }
 
     /** Extends the lease to that time, unless it expires later already. */
-    void extend(String leaseName, double until) {
-        expiresAt.merge(leaseName, until, Math::max);
+    void extend(String leaseName, double expiresAt) {
+        expiryByLease.merge(leaseName, expiresAt, Math::max);
     }
 
     /** When the lease has expired for certain; an unknown lease is recorded with the given default. */
-    double expiresAt(String leaseName, double ifUnknown) {
-        return expiresAt.computeIfAbsent(leaseName, name -> ifUnknown);
+    double expiresAtOrRecord(String leaseName, double defaultExpiresAt) {
+        return expiryByLease.computeIfAbsent(leaseName, name -> defaultExpiresAt);
     }
 
     /** Since when the lease has been held; {@code now} if unknown. */
     double heldSince(String leaseName, double now) {
-        return heldSince.getOrDefault(leaseName, now);
+        return heldSinceByLease.getOrDefault(leaseName, now);
     }
 
     void remove(String leaseName) {
-        expiresAt.remove(leaseName);
-        heldSince.remove(leaseName);
+        expiryByLease.remove(leaseName);
+        heldSinceByLease.remove(leaseName);
     }
 }
--- a/src/main/java/topazladder/lease/LeaseHolder.java
+++ b/src/main/java/topazladder/lease/LeaseHolder.java
@@ -76,7 +76,7 @@
     public List<Step> setEligible(double now, boolean isEligible) {
         if (eligible != isEligible) {
             eligible = isEligible;
-            polls.pollAtOnce();
+            polls.requestPoll();
         }
         return tick(now);
     }
@@ -86,7 +86,7 @@
         shuttingDown = true;
         List<Step> steps = new ArrayList<>();
         leases.forEach((leaseName, lease) -> stop(now, leaseName, lease, "instance is shutting down", steps));
-        polls.pollAtOnce();
+        polls.requestPoll();
         steps.addAll(tick(now));
         return steps;
     }
@@ -120,14 +120,14 @@
 
     private void stop(double now, String leaseName, HeldLease lease, String reason, List<Step> steps) {
         if (lease.isHolding()) {
-            lease.stopping();
+            lease.markStopping();
             steps.add(new Step.Stop(leaseName, lease.fencingToken(), lease.remainingSeconds(now), reason));
         }
     }
 
     private void markStopped(double now, String leaseName, HeldLease lease, String failure) {
         leases.markStopped(now, leaseName, lease, failure);
-        polls.pollAtOnce();
+        polls.requestPoll();
     }
 
     // ---- responses
@@ -135,15 +135,15 @@
     /** Handles a response, which may be late or a duplicate. A response to an unknown request is ignored. */
     public List<Step> handleResponse(double now, LeaseResponse response) {
         List<Step> steps = new ArrayList<>();
-        OptionalDouble requestedAt = polls.answered(response);
+        OptionalDouble requestedAt = polls.recordResponse(response);
         if (requestedAt.isEmpty()) {
             return steps;
         }
-        double countsFrom = leaseStart(requestedAt.getAsDouble(), now);
+        double leaseStartAt = leaseStart(requestedAt.getAsDouble(), now);
         for (Grant grant : response.grants()) {
-            handleGrant(now, countsFrom + grant.durationSeconds(), grant, steps);
+            handleGrant(now, leaseStartAt + grant.durationSeconds(), grant, steps);
         }
-        leases.forgetRecorded(response, requestedAt.getAsDouble());
+        leases.removeAcknowledged(response, requestedAt.getAsDouble());
         steps.addAll(tick(now));
         return steps;
     }
@@ -168,7 +168,7 @@
             // The task under the previous token still runs: starting it now would run it twice at the same time.
             stop(now, grant.leaseName(), lease, "lease was granted again under a later token", steps);
         } else {
-            begin(now, expiresAt, grant, steps);
+            startTask(now, expiresAt, grant, steps);
         }
     }
 
@@ -195,7 +195,7 @@
         markStopped(now, grant.leaseName(), lease, null);
     }
 
-    private void begin(double now, double expiresAt, Grant grant, List<Step> steps) {
+    private void startTask(double now, double expiresAt, Grant grant, List<Step> steps) {
         HeldLease lease = new HeldLease(grant.fencingToken(), grant.durationSeconds(), expiresAt);
         leases.put(grant.leaseName(), lease);
         if (now >= expiresAt || shuttingDown || grant.stopRequested()) {
@@ -209,7 +209,7 @@
 
     /** Polls immediately, for example because the leader has granted this member a lease. */
     public List<Step> wakeUp(double now) {
-        polls.pollAtOnce();
+        polls.requestPoll();
         return tick(now);
     }
 
@@ -232,7 +232,7 @@
 
     private void poll(double now, List<Step> steps) {
         boolean otherVoter = polls.shouldTryOtherVoter();
-        long sequence = polls.sent(now);
+        long sequence = polls.recordPoll(now);
         LeaseRequest request = leases.request(identity, sequence, eligible && !shuttingDown);
         steps.add(new Step.Send(request, otherVoter));
     }
--- a/src/main/java/topazladder/lease/LeaseManager.java
+++ b/src/main/java/topazladder/lease/LeaseManager.java
@@ -84,8 +84,8 @@
     private final Map<String, LeaseCommand> commandsInFlight = new HashMap<>(); // by lease name, at most one each
     private boolean leading;
     private Set<String> fastPollingMembers = Set.of();
-    private double mayGrantFrom;
-    private double earlierGroupUntil = Double.NEGATIVE_INFINITY;
+    private double grantsAllowedFrom;
+    private double earlierGroupExpiresAt = Double.NEGATIVE_INFINITY;
 
     /** @param stateMachine the replicated state; only read here, as committed commands alone change it */
     public LeaseManager(LeaseStateMachine stateMachine) {
@@ -111,11 +111,11 @@
         deadlines.clear();
         members.clear();
         balancer.reset(now);
-        mayGrantFrom = now + pollIntervalSeconds();
+        grantsAllowedFrom = now + pollIntervalSeconds();
         for (LeaseState lease : stateMachine.leases()) {
             if (lease.isHeld()) {
                 LeaseSettings settings = lease.settings();
-                deadlines.held(settings.name(), now, inheritedExpiry(now, settings));
+                deadlines.track(settings.name(), now, inheritedExpiry(now, settings));
             }
         }
     }
@@ -147,7 +147,7 @@
             return List.of();
         }
         List<Step> steps = new ArrayList<>();
-        boolean isNew = members.heard(now, request);
+        boolean isNew = members.recordRequest(now, request);
         if (isNew) {
             reportCrashes(request.member(), steps);
         }
@@ -294,14 +294,14 @@
         commandsInFlight.remove(grant.leaseName());
         if (outcome.isApplied()) {
             LeaseSettings settings = stateMachine.get(grant.leaseName()).settings();
-            deadlines.held(grant.leaseName(), now, now + safeExpirySeconds(settings));
+            deadlines.track(grant.leaseName(), now, now + safeExpirySeconds(settings));
             steps.add(new Step.WakeUp(grant.holder()));
         }
     }
 
     private void handleEndApplied(String leaseName) {
         commandsInFlight.remove(leaseName);
-        balancer.moved(leaseName);
+        balancer.moveEnded(leaseName);
         LeaseState lease = stateMachine.get(leaseName);
         if (lease == null || !lease.isHeld()) {
             deadlines.remove(leaseName);
@@ -311,7 +311,7 @@
     private void handleDefineApplied(double now) {
         commandsInFlight.clear();
         // While no lease was defined, the poll interval was based on the default duration.
-        mayGrantFrom = Math.min(mayGrantFrom, now + pollIntervalSeconds());
+        grantsAllowedFrom = Math.min(grantsAllowedFrom, now + pollIntervalSeconds());
     }
 
     /** Holds back grants, as holders of the earlier group may keep their leases until these expire. */
@@ -319,7 +319,7 @@
         commandsInFlight.clear();
         double longest = stateMachine.leases().stream().mapToDouble(lease -> safeExpirySeconds(lease.settings())).max()
                 .orElse(0);
-        earlierGroupUntil = now + longest;
+        earlierGroupExpiresAt = now + longest;
     }
 
     /**
@@ -341,7 +341,7 @@
         if (!leading) {
             return steps;
         }
-        members.forgetSilent(now, MAX_MISSED_POLLS * pollIntervalSeconds());
+        members.removeSilent(now, MAX_MISSED_POLLS * pollIntervalSeconds());
         Map<MemberIdentity, Integer> load = new HashMap<>();
         stateMachine.leases().stream().filter(LeaseState::isHeld)
                 .forEach(lease -> load.merge(lease.holder(), 1, Integer::sum));
@@ -353,7 +353,7 @@
             }
         }
         balancer.retainDefined(stateMachine);
-        if (now >= mayGrantFrom) {
+        if (now >= grantsAllowedFrom) {
             balancer.balance(now, stateMachine.leases(), members.eligibleMembers(), load, pollIntervalSeconds());
         }
         return steps;
@@ -375,7 +375,7 @@
     /** Whether the lease has expired at its holder for certain, by the leader's clock. */
     protected boolean isExpired(double now, LeaseState lease) {
         LeaseSettings settings = lease.settings();
-        return now >= deadlines.expiresAt(settings.name(), now + safeExpirySeconds(settings));
+        return now >= deadlines.expiresAtOrRecord(settings.name(), now + safeExpirySeconds(settings));
     }
 
     private boolean isSettled(double now, LeaseSettings settings) {
@@ -384,8 +384,8 @@
     }
 
     private boolean mayGrant(double now, LeaseState lease) {
-        return !lease.isSuspended() && !commandsInFlight.containsKey(lease.settings().name()) && now >= mayGrantFrom
-                && now >= earlierGroupUntil;
+        return !lease.isSuspended() && !commandsInFlight.containsKey(lease.settings().name())
+                && now >= grantsAllowedFrom && now >= earlierGroupExpiresAt;
     }
 
     private void grant(LeaseState lease, Map<MemberIdentity, Integer> load, List<Step> steps) {
--- a/src/main/java/topazladder/lease/LeaseState.java
+++ b/src/main/java/topazladder/lease/LeaseState.java
@@ -66,7 +66,7 @@
         return new LeaseState(settings, fencingToken, holder, null, preferredMember, placedByOperator, List.of());
     }
 
-    LeaseState transferTo(String memberName) {
+    LeaseState withPreferredMember(String memberName) {
         if (isHeld() && holder.name().equals(memberName)) {
             return new LeaseState(settings, fencingToken, holder, suspendedReason, "", true, losses);
         }
@@ -82,7 +82,7 @@
      * Adds a loss, or replaces the one under the same token. Suspends the lease once enough of the losses kept are
      * known to be crashes or failures.
      */
-    LeaseState lost(Loss loss) {
+    LeaseState withLoss(Loss loss) {
         List<Loss> kept = new ArrayList<>(losses);
         kept.removeIf(earlier -> earlier.fencingToken() == loss.fencingToken());
         kept.add(loss);
@@ -99,12 +99,12 @@
     }
 
     /** The loss under that token, or null if none is kept. */
-    Loss lossUnder(long token) {
+    Loss findLoss(long token) {
         return losses.stream().filter(loss -> loss.fencingToken() == token).findFirst().orElse(null);
     }
 
     /** The holder of the latest loss, or null if no loss is kept. */
-    MemberIdentity lastLostHolder() {
+    MemberIdentity holderOfLastLoss() {
         return losses.isEmpty() ? null : losses.get(losses.size() - 1).holder();
     }
 }
--- a/src/main/java/topazladder/lease/LeaseStateMachine.java
+++ b/src/main/java/topazladder/lease/LeaseStateMachine.java
@@ -113,7 +113,7 @@
         if (rejection != null) {
             return new Outcome(state.fencingToken(), rejection);
         }
-        LeaseState next = changed(state, command);
+        LeaseState next = nextState(state, command);
         leases.put(command.leaseName(), next);
         return Outcome.applied(next.fencingToken());
     }
@@ -123,7 +123,7 @@
         if (command instanceof Grant grant) {
             return rejection(state, grant);
         } else if (command instanceof HolderCrashed crashed) {
-            Loss loss = state.lossUnder(crashed.fencingToken());
+            Loss loss = state.findLoss(crashed.fencingToken());
             return loss != null && !loss.processEnded() ? null
                     : "no unconfirmed loss: lease=" + crashed.leaseName() + " token=" + crashed.fencingToken();
         } else if (command instanceof OnGrant onGrant) {
@@ -145,9 +145,9 @@
                         + " current=" + state.fencingToken();
     }
 
-    private LeaseState changed(LeaseState state, OnLease command) {
+    private LeaseState nextState(LeaseState state, OnLease command) {
         if (command instanceof OnGrant onGrant) {
-            return changed(state, onGrant);
+            return nextState(state, onGrant);
         } else if (command instanceof Grant grant) {
             return state.grantedTo(grant.holder(), nextToken(state));
         } else if (command instanceof Suspend suspend) {
@@ -155,21 +155,21 @@
         } else if (command instanceof Resume) {
             return state.resumed();
         } else if (command instanceof Transfer transfer) {
-            return state.transferTo(transfer.memberName());
+            return state.withPreferredMember(transfer.memberName());
         }
         throw new IllegalArgumentException("unsupported command about one lease: " + command);
     }
 
-    private static LeaseState changed(LeaseState state, OnGrant command) {
+    private static LeaseState nextState(LeaseState state, OnGrant command) {
         if (command instanceof Release) {
             return state.released();
         } else if (command instanceof Expire expire) {
-            return state.released().lost(new Loss(expire.fencingToken(), state.holder(), false));
+            return state.released().withLoss(new Loss(expire.fencingToken(), state.holder(), false));
         } else if (command instanceof HolderFailed failed) {
-            return state.released().lost(new Loss(failed.fencingToken(), state.holder(), true));
+            return state.released().withLoss(new Loss(failed.fencingToken(), state.holder(), true));
         } else if (command instanceof HolderCrashed crashed) {
-            MemberIdentity holder = state.lossUnder(crashed.fencingToken()).holder();
-            return state.lost(new Loss(crashed.fencingToken(), holder, true));
+            MemberIdentity holder = state.findLoss(crashed.fencingToken()).holder();
+            return state.withLoss(new Loss(crashed.fencingToken(), holder, true));
         } else if (command instanceof HolderSettled) {
             return state.settled();
         }
--- a/src/main/java/topazladder/lease/PollSchedule.java
+++ b/src/main/java/topazladder/lease/PollSchedule.java
@@ -26,16 +26,16 @@
     private double lastSentAt = Double.NEGATIVE_INFINITY;
     private double lastAnsweredSentAt = Double.NEGATIVE_INFINITY;
     private double intervalSeconds = INITIAL_INTERVAL_SECONDS;
-    private boolean atOnce = true;
+    private boolean pollRequested = true;
 
     /** Makes the next poll due immediately. */
-    void pollAtOnce() {
-        atOnce = true;
+    void requestPoll() {
+        pollRequested = true;
     }
 
     /** Whether a poll is due. */
     boolean isDue(double now, HeldLeases leases) {
-        return atOnce && lastSentAt < now || now - lastSentAt >= waitSeconds(leases);
+        return pollRequested && lastSentAt < now || now - lastSentAt >= waitSeconds(leases);
     }
 
     /** When the next poll is due, unless an immediate one is requested before. */
@@ -45,12 +45,12 @@
 
     /** Whether the next poll should go to another voter, as the last one was not answered in time. */
     boolean shouldTryOtherVoter() {
-        return isUnanswered() && !atOnce;
+        return isLastPollUnanswered() && !pollRequested;
     }
 
     /** Records that a poll is sent now; returns its sequence number. */
-    long sent(double now) {
-        atOnce = false;
+    long recordPoll(double now) {
+        pollRequested = false;
         lastSentAt = now;
         sequence++;
         sentAt.put(sequence, now);
@@ -61,7 +61,7 @@
     }
 
     /** Records a response; returns when its poll was sent, or empty if that poll is unknown or was answered before. */
-    OptionalDouble answered(LeaseResponse response) {
+    OptionalDouble recordResponse(LeaseResponse response) {
         Double sent = sentAt.remove(response.sequence());
         if (sent == null) {
             return OptionalDouble.empty();
@@ -71,16 +71,16 @@
         return OptionalDouble.of(sent);
     }
 
-    private boolean isUnanswered() {
+    private boolean isLastPollUnanswered() {
         return lastAnsweredSentAt < lastSentAt;
     }
 
     private double waitSeconds(HeldLeases leases) {
         double shortest = leases.shortestDurationSeconds();
-        if (!isUnanswered()) {
+        if (!isLastPollUnanswered()) {
             return Math.min(intervalSeconds, shortest * RENEW_AFTER);
         }
-        boolean urgent = !leases.isEmpty() || atOnce;
+        boolean urgent = !leases.isEmpty() || pollRequested;
         double retryAfter = urgent ? Math.min(intervalSeconds, INITIAL_INTERVAL_SECONDS) : intervalSeconds;
         return Math.min(retryAfter, shortest * RETRY_AFTER);
     }
--- a/src/main/java/topazladder/replication/ClusterReplica.java
+++ b/src/main/java/topazladder/replication/ClusterReplica.java
@@ -46,10 +46,10 @@
      * @param state the replicated state
      * @param leaseManager decides on leases at the leader
      * @param disruptionController decides on disruptions at the leader
-     * @param verdicts decides on ejections at the leader
+     * @param outlierDetector decides on ejections at the leader
      */
     public record Domains(ClusterState state, LeaseManager leaseManager, DisruptionController disruptionController,
-            Verdicts verdicts) {
+            Verdicts outlierDetector) {
     }
 
     private final ClusterState state;
@@ -73,7 +73,7 @@
         consensus.register(leases);
         // Registered before disruptions, as services run in this order: what an ejection command withdraws must not be
         // granted in the same tick.
-        consensus.register(new EjectionReplication(consensus, domains.verdicts(), schemas));
+        consensus.register(new EjectionReplication(consensus, domains.outlierDetector(), schemas));
         consensus.register(disruptions);
     }
 
--- a/src/main/java/topazladder/replication/DisruptionReplication.java
+++ b/src/main/java/topazladder/replication/DisruptionReplication.java
@@ -44,7 +44,7 @@
     private final Consumer<Set<String>> returningMembers;
     private final Messages messages;
     private List<DisruptionBudget> budgets;
-    private Map<DisruptionTarget, Observation> seen = Map.of();
+    private Map<DisruptionTarget, Observation> observations = Map.of();
 
     /** @param returningMembers receives, at each tick, the names of the members that are returning to service */
     DisruptionReplication(ReplicatedLog log, ClusterState state, DisruptionController controller,
@@ -64,13 +64,13 @@
     }
 
     /** Records how this voter observes the instances; used only while it leads. */
-    public void membersObserved(Map<DisruptionTarget, Observation> looks) {
-        seen = Map.copyOf(looks);
-        controller.membersObserved(log.now(), seen);
+    public void membersObserved(Map<DisruptionTarget, Observation> newObservations) {
+        observations = Map.copyOf(newObservations);
+        controller.membersObserved(log.now(), observations);
     }
 
-    Map<DisruptionTarget, Observation> membersSeen() {
-        return seen;
+    Map<DisruptionTarget, Observation> observations() {
+        return observations;
     }
 
     /** Records a member's recent load, and the schema version that it reads. */
@@ -80,8 +80,8 @@
 
     /** The instance of that name, with its zone if it has been observed. */
     public DisruptionTarget instance(String name) {
-        DisruptionTarget unplaced = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
-        return seen.keySet().stream().filter(unplaced::equals).findFirst().orElse(unplaced);
+        DisruptionTarget withoutZone = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
+        return observations.keySet().stream().filter(withoutZone::equals).findFirst().orElse(withoutZone);
     }
 
     /** Handles a member's request to shut down under its grant. It is told to do so once that is committed. */
@@ -100,12 +100,13 @@
     }
 
     /** Records that a member shuts down without a grant, as something outside the cluster has told it to. */
-    public void leaving(MemberIdentity from, String by) {
+    public void leaving(MemberIdentity from, String requestedBy) {
         Disruption disruption = state.disruptions().get(instance(from.name()));
-        boolean known = disruption != null && disruption.phase() == Disruption.Phase.GONE
+        boolean alreadyRecorded = disruption != null && disruption.phase() == Disruption.Phase.GONE
                 && disruption.incarnation() == from.incarnation();
-        if (log.isLeader() && !known) {
-            propose(new DisruptionCommand.Leaving(instance(from.name()), 0, from.incarnation(), by), outcome -> {});
+        if (log.isLeader() && !alreadyRecorded) {
+            propose(new DisruptionCommand.Leaving(instance(from.name()), 0, from.incarnation(), requestedBy),
+                    outcome -> {});
         }
     }
 
@@ -144,14 +145,14 @@
         returningMembers.accept(state.disruptions().disruptions().stream()
                 .filter(disruption -> disruption.phase() == Disruption.Phase.RETURNING)
                 .map(disruption -> disruption.target().name()).collect(Collectors.toSet()));
-        tellWhoMayGo();
+        sendShutdownGrants();
     }
 
     /** Sent at every tick until the member has shut down, as this message or the member's request may be lost. */
-    private void tellWhoMayGo() {
+    private void sendShutdownGrants() {
         for (Disruption disruption : state.disruptions().disruptions()) {
-            boolean mayGo = disruption.phase() == Disruption.Phase.GRANTED || isGoneAndStillThere(disruption);
-            if (mayGo && disruption.target().kind() == DisruptionTarget.Kind.INSTANCE) {
+            boolean awaitsShutdown = disruption.phase() == Disruption.Phase.GRANTED || isLeavingButRunning(disruption);
+            if (awaitsShutdown && disruption.target().kind() == DisruptionTarget.Kind.INSTANCE) {
                 messages.mayGo(disruption.target().name(), disruption.token());
             }
         }
@@ -161,14 +162,15 @@
      * Whether a member's shutdown is committed but the member still runs, as the leader that committed it may have
      * failed before it told the member. False while the rollout that it shuts down for is halted.
      */
-    private boolean isGoneAndStillThere(Disruption disruption) {
-        Observation look = seen.get(disruption.target());
+    private boolean isLeavingButRunning(Disruption disruption) {
+        Observation observation = observations.get(disruption.target());
         return disruption.phase() == Disruption.Phase.GONE && disruption.reason().needsGrant()
-                && look != null && look.incarnation() == disruption.incarnation() && look.health() != Health.GONE
-                && !(rolloutIsHalted() && disruption.reason() == Disruption.Reason.RELEASE);
+                && observation != null && observation.incarnation() == disruption.incarnation()
+                && observation.health() != Health.GONE
+                && !(isRolloutHalted() && disruption.reason() == Disruption.Reason.RELEASE);
     }
 
-    private boolean rolloutIsHalted() {
+    private boolean isRolloutHalted() {
         Release release = state.rollouts().release();
         return release != null && release.phase() == Release.Phase.HALTED;
     }
--- a/src/main/java/topazladder/replication/EjectionReplication.java
+++ b/src/main/java/topazladder/replication/EjectionReplication.java
@@ -13,29 +13,29 @@
     private static final int EJECTION_SCHEMA = 3;
 
     private final ReplicatedLog log;
-    private final Verdicts verdicts;
+    private final Verdicts outlierDetector;
     private final VoterSchemas schemas;
 
-    EjectionReplication(ReplicatedLog log, Verdicts verdicts, VoterSchemas schemas) {
+    EjectionReplication(ReplicatedLog log, Verdicts outlierDetector, VoterSchemas schemas) {
         this.log = log;
-        this.verdicts = verdicts;
+        this.outlierDetector = outlierDetector;
         this.schemas = schemas;
     }
 
     @Override
     public void becomeLeader(double now) {
-        verdicts.lead(now);
+        outlierDetector.lead(now);
     }
 
     @Override
     public void stepDown() {
-        verdicts.resign();
+        outlierDetector.resign();
     }
 
     @Override
     public void tick(double now) {
         if (schemas.majorityReads(EJECTION_SCHEMA)) {
-            verdicts.tick(now).forEach(command -> log.propose(command, verdicts::over));
+            outlierDetector.tick(now).forEach(command -> log.propose(command, outlierDetector::over));
         }
     }
 }
--- a/src/main/java/topazladder/replication/RolloutReplication.java
+++ b/src/main/java/topazladder/replication/RolloutReplication.java
@@ -36,10 +36,10 @@
         DisruptionController controller = disruptions.controller();
         Map<DisruptionTarget, String> blocked = controller.blockedReasons();
         List<View.Sight> members = new ArrayList<>();
-        disruptions.membersSeen().forEach((instance, look) -> members.add(new View.Sight(instance.name(),
-                instance.zone(), look.health(), look.incarnation(), state.disruptions().get(instance),
+        disruptions.observations().forEach((instance, observation) -> members.add(new View.Sight(instance.name(),
+                instance.zone(), observation.health(), observation.incarnation(), state.disruptions().get(instance),
                 blocked.get(instance),
-                controller.loadReport(instance, look.incarnation()))));
+                controller.loadReport(instance, observation.incarnation()))));
         return new View(state.rollouts().release(), List.copyOf(members), replica.here().name(),
                 schemas.majorityReads(ADDITIONS_SCHEMA));
     }
@@ -51,7 +51,7 @@
 
     /** Proposes the rollout controller's commands in order, and reports the status once all of them are committed. */
     public void conduct(List<ReleaseOp> commands, Consumer<View> then) {
-        CompletableFuture<?>[] outcomes = commands.stream().map(this::completed).filter(Objects::nonNull)
+        CompletableFuture<?>[] outcomes = commands.stream().map(this::withLeaderKnowledge).filter(Objects::nonNull)
                 .map(replica::replicate).toArray(CompletableFuture[]::new);
         CompletableFuture.allOf(outcomes).whenComplete((done, failure) -> {
             if (failure != null) {
@@ -64,7 +64,7 @@
     }
 
     /** Adds what only the leader knows to a command; null if a majority of the voters could not read it. */
-    private ReleaseOp completed(ReleaseOp command) {
+    private ReleaseOp withLeaderKnowledge(ReleaseOp command) {
         if (!(command instanceof ReleaseOp.AddPlace addition)) {
             return command;
         }
--- a/src/test/java/topazladder/lease/LeaseHolderTest.java
+++ b/src/test/java/topazladder/lease/LeaseHolderTest.java
@@ -20,8 +20,8 @@
     }
 
     private static LeaseRequest sent(List<Step> steps) {
-        return steps.stream().filter(s -> s instanceof Step.Send).map(s -> ((Step.Send) s).request()).findFirst()
-                .orElse(null);
+        return steps.stream().filter(step -> step instanceof Step.Send).map(step -> ((Step.Send) step).request())
+                .findFirst().orElse(null);
     }
 
     private static LeaseResponse response(long sequence, long fencingToken) {
@@ -43,11 +43,11 @@
     }
 
     @Test
-    void aHolderThatStalledPastItsLeaseFindsNoTokenThoughNothingToldItSo() {
+    void aHolderThatStalledPastExpiryGetsNoTokenEvenBeforeItsNextTick() {
         granted(1);
         assertThat(holder.fencingToken(500, "probe")).isEmpty();
         List<Step> steps = holder.tick(500);
-        assertThat(steps).anyMatch(s -> s instanceof Step.Stop);
+        assertThat(steps).anyMatch(step -> step instanceof Step.Stop);
         assertThat(sent(steps).stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, null));
     }
 
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aResponseThatArrivesTwiceOrToAnUnknownRequestGrantsNothing() {
+    void aDuplicateResponseOrOneToAnUnknownRequestGrantsNothing() {
         LeaseRequest request = sent(holder.setEligible(0, true));
         holder.handleResponse(0.5, response(request.sequence(), 1));
         assertThat(holder.handleResponse(1.0, response(request.sequence(), 1))).isEmpty();
@@ -72,10 +72,10 @@
     }
 
     @Test
-    void aGrantThatArrivesPastItsEndIsNotStartedAndIsReportedAsStopped() {
+    void aGrantThatArrivesAfterExpiryIsNotStartedAndIsReportedAsStopped() {
         LeaseRequest request = sent(holder.setEligible(0, true));
         List<Step> steps = holder.handleResponse(2.5, response(request.sequence(), 1));
-        assertThat(steps).noneMatch(s -> s instanceof Step.Start);
+        assertThat(steps).noneMatch(step -> step instanceof Step.Start);
         assertThat(sent(steps).stopped()).containsExactly(new LeaseRequest.Stopped("probe", 1, null));
     }
 
@@ -92,51 +92,52 @@
     }
 
     @Test
-    void workIsNeverStartedAgainUnderATokenThatHasEnded() {
+    void aTaskIsNeverStartedAgainUnderATokenThatHasEnded() {
         granted(1);
         LeaseRequest report = sent(holder.taskStopped(1.0, "probe", 1, null));
         holder.handleResponse(1.1, new LeaseResponse(report.sequence(), List.of(), 1));
         assertThat(holder.isIdle()).isTrue();
         LeaseRequest request = sent(holder.wakeUp(1.2));
-        assertThat(holder.handleResponse(1.3, response(request.sequence(), 1))).noneMatch(s -> s instanceof Step.Start);
+        assertThat(holder.handleResponse(1.3, response(request.sequence(), 1)))
+                .noneMatch(step -> step instanceof Step.Start);
         LeaseRequest next = sent(holder.wakeUp(1.5));
         assertThat(next.stopped()).as("stopped leases reported again").isNotEmpty();
         assertThat(holder.handleResponse(1.6, response(next.sequence(), 2))).contains(new Step.Start("probe", 2));
     }
 
     @Test
-    void workIsNotStartedUnderANewTokenBeforeItHasStoppedUnderTheLast() {
+    void aTaskIsNotStartedUnderANewTokenBeforeItHasStoppedUnderThePreviousOne() {
         granted(1);
         LeaseRequest request = sent(holder.wakeUp(0.9));
         List<Step> steps = holder.handleResponse(1.0, response(request.sequence(), 2));
-        assertThat(steps).noneMatch(s -> s instanceof Step.Start).anyMatch(s -> s instanceof Step.Stop);
+        assertThat(steps).noneMatch(step -> step instanceof Step.Start).anyMatch(step -> step instanceof Step.Stop);
         LeaseRequest report = sent(holder.taskStopped(1.1, "probe", 1, null));
         assertThat(holder.handleResponse(1.2, response(report.sequence(), 2))).contains(new Step.Start("probe", 2));
     }
 
     @Test
-    void workIsToldToStopBeforeItsLeaseRunsOut() {
+    void aTaskIsToldToStopBeforeItsLeaseExpires() {
         granted(1);
-        assertThat(holder.tick(1.6)).noneMatch(s -> s instanceof Step.Stop);
-        assertThat(holder.tick(1.71)).anyMatch(s -> s instanceof Step.Stop stop && stop.withinSeconds() < 0.3);
+        assertThat(holder.tick(1.6)).noneMatch(step -> step instanceof Step.Stop);
+        assertThat(holder.tick(1.71)).anyMatch(step -> step instanceof Step.Stop stop && stop.withinSeconds() < 0.3);
     }
 
     @Test
-    void aMemberThatShutsDownStopsAllAndTakesNothing() {
+    void aMemberThatShutsDownStopsItsTasksAndStartsNone() {
         granted(1);
         List<Step> steps = holder.shutDown(1.0);
-        assertThat(steps).anyMatch(s -> s instanceof Step.Stop);
+        assertThat(steps).anyMatch(step -> step instanceof Step.Stop);
         assertThat(sent(steps).eligible()).isFalse();
         LeaseRequest report = sent(holder.taskStopped(1.1, "probe", 1, null));
         List<Step> after = holder.handleResponse(1.2, new LeaseResponse(report.sequence(),
                 List.of(new Grant("other", 1, DURATION_SECONDS, false)), 1));
-        assertThat(after).noneMatch(s -> s instanceof Step.Start);
+        assertThat(after).noneMatch(step -> step instanceof Step.Start);
     }
 
     @Test
     void aRequestWithoutAResponseIsRepeatedToAnotherVoter() {
         holder.setEligible(0, true);
         List<Step> steps = holder.tick(1.1);
-        assertThat(steps).anyMatch(s -> s instanceof Step.Send send && send.otherVoter());
+        assertThat(steps).anyMatch(step -> step instanceof Step.Send send && send.otherVoter());
     }
 }
--- a/src/test/java/topazladder/lease/LeaseManagerTest.java
+++ b/src/test/java/topazladder/lease/LeaseManagerTest.java
@@ -17,7 +17,7 @@
 class LeaseManagerTest {
     private final LeaseStateMachine stateMachine = new LeaseStateMachine();
     private LeaseManager leader;
-    private final List<Step> said = new ArrayList<>();
+    private final List<Step> carriedOut = new ArrayList<>();
 
     @BeforeEach
     void setUp() {
@@ -34,8 +34,8 @@
         stateMachine.apply(new LeaseCommand.Define(all));
     }
 
-    private static MemberIdentity member(int i) {
-        return new MemberIdentity("n" + i, 1);
+    private static MemberIdentity member(int number) {
+        return new MemberIdentity("n" + number, 1);
     }
 
     private static LeaseRequest request(MemberIdentity from, long sequence, boolean eligible,
@@ -45,20 +45,20 @@
 
     /** Carries out steps immediately: confirms leadership, and applies proposed commands. */
     private void carryOut(double now, List<Step> steps) {
-        for (Step s : steps) {
-            said.add(s);
-            if (s instanceof Step.ConfirmLeadership c) {
-                carryOut(now, leader.leadershipConfirmed(now, c.round()));
-            } else if (s instanceof Step.Propose p) {
-                carryOut(now, leader.commandApplied(now, p.command(), stateMachine.apply(p.command())));
+        for (Step step : steps) {
+            carriedOut.add(step);
+            if (step instanceof Step.ConfirmLeadership confirm) {
+                carryOut(now, leader.leadershipConfirmed(now, confirm.round()));
+            } else if (step instanceof Step.Propose propose) {
+                carryOut(now, leader.commandApplied(now, propose.command(), stateMachine.apply(propose.command())));
             }
         }
     }
 
     private LeaseResponse responseTo(double now, LeaseRequest request) {
-        said.clear();
+        carriedOut.clear();
         carryOut(now, leader.handleRequest(now, request));
-        return said.stream().filter(s -> s instanceof Step.Reply r && r.member().equals(request.member()))
+        return carriedOut.stream().filter(s -> s instanceof Step.Reply reply && reply.member().equals(request.member()))
                 .map(s -> ((Step.Reply) s).response()).findFirst().orElse(null);
     }
 
@@ -71,20 +71,20 @@
     }
 
     @Test
-    void aLeaseIsGrantedToAnEligibleMemberOnceAllHadTheirTimeToBeHeard() {
+    void aLeaseIsGrantedToAnEligibleMemberAfterOnePollInterval() {
         responseTo(0.1, request(member(0), 1, false));
         responseTo(0.1, request(member(1), 1, true));
         tick(0.5);
         assertThat(holder(0)).isNull();
         tick(1.1);
         assertThat(holder(0)).isEqualTo(member(1));
-        assertThat(said).contains(new Step.WakeUp(member(1)));
-        LeaseResponse a = responseTo(1.2, request(member(1), 2, true));
-        assertThat(a.grants()).containsExactly(new LeaseResponse.Grant("duty-0", 1, 2, false));
+        assertThat(carriedOut).contains(new Step.WakeUp(member(1)));
+        LeaseResponse response = responseTo(1.2, request(member(1), 2, true));
+        assertThat(response.grants()).containsExactly(new LeaseResponse.Grant("duty-0", 1, 2, false));
     }
 
     @Test
-    void aNewLeaderWaitsOutLeasesThatAnEarlierOneMayHaveRenewed() {
+    void aNewLeaderDoesNotExpireALeaseThatAnEarlierLeaderMayHaveRenewed() {
         stateMachine.apply(new LeaseCommand.Grant("duty-0", member(9), 0));
         leader.becomeLeader(100);
         responseTo(100.1, request(member(1), 1, true));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aRequestIsAnsweredOnlyByAConfirmationThatBeganAfterItCame() {
+    void aRequestIsAnsweredOnlyAfterAConfirmationThatBeganAfterItArrived() {
         List<Step> first = leader.handleRequest(0.1, request(member(0), 1, true));
         assertThat(first).containsExactly(new Step.ConfirmLeadership(1));
         assertThat(leader.handleRequest(0.2, request(member(1), 1, true))).isEmpty();
@@ -104,7 +104,7 @@
         assertThat(then).filteredOn(s -> s instanceof Step.Reply).hasSize(1);
         assertThat(then).contains(new Step.ConfirmLeadership(2));
         assertThat(leader.leadershipConfirmed(0.4, 2))
-                .filteredOn(s -> s instanceof Step.Reply r && r.member().equals(member(1)))
+                .filteredOn(s -> s instanceof Step.Reply reply && reply.member().equals(member(1)))
                 .hasSize(1);
     }
 
@@ -133,8 +133,8 @@
     void aLeaseWhoseExpiryIsProposedIsNotRenewed() {
         responseTo(0.1, request(member(0), 1, true));
         tick(1.1);
-        List<Step> over = leader.tick(1.1 + 2 * 1.05 / 0.95 + 0.1);
-        assertThat(over).contains(new Step.Propose(new LeaseCommand.Expire("duty-0", 1)));
+        List<Step> proposed = leader.tick(1.1 + 2 * 1.05 / 0.95 + 0.1);
+        assertThat(proposed).contains(new Step.Propose(new LeaseCommand.Expire("duty-0", 1)));
         // The holder polls while the command is in flight.
         List<Step> steps = leader.handleRequest(3.5, request(member(0), 2, true));
         long round = ((Step.ConfirmLeadership) steps.get(0)).round();
@@ -153,8 +153,8 @@
         tick(1.1);
         responseTo(1.2, request(member(1), 1, true));
         stateMachine.apply(new LeaseCommand.Transfer("duty-0", "n1"));
-        LeaseResponse a = responseTo(1.3, request(member(0), 2, true));
-        assertThat(a.grants().get(0).stopRequested()).isTrue();
+        LeaseResponse response = responseTo(1.3, request(member(0), 2, true));
+        assertThat(response.grants().get(0).stopRequested()).isTrue();
         responseTo(1.4, request(member(0), 3, true, new LeaseRequest.Stopped("duty-0", 1, null)));
         tick(1.5);
         assertThat(holder(0)).isEqualTo(member(1));
@@ -175,13 +175,13 @@
     }
 
     @Test
-    void lossesOfEarlierIncarnationsCountAsBroughtAboutByTheWork() {
+    void lossesOfEarlierIncarnationsCountAsCrashes() {
         for (long incarnation = 1; incarnation <= 3; incarnation++) {
             double at = incarnation * 10;
-            MemberIdentity m = new MemberIdentity("n0", incarnation);
-            responseTo(at, request(m, 1, true));
+            MemberIdentity identity = new MemberIdentity("n0", incarnation);
+            responseTo(at, request(identity, 1, true));
             tick(at + 1.1);
-            assertThat(holder(0)).isEqualTo(m);
+            assertThat(holder(0)).isEqualTo(identity);
             tick(at + 9);
             assertThat(holder(0)).isNull();
         }
@@ -196,7 +196,7 @@
     }
 
     @Test
-    void aLeaseThatAnOperatorPlacedIsNotMovedToEvenTheLoad() {
+    void aLeaseThatAnOperatorPlacedIsNotMovedByTheBalancer() {
         define(3);
         for (int d = 0; d < 3; d++) {
             stateMachine.apply(new LeaseCommand.Transfer("duty-" + d, "n3"));
--- a/src/test/java/topazladder/lease/LeaseStateMachineTest.java
+++ b/src/test/java/topazladder/lease/LeaseStateMachineTest.java
@@ -70,7 +70,7 @@
     }
 
     @Property(seed = "20261201", tries = 300)
-    void aReplicaRestoredFromASnapshotGoesOnAsTheOriginal(@ForAll("commands") List<LeaseCommand> commands,
+    void aReplicaRestoredFromASnapshotBehavesLikeTheOriginal(@ForAll("commands") List<LeaseCommand> commands,
             @ForAll("commands") List<LeaseCommand> more) {
         LeaseStateMachine original = new LeaseStateMachine();
         original.apply(new LeaseCommand.Define(List.of(PROBE, SWEEP)));
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void aLeaseThatIsRemovedAndDefinedAgainGoesOnAboveItsOldToken() {
+    void aLeaseThatIsRemovedAndDefinedAgainContinuesAboveItsOldToken() {
         LeaseStateMachine stateMachine = new LeaseStateMachine();
         stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
         stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
@@ -101,7 +101,7 @@
     }
 
     @Test
-    void aLeaseThatBringsDownHolderAfterHolderIsSuspendedWithAReason() {
+    void aLeaseWhoseHoldersCrashOneAfterAnotherIsSuspendedWithAReason() {
         LeaseStateMachine stateMachine = new LeaseStateMachine();
         stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
         for (long i = 0; i < 3; i++) {
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void tokensGoOnAboveTheFloorWhereAGroupIsFormedAnew() {
+    void tokensContinueAboveTheFloorWhenAGroupIsFormedAnew() {
         LeaseStateMachine stateMachine = new LeaseStateMachine();
         stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
         stateMachine.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 1), 0));
--- a/src/test/java/topazladder/lease/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseTest.java
@@ -15,7 +15,7 @@
  */
 class LeaseTest {
     private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
-    private static final MemberIdentity HERE = new MemberIdentity("n1", 7);
+    private static final MemberIdentity MEMBER = new MemberIdentity("n1", 7);
     private static final double STEP_SECONDS = 0.005;
 
     private record Delivery(double at, DoubleConsumer action) {
@@ -25,22 +25,22 @@
      * One leader and one holder, whose requests are all lost from a random time on. Times are true time, from which the
      * clocks of both drift.
      */
-    private static final class Scenario {
-        private final SplittableRandom chance;
+    private static final class Simulation {
+        private final SplittableRandom random;
         private final double leaderRate;
         private final double holderRate;
-        private final double cutAt;
+        private final double requestsLostFrom;
         private final LeaseStateMachine stateMachine = new LeaseStateMachine();
         private final LeaseManager leader;
-        private final LeaseHolder holder = new LeaseHolder(HERE);
+        private final LeaseHolder holder = new LeaseHolder(MEMBER);
         private final List<Delivery> inTransit = new ArrayList<>();
         private double expiredAt = Double.NaN;
         private double lastAllowedAt;
 
-        Scenario(long seed, boolean clocksIgnored) {
-            chance = new SplittableRandom(seed);
-            leaderRate = chance.nextBoolean() ? 1.05 : 1 + chance.nextDouble(-0.05, 0.05);
-            holderRate = chance.nextBoolean() ? 0.95 : 1 + chance.nextDouble(-0.05, 0.05);
+        Simulation(long seed, boolean clocksIgnored) {
+            random = new SplittableRandom(seed);
+            leaderRate = random.nextBoolean() ? 1.05 : 1 + random.nextDouble(-0.05, 0.05);
+            holderRate = random.nextBoolean() ? 0.95 : 1 + random.nextDouble(-0.05, 0.05);
             leader = new LeaseManager(stateMachine) {
                 @Override
                 protected double safeExpirySeconds(LeaseSettings settings) {
@@ -49,17 +49,17 @@
             };
             stateMachine.apply(new LeaseCommand.Define(List.of(PROBE)));
             leader.becomeLeader(0);
-            cutAt = chance.nextDouble(2, 9);
+            requestsLostFrom = random.nextDouble(2, 9);
         }
 
         /** Seconds from the expiry at the leader to the last time that the holder allowed effects; negative is safe. */
-        double play() {
+        double run() {
             for (double t = 0; t < 16 && Double.isNaN(expiredAt); t += STEP_SECONDS) {
                 step(t);
             }
             assertThat(expiredAt).as("time of expiry at the leader").isNotNaN();
             for (double t = expiredAt; t < expiredAt + 4; t += STEP_SECONDS) {
-                look(t);
+                recordPermission(t);
             }
             return lastAllowedAt - expiredAt;
         }
@@ -77,11 +77,11 @@
                 return;
             }
             for (LeaseHolder.Step step : holder.setEligible(t * holderRate, true)) {
-                if (step instanceof LeaseHolder.Step.Send send && t < cutAt) {
-                    inTransit.add(new Delivery(t + chance.nextDouble(0.3), at -> request(at, send.request())));
+                if (step instanceof LeaseHolder.Step.Send send && t < requestsLostFrom) {
+                    inTransit.add(new Delivery(t + random.nextDouble(0.3), at -> deliverRequest(at, send.request())));
                 }
             }
-            look(t);
+            recordPermission(t);
         }
 
         private void apply(double t, LeaseCommand command) {
@@ -92,25 +92,26 @@
             }
         }
 
-        private void request(double at, LeaseRequest request) {
+        private void deliverRequest(double at, LeaseRequest request) {
             for (LeaseManager.Step step : leader.handleRequest(at * leaderRate, request)) {
                 if (step instanceof LeaseManager.Step.ConfirmLeadership confirm) {
-                    leader.leadershipConfirmed(at * leaderRate, confirm.round()).forEach(reply -> respond(at, reply));
+                    leader.leadershipConfirmed(at * leaderRate, confirm.round())
+                            .forEach(reply -> sendResponse(at, reply));
                 }
             }
         }
 
         /** Loses one response in ten, and duplicates half of the others. */
-        private void respond(double now, LeaseManager.Step step) {
-            if (step instanceof LeaseManager.Step.Reply reply && chance.nextInt(10) > 0) {
-                for (int i = chance.nextInt(2); i >= 0; i--) {
-                    inTransit.add(new Delivery(now + chance.nextDouble(0.6),
+        private void sendResponse(double now, LeaseManager.Step step) {
+            if (step instanceof LeaseManager.Step.Reply reply && random.nextInt(10) > 0) {
+                for (int i = random.nextInt(2); i >= 0; i--) {
+                    inTransit.add(new Delivery(now + random.nextDouble(0.6),
                             at -> holder.handleResponse(at * holderRate, reply.response())));
                 }
             }
         }
 
-        private void look(double t) {
+        private void recordPermission(double t) {
             if (holder.fencingToken(t * holderRate, "probe").isPresent()) {
                 lastAllowedAt = t;
             }
@@ -118,19 +119,19 @@
     }
 
     @Test
-    void aLeaseRunsOutAtTheHolderBeforeItExpiresAtTheLeaderHoweverTheirClocksRun() {
+    void aLeaseExpiresAtTheHolderBeforeItExpiresAtTheLeaderWithinTheAllowedClockDrift() {
         for (long seed = 1; seed <= 400; seed++) {
-            assertThat(new Scenario(seed, false).play()).as("seconds of effects after expiry, seed " + seed)
+            assertThat(new Simulation(seed, false).run()).as("seconds of effects after expiry, seed " + seed)
                     .isLessThanOrEqualTo(0);
         }
     }
 
     @Test
-    void withClocksTakenAsEqualItDoesNot() {
-        int found = 0;
+    void withoutSlackForClockDriftSomeHoldersOutliveTheirLease() {
+        int unsafeRuns = 0;
         for (long seed = 1; seed <= 400; seed++) {
-            found += new Scenario(seed, true).play() > 0 ? 1 : 0;
+            unsafeRuns += new Simulation(seed, true).run() > 0 ? 1 : 0;
         }
-        assertThat(found).as("seeds out of 400 with an effect after expiry").isGreaterThan(20);
+        assertThat(unsafeRuns).as("seeds out of 400 with an effect after expiry").isGreaterThan(20);
     }
 }
