--- a/src/main/java/topazladder/membership/Gossip.java
+++ b/src/main/java/topazladder/membership/Gossip.java
@@ -2,32 +2,36 @@
 
 import java.util.List;
 
-/** What members say to each other about who is there; each message bears a bounded number of standings. */
+/** Messages of the membership protocol. Each carries a bounded number of member updates. */
 public sealed interface Gossip {
 
-    /** Standings told along with it. */
+    /** Member updates piggybacked on the message. */
     List<Standing> news();
 
-    /** Are you there? */
+    /** Asks the receiver to answer with an {@link Ack} of the same number. */
     record Ping(long number, List<Standing> news) implements Gossip {
     }
 
-    /** Ask somebody else for me. */
+    /**
+     * Asks the receiver to ping a third member on behalf of the sender (SWIM's ping-req).
+     *
+     * @param whom name of the member to ping
+     */
     record PingFor(long number, String whom, List<Standing> news) implements Gossip {
     }
 
-    /** I am here, or the one you asked about is. */
+    /** Answers a {@link Ping}, or a {@link PingFor} whose target has answered. */
     record Ack(long number, List<Standing> news) implements Gossip {
     }
 
-    /** I am here, and the one you asked about has not answered me. */
+    /** Answers a {@link PingFor} whose target has not answered in time. It shows that the helper is reachable. */
     record Nack(long number, List<Standing> news) implements Gossip {
     }
 
     /**
-     * A part of all that the sender knows.
+     * A page of the sender's member table (anti-entropy).
      *
-     * @param back whether the sender wants the same of the one it tells
+     * @param back whether the receiver should send its own table in return
      */
     record Sync(boolean back, List<Standing> news) implements Gossip {
     }
--- a/src/main/java/topazladder/membership/Membership.java
+++ b/src/main/java/topazladder/membership/Membership.java
@@ -19,496 +19,534 @@
 import topazladder.membership.Standing.State;
 
 /**
- * Who is there, as one member sees it. Each period one other member is asked whether it is there, in an order drawn
- * anew each round; who does not answer is asked for by a few others, then suspected, then taken for gone, unless it
- * says otherwise in time (SWIM). Times follow the delays that were seen, and one's own health: whoever is late
- * itself, or hears nothing from those that should at least say no, gives the others more time and suspects itself
- * first (Lifeguard).
+ * One member's view of the cluster, kept by the SWIM protocol with Lifeguard's extensions. In each probe period one
+ * other member is pinged, in an order that is shuffled anew each round. A member that does not answer is pinged
+ * through a few others, then suspected, then declared gone unless it refutes the suspicion in time (SWIM). Timeouts
+ * follow the measured round-trip times and this member's own health: a member that runs late, or that gets no nacks
+ * from its helpers, gives the others more time and assumes that the fault is its own (Lifeguard).
  *
- * <p>What a member sends in a period does not grow with the hall. No I/O, no clock, no thread: the caller tells the
- * time.
+ * <p>The number of messages a member sends per period does not grow with the cluster. No I/O, clock or threads: the
+ * caller passes the current time in seconds and carries out the returned steps.
  */
 public final class Membership {
 
     /**
-     * What an installation may set.
+     * Settings of the protocol.
      *
-     * @param period seconds between two members asked
-     * @param helpers who are asked to ask for one that did not answer
-     * @param remember seconds for which one that is gone is remembered, and asked now and then
+     * @param period seconds between two probes
+     * @param helpers number of members asked for an indirect ping
+     * @param remember seconds for which a member that is gone is kept, and contacted now and then
      */
     public record Terms(double period, int helpers, double remember) {
         public static final Terms USUAL = new Terms(1, 3, 3600);
     }
 
-    /** What is to be done or said outside. */
+    /** What the caller has to carry out. */
     public sealed interface Step {
 
+        /**
+         * Sends a message to a member.
+         *
+         * @param to the member's name; empty if only the address is known
+         */
         record Say(String to, String address, Gossip what) implements Step {
         }
 
-        /** @param before null for one that was not known */
+        /**
+         * The status of another member changed.
+         *
+         * @param before null for a member that was not known
+         */
         record Changed(Standing now, Standing before) implements Step {
         }
     }
 
-    /** Standings in one message; with names of 100 characters they fit a frame. */
+    /** Most member updates in one message; with names of 100 characters this many still fit in a frame. */
     public static final int MOST_NEWS = 24;
-    private static final int PIGGYBACK = 8;
-    private static final int MOST_MEMBERS = 20_000;
-    /** Of a period: an answer is not late before this, and always after that. */
-    private static final double LEAST_WAIT = 0.1;
-    private static final double MOST_WAIT = 0.5;
-    /** A change is told so many times the logarithm of the hall. */
-    private static final double TOLD = 3;
-    private static final double SUSPICION = 4;
-    private static final double SUSPICION_MOST = 6;
-    private static final int MOST_HEALTH = 8;
+    private static final int MAX_PIGGYBACKED_UPDATES = 8;
+    private static final int MAX_MEMBERS = 20_000;
+    /** Bounds of the ack timeout, as fractions of the probe period. */
+    private static final double MIN_ACK_TIMEOUT = 0.1;
+    private static final double MAX_ACK_TIMEOUT = 0.5;
+    /** End of a probe, as a fraction of the probe interval: just before the next probe starts. */
+    private static final double PROBE_DEADLINE = 0.98;
+    /** An update is sent this many times the decimal logarithm of the cluster size. */
+    private static final double RETRANSMIT_FACTOR = 3;
+    /** Shortest suspicion, in probe periods times the decimal logarithm of the cluster size. */
+    private static final double MIN_SUSPICION = 4;
+    /** Longest suspicion as a multiple of the shortest. */
+    private static final double MAX_SUSPICION_FACTOR = 6;
+    private static final int MAX_HEALTH_SCORE = 8;
+    /** Probe periods between two table exchanges with a random member. */
     private static final int SYNC_PERIODS = 15;
-    private static final int GONE_PERIODS = 5;
-    private static final int MOST_FOR_OTHERS = 64;
+    /** Probe periods between two attempts to reach a member that is gone, or a seed. */
+    private static final int RECONNECT_PERIODS = 5;
+    private static final int MAX_INDIRECT_PROBES = 64;
+    /** A sync is answered with the whole table, or with this many pages of one above this many full messages. */
+    private static final int MAX_SYNC_PAGES = 4;
 
     private final Terms terms;
-    private final RandomGenerator chance;
+    private final RandomGenerator random;
     private Standing self;
-    private final Map<String, Standing> others = new TreeMap<>(); // bounded, those that are gone are forgotten
+    private final Map<String, Standing> others = new TreeMap<>(); // bounded; members that are gone are forgotten
     private final Map<String, Double> changedAt = new HashMap<>();
     private final Map<String, Suspicion> suspicions = new HashMap<>();
-    private final Map<String, Integer> toTell = new TreeMap<>(); // by name, times left
-    private final List<String> round = new ArrayList<>();
-    private final Delays delays = new Delays();
-    private final Map<Long, ForOther> forOthers = new HashMap<>(); // bounded, and over after a period
-    // An answer after the no is handed on all the same.
-    private final Map<Long, ForOther> forOthersLate = new HashMap<>();
+    private final Map<String, Integer> pendingUpdates = new TreeMap<>(); // by name: transmissions left
+    private final List<String> probeOrder = new ArrayList<>();
+    private final RoundTripEstimator roundTrips = new RoundTripEstimator();
+    // By the number of the ping sent for the requester; bounded, and answered with a nack within a period.
+    private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
+    // Already answered with a nack; an ack that still comes is passed on.
+    private final Map<Long, IndirectProbe> nackedProbes = new HashMap<>();
     private List<String> seeds = List.of();
-    private long number;
-    private double nextProbe = Double.NaN;
-    private int health;
+    private long lastNumber;
+    private double nextProbeAt = Double.NaN;
+    private int healthScore;
     private Probe probe;
     private int periods;
-    private String cursor = "";
-    private int there; // of the others, counted along
+    private String syncCursor = "";
+    private int othersPresent; // maintained with each change, as counting would take time linear in the cluster
     private boolean left;
 
+    /** A running suspicion timer. */
     private static final class Suspicion {
-        private final double at;
-        private final Set<String> by = new HashSet<>(); // no more than helpers
-        private double shift;
+        private final double startedAt;
+        private final Set<String> accusers = new HashSet<>(); // at most the first and as many as there are helpers
+        private double extension;
 
-        Suspicion(double at) {
-            this.at = at;
+        Suspicion(double startedAt) {
+            this.startedAt = startedAt;
         }
     }
 
+    /** This member's probe of the current period. */
     private static final class Probe {
-        private final String whom;
+        private final String target;
         private final long number;
-        private final double at;
-        private double askHelpAt;
-        private double endsAt;
-        private final Set<String> helpers = new HashSet<>();
-        private boolean helped;
-        private boolean answered;
-
-        Probe(String whom, long number, double at) {
-            this.whom = whom;
+        private final double sentAt;
+        private double indirectAt;
+        private double deadline;
+        private final Set<String> silentHelpers = new HashSet<>();
+        private boolean indirect;
+        private boolean acked;
+
+        Probe(String target, long number, double sentAt) {
+            this.target = target;
             this.number = number;
-            this.at = at;
+            this.sentAt = sentAt;
         }
     }
 
-    private record ForOther(String asker, long theirNumber, String whom, double nackAt, double until) {
+    /** A ping on behalf of another member. */
+    private record IndirectProbe(String requester, long requesterNumber, double nackAt, double expiresAt) {
     }
 
-    /** @param self alive, with a life that no earlier process of the name had */
-    public Membership(Terms terms, Standing self, RandomGenerator chance) {
+    /** @param self alive, with a process incarnation higher than that of any earlier process of its name */
+    public Membership(Terms terms, Standing self, RandomGenerator random) {
         this.terms = terms;
         this.self = self;
-        this.chance = chance;
+        this.random = random;
     }
 
     public Standing self() {
         return self;
     }
 
-    /** How unwell this member believes itself to be: 0 is well. */
+    /** Lifeguard's local health score: 0 is healthy, and each point lengthens this member's timeouts. */
     public int health() {
-        return health;
+        return healthScore;
     }
 
-    /** All known but itself, those that are gone among them. */
+    /** All known members but this one, including those that are gone. */
     public Collection<Standing> others() {
         return Collections.unmodifiableCollection(others.values());
     }
 
+    /** The member of that name, which may be this one; null if it is not known. */
     public Standing other(String name) {
         return name.equals(self.name()) ? self : others.get(name);
     }
 
-    /** Members that are there, itself among them. */
+    /** Number of members present, including this one. */
     public int size() {
-        return 1 + there;
+        return 1 + othersPresent;
     }
 
-    /** Where a hall may be found: addresses of any members, dead ones do no harm. */
+    /** Joins the cluster through the given addresses of any members; unreachable ones do no harm. */
     public List<Step> join(double now, List<String> addresses) {
         seeds = List.copyOf(addresses);
-        nextProbe = now + terms.period() * chance.nextDouble();
+        nextProbeAt = now + terms.period() * random.nextDouble();
         List<Step> steps = new ArrayList<>();
         for (String address : seeds) {
-            steps.add(new Step.Say("", address, new Sync(true, news())));
+            steps.add(new Step.Say("", address, new Sync(true, piggybackedUpdates())));
         }
         return steps;
     }
 
-    /** Whether it serves as it should; told to the others. */
+    /** Sets whether this member serves as it should, and publishes a change. */
     public void steady(boolean is) {
         if (self.steady() != is) {
             self = new Standing(self.name(), self.address(), self.hall(), self.life(), self.incarnation() + 1,
                     self.state(), is, "");
-            tell(self.name());
+            enqueueUpdate(self.name());
         }
     }
 
-    /** Leaves in order: nobody needs to suspect it first. */
+    /** Leaves the cluster gracefully, so that the others need not suspect this member first. */
     public List<Step> leave(double now) {
         left = true;
         self = self.as(State.LEFT);
-        tell(self.name());
+        enqueueUpdate(self.name());
         List<Step> steps = new ArrayList<>();
-        for (String name : some(terms.helpers() + 1, Set.of())) {
-            say(name, new Ping(++number, news()), steps);
+        for (String name : randomMembers(terms.helpers() + 1, Set.of())) {
+            send(name, new Ping(++lastNumber, piggybackedUpdates()), steps);
         }
         return steps;
     }
 
-    // ---- what time brings
+    // ---- timers
 
     /** Seconds until {@link #tick} is due. */
     public double next(double now) {
-        double due = Double.isNaN(nextProbe) ? now + terms.period() : nextProbe;
-        if (probe != null && !probe.answered) {
-            due = Math.min(due, probe.helped ? probe.endsAt : probe.askHelpAt);
+        double due = Double.isNaN(nextProbeAt) ? now + terms.period() : nextProbeAt;
+        if (probe != null && !probe.acked) {
+            due = Math.min(due, probe.indirect ? probe.deadline : probe.indirectAt);
         }
-        for (ForOther f : forOthers.values()) {
-            due = Math.min(due, f.nackAt());
+        for (IndirectProbe indirect : indirectProbes.values()) {
+            due = Math.min(due, indirect.nackAt());
         }
-        for (Map.Entry<String, Suspicion> s : suspicions.entrySet()) {
-            due = Math.min(due, endOf(s.getValue()));
+        for (Suspicion suspicion : suspicions.values()) {
+            due = Math.min(due, suspicionDeadline(suspicion));
         }
         return Math.max(0.001, due - now);
     }
 
+    /** Runs all timers that are due. */
     public List<Step> tick(double now) {
         List<Step> steps = new ArrayList<>();
         if (left) {
             return steps;
         }
-        late(now);
-        answerForOthers(now, steps);
-        judgeProbe(now, steps);
-        judgeSuspicions(now, steps);
-        if (!Double.isNaN(nextProbe) && now >= nextProbe) {
-            nextProbe = now + terms.period() * (1 + health);
+        compensatePause(now);
+        nackIndirectProbes(now, steps);
+        checkProbe(now, steps);
+        checkSuspicions(now, steps);
+        if (!Double.isNaN(nextProbeAt) && now >= nextProbeAt) {
+            nextProbeAt = now + terms.period() * (1 + healthScore);
             periods++;
-            beginProbe(now, steps);
-            spread(now, steps);
+            startProbe(now, steps);
+            syncAndReconnect(steps);
+            forgetGoneMembers(now);
         }
         return steps;
     }
 
     /**
-     * This process did not run for a while. What it waited for may lie unread, so nobody is judged by that while; and
-     * it is itself that is in trouble.
+     * Detects that this process did not run for a while. Answers may wait unread, so all deadlines move by the pause,
+     * and the pause counts against this member's own health.
      */
-    private void late(double now) {
-        double late = Double.isNaN(nextProbe) ? 0 : now - nextProbe;
+    private void compensatePause(double now) {
+        double late = Double.isNaN(nextProbeAt) ? 0 : now - nextProbeAt;
         if (late > terms.period() / 2) {
-            unwell((int) Math.ceil(late / terms.period()));
+            adjustHealth((int) Math.ceil(late / terms.period()));
             if (probe != null) {
-                probe.askHelpAt = Math.max(probe.askHelpAt, now + terms.period() * MOST_WAIT);
-                probe.endsAt = Math.max(probe.endsAt, now + terms.period());
+                probe.indirectAt = Math.max(probe.indirectAt, now + terms.period() * MAX_ACK_TIMEOUT);
+                probe.deadline = Math.max(probe.deadline, now + terms.period());
             }
-            suspicions.values().forEach(s -> s.shift += late);
+            suspicions.values().forEach(suspicion -> suspicion.extension += late);
         }
     }
 
-    private void unwell(int by) {
-        health = Math.max(0, Math.min(MOST_HEALTH, health + by));
+    private void adjustHealth(int delta) {
+        healthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, healthScore + delta));
     }
 
-    private void answerForOthers(double now, List<Step> steps) {
-        forOthers.entrySet().removeIf(e -> {
-            ForOther f = e.getValue();
-            if (now >= f.nackAt() && now < f.until()) {
-                say(f.asker(), new Nack(f.theirNumber(), news()), steps);
-                forOthersLate.put(e.getKey(), f);
+    private void nackIndirectProbes(double now, List<Step> steps) {
+        indirectProbes.entrySet().removeIf(e -> {
+            IndirectProbe indirect = e.getValue();
+            if (now >= indirect.nackAt() && now < indirect.expiresAt()) {
+                send(indirect.requester(), new Nack(indirect.requesterNumber(), piggybackedUpdates()), steps);
+                nackedProbes.put(e.getKey(), indirect);
             }
-            return now >= f.nackAt();
+            return now >= indirect.nackAt();
         });
-        forOthersLate.values().removeIf(f -> now >= f.until());
+        nackedProbes.values().removeIf(indirect -> now >= indirect.expiresAt());
     }
 
-    private void judgeProbe(double now, List<Step> steps) {
-        if (probe == null || probe.answered) {
+    private void checkProbe(double now, List<Step> steps) {
+        if (probe == null || probe.acked) {
             return;
         }
-        if (!probe.helped && now >= probe.askHelpAt) {
-            probe.helped = true;
-            for (String name : some(terms.helpers(), Set.of(probe.whom))) {
-                probe.helpers.add(name);
-                say(name, new PingFor(probe.number, probe.whom, news()), steps);
+        if (!probe.indirect && now >= probe.indirectAt) {
+            probe.indirect = true;
+            for (String name : randomMembers(terms.helpers(), Set.of(probe.target))) {
+                probe.silentHelpers.add(name);
+                send(name, new PingFor(probe.number, probe.target, piggybackedUpdates()), steps);
             }
         }
-        if (probe.helped && now >= probe.endsAt) {
-            // Helpers that did not even say no are as far away as the one asked for: it may be this one that is alone.
-            unwell(probe.helpers.isEmpty() ? 0 : probe.helpers.size() > 1 ? 1 : 0);
-            Standing s = others.get(probe.whom);
-            if (s != null && s.state() == State.ALIVE) {
-                take(now, s.suspectedBy(self.name()), steps);
+        if (probe.indirect && now >= probe.deadline) {
+            // Several helpers that sent not even a nack are as unreachable as the target: this member may be isolated.
+            adjustHealth(probe.silentHelpers.size() > 1 ? 1 : 0);
+            Standing target = others.get(probe.target);
+            if (target != null && target.state() == State.ALIVE) {
+                applyUpdate(now, target.suspectedBy(self.name()), steps);
             }
             probe = null;
         }
     }
 
-    private void judgeSuspicions(double now, List<Step> steps) {
+    private void checkSuspicions(double now, List<Step> steps) {
         for (Map.Entry<String, Suspicion> e : List.copyOf(suspicions.entrySet())) {
-            Standing s = others.get(e.getKey());
-            if (s == null || s.state() != State.SUSPECTED) {
+            Standing suspect = others.get(e.getKey());
+            if (suspect == null || suspect.state() != State.SUSPECTED) {
                 suspicions.remove(e.getKey());
-            } else if (now >= endOf(e.getValue())) {
-                take(now, s.as(State.GONE), steps);
+            } else if (now >= suspicionDeadline(e.getValue())) {
+                applyUpdate(now, suspect.as(State.GONE), steps);
             }
         }
     }
 
-    /** Sooner the more members suspect it independently; later the less well this one is. */
-    private double endOf(Suspicion s) {
-        double least = SUSPICION * Math.max(1, Math.log10(Math.max(1, size()))) * terms.period();
-        double most = SUSPICION_MOST * least;
-        double k = terms.helpers();
-        double part = Math.min(1, Math.log(s.by.size()) / Math.log(k + 1));
-        return s.at + s.shift + (most - (most - least) * part) * (1 + health / 2.0);
+    /** Earlier the more members suspect independently; later the worse this member's own health is. */
+    private double suspicionDeadline(Suspicion suspicion) {
+        double min = MIN_SUSPICION * Math.max(1, Math.log10(Math.max(1, size()))) * terms.period();
+        double max = MAX_SUSPICION_FACTOR * min;
+        double confirmations = terms.helpers();
+        double confirmed = Math.min(1, Math.log(suspicion.accusers.size()) / Math.log(confirmations + 1));
+        return suspicion.startedAt + suspicion.extension + (max - (max - min) * confirmed) * (1 + healthScore / 2.0);
     }
 
-    private void beginProbe(double now, List<Step> steps) {
-        if (round.isEmpty()) {
-            others.values().stream().filter(Standing::there).map(Standing::name).forEach(round::add);
-            Collections.shuffle(round, new java.util.Random(chance.nextLong()));
+    private void startProbe(double now, List<Step> steps) {
+        if (probeOrder.isEmpty()) {
+            others.values().stream().filter(Standing::there).map(Standing::name).forEach(probeOrder::add);
+            Collections.shuffle(probeOrder, new java.util.Random(random.nextLong()));
         }
-        String whom = null;
-        while (!round.isEmpty() && whom == null) {
-            String name = round.remove(round.size() - 1);
-            whom = others.containsKey(name) && others.get(name).there() ? name : null;
+        String target = null;
+        while (!probeOrder.isEmpty() && target == null) {
+            String name = probeOrder.remove(probeOrder.size() - 1);
+            target = others.containsKey(name) && others.get(name).there() ? name : null;
         }
-        if (whom == null) {
+        if (target == null) {
             return;
         }
-        probe = new Probe(whom, ++number, now);
-        probe.askHelpAt = now + delays.late(LEAST_WAIT * terms.period(), MOST_WAIT * terms.period()) * (1 + health);
-        probe.endsAt = now + terms.period() * (1 + health) * 0.98;
-        Standing s = others.get(whom);
-        if (s.state() == State.SUSPECTED) {
-            tell(whom); // whoever is suspected should hear of it first, from whoever asks it
+        probe = new Probe(target, ++lastNumber, now);
+        probe.indirectAt = now + ackTimeout() * (1 + healthScore);
+        probe.deadline = now + terms.period() * (1 + healthScore) * PROBE_DEADLINE;
+        if (others.get(target).state() == State.SUSPECTED) {
+            enqueueUpdate(target); // lets the suspect learn of the suspicion from this ping, and refute it
         }
-        say(whom, new Ping(probe.number, news()), steps);
+        send(target, new Ping(probe.number, piggybackedUpdates()), steps);
     }
 
-    /**
-     * Now and then a part of all that is known, to somebody; and a word to those that are gone, should they be back.
-     */
-    private void spread(double now, List<Step> steps) {
+    private double ackTimeout() {
+        return roundTrips.timeout(MIN_ACK_TIMEOUT * terms.period(), MAX_ACK_TIMEOUT * terms.period());
+    }
+
+    /** Periodically exchanges tables with a random member, and contacts a member that is gone or a seed. */
+    private void syncAndReconnect(List<Step> steps) {
         if (periods % SYNC_PERIODS == 0) {
-            some(1, Set.of()).forEach(name -> say(name, new Sync(true, page()), steps));
+            randomMembers(1, Set.of()).forEach(name -> send(name, new Sync(true, nextTablePage()), steps));
         }
-        if (periods % GONE_PERIODS == 0) {
+        if (periods % RECONNECT_PERIODS == 0) {
             List<Standing> gone = others.values().stream().filter(s -> s.state() == State.GONE).toList();
             if (!gone.isEmpty()) {
-                Standing s = gone.get(chance.nextInt(gone.size()));
-                steps.add(new Step.Say(s.name(), s.address(), new Sync(true, news())));
+                Standing s = gone.get(random.nextInt(gone.size()));
+                steps.add(new Step.Say(s.name(), s.address(), new Sync(true, piggybackedUpdates())));
             }
-            if (!seeds.isEmpty() && (size() == 1 || chance.nextInt(Math.max(1, size() / 8)) == 0)) {
-                steps.add(new Step.Say("", seeds.get(chance.nextInt(seeds.size())), new Sync(true, news())));
+            if (!seeds.isEmpty() && (size() == 1 || random.nextInt(Math.max(1, size() / 8)) == 0)) {
+                steps.add(new Step.Say("", seeds.get(random.nextInt(seeds.size())),
+                        new Sync(true, piggybackedUpdates())));
             }
         }
+    }
+
+    private void forgetGoneMembers(double now) {
         others.values().removeIf(s -> !s.there()
                 && now - changedAt.getOrDefault(s.name(), now) > terms.remember());
         changedAt.keySet().retainAll(others.keySet());
     }
 
-    // ---- what others say
+    // ---- received messages
 
-    public List<Step> heard(double now, String from, Gossip g) {
+    /** Handles a message of another member. */
+    public List<Step> heard(double now, String from, Gossip message) {
         List<Step> steps = new ArrayList<>();
         if (left) {
             return steps;
         }
-        for (Standing s : g.news()) {
-            take(now, s, steps);
-        }
-        Standing speaker = others.get(from);
-        if (speaker != null && speaker.state() != State.ALIVE) {
-            tell(from); // it speaks: it should know what is said of it, and refute it
-        }
-        if (g instanceof Ping p) {
-            say(from, new Ack(p.number(), news()), steps);
-        } else if (g instanceof PingFor p) {
-            Standing whom = others.get(p.whom());
-            if (whom != null && forOthers.size() < MOST_FOR_OTHERS) {
-                double wait = delays.late(LEAST_WAIT * terms.period(), MOST_WAIT * terms.period());
-                forOthers.put(++number, new ForOther(from, p.number(), p.whom(),
-                        now + Math.min(wait, MOST_WAIT / 2 * terms.period()), now + 2 * terms.period()));
-                say(p.whom(), new Ping(number, news()), steps);
+        for (Standing update : message.news()) {
+            applyUpdate(now, update, steps);
+        }
+        Standing sender = others.get(from);
+        if (sender != null && sender.state() != State.ALIVE) {
+            enqueueUpdate(from); // the sender is alive: the answer tells it what is said of it, so that it can refute
+        }
+        if (message instanceof Ping ping) {
+            send(from, new Ack(ping.number(), piggybackedUpdates()), steps);
+        } else if (message instanceof PingFor pingFor) {
+            Standing target = others.get(pingFor.whom());
+            if (target != null && indirectProbes.size() < MAX_INDIRECT_PROBES) {
+                // The nack has to reach the requester before its probe ends.
+                double nackAfter = Math.min(ackTimeout(), MAX_ACK_TIMEOUT / 2 * terms.period());
+                indirectProbes.put(++lastNumber,
+                        new IndirectProbe(from, pingFor.number(), now + nackAfter, now + 2 * terms.period()));
+                send(pingFor.whom(), new Ping(lastNumber, piggybackedUpdates()), steps);
             }
-        } else if (g instanceof Ack a) {
-            acked(now, from, a.number(), steps);
-        } else if (g instanceof Nack n) {
-            if (probe != null && probe.number == n.number()) {
-                probe.helpers.remove(from);
-            }
-        } else if (g instanceof Sync s && s.back()) {
-            List<Standing> all = new ArrayList<>(others.values());
-            if (all.size() <= 4 * MOST_NEWS) {
-                for (int i = 0; i == 0 || i < all.size(); i += MOST_NEWS - 1) {
-                    List<Standing> part = new ArrayList<>(all.subList(i, Math.min(all.size(), i + MOST_NEWS - 1)));
-                    part.add(self);
-                    say(from, new Sync(false, part), steps);
-                }
-            } else {
-                // A large hall is told in pages; what is missing comes with later ones, and as news.
-                for (int i = 0; i < 4; i++) {
-                    say(from, new Sync(false, page()), steps);
-                }
+        } else if (message instanceof Ack ack) {
+            handleAck(now, from, ack.number(), steps);
+        } else if (message instanceof Nack nack) {
+            if (probe != null && probe.number == nack.number()) {
+                probe.silentHelpers.remove(from);
             }
+        } else if (message instanceof Sync sync && sync.back()) {
+            sendTable(from, steps);
         }
         return steps;
     }
 
-    private void acked(double now, String from, long of, List<Step> steps) {
-        ForOther f = forOthers.remove(of);
-        if (f == null) {
-            f = forOthersLate.remove(of);
+    private void handleAck(double now, String from, long number, List<Step> steps) {
+        IndirectProbe indirect = indirectProbes.remove(number);
+        if (indirect == null) {
+            indirect = nackedProbes.remove(number);
+        }
+        if (indirect != null) {
+            send(indirect.requester(), new Ack(indirect.requesterNumber(), piggybackedUpdates()), steps);
+        } else if (probe != null && probe.number == number && !probe.acked) {
+            probe.acked = true;
+            if (from.equals(probe.target)) {
+                roundTrips.add(now - probe.sentAt);
+            }
+            if (!probe.indirect) {
+                adjustHealth(-1);
+            }
         }
-        if (f != null) {
-            say(f.asker(), new Ack(f.theirNumber(), news()), steps);
-        } else if (probe != null && probe.number == of && !probe.answered) {
-            probe.answered = true;
-            if (from.equals(probe.whom)) {
-                delays.add(now - probe.at);
+    }
+
+    private void sendTable(String to, List<Step> steps) {
+        List<Standing> all = new ArrayList<>(others.values());
+        if (all.size() <= MAX_SYNC_PAGES * MOST_NEWS) {
+            for (int i = 0; i == 0 || i < all.size(); i += MOST_NEWS - 1) {
+                List<Standing> page = new ArrayList<>(all.subList(i, Math.min(all.size(), i + MOST_NEWS - 1)));
+                page.add(self);
+                send(to, new Sync(false, page), steps);
             }
-            if (!probe.helped) {
-                unwell(-1);
+        } else {
+            // The rest of a large table arrives with later syncs and piggybacked updates.
+            for (int i = 0; i < MAX_SYNC_PAGES; i++) {
+                send(to, new Sync(false, nextTablePage()), steps);
             }
         }
     }
 
-    /** One standing, by whomever it is told; the one that overrules holds. */
-    private void take(double now, Standing s, List<Step> steps) {
-        if (s.name().equals(self.name())) {
-            aboutSelf(s);
+    /** Applies an update of one member if it overrules what is known; it does not matter who sent it. */
+    private void applyUpdate(double now, Standing update, List<Step> steps) {
+        if (update.name().equals(self.name())) {
+            refuteIfFalse(update);
             return;
         }
-        Standing before = others.get(s.name());
-        if (before != null && !s.overrules(before)) {
-            Suspicion open = suspicions.get(s.name());
-            if (open != null && s.state() == State.SUSPECTED && s.incarnation() == before.incarnation()
-                    && s.life() == before.life() && open.by.size() <= terms.helpers() && open.by.add(s.by())) {
-                others.put(s.name(), s);
-                tell(s.name()); // one more that suspects it by its own look: worth telling
+        Standing before = others.get(update.name());
+        if (before != null && !update.overrules(before)) {
+            Suspicion running = suspicions.get(update.name());
+            if (running != null && update.state() == State.SUSPECTED && update.incarnation() == before.incarnation()
+                    && update.life() == before.life() && running.accusers.size() <= terms.helpers()
+                    && running.accusers.add(update.by())) {
+                others.put(update.name(), update);
+                enqueueUpdate(update.name()); // an independent confirmation shortens the timers of the others too
             }
             return;
         }
-        if (before == null && (others.size() >= MOST_MEMBERS || !s.there())) {
+        if (before == null && (others.size() >= MAX_MEMBERS || !update.there())) {
             return;
         }
-        there += (s.there() ? 1 : 0) - (before != null && before.there() ? 1 : 0);
-        others.put(s.name(), s);
-        changedAt.put(s.name(), now);
-        suspicions.remove(s.name());
-        if (s.state() == State.SUSPECTED) {
-            Suspicion open = new Suspicion(now);
-            open.by.add(s.by());
-            suspicions.put(s.name(), open);
+        othersPresent += (update.there() ? 1 : 0) - (before != null && before.there() ? 1 : 0);
+        others.put(update.name(), update);
+        changedAt.put(update.name(), now);
+        suspicions.remove(update.name());
+        if (update.state() == State.SUSPECTED) {
+            Suspicion started = new Suspicion(now);
+            started.accusers.add(update.by());
+            suspicions.put(update.name(), started);
         }
-        if (before == null && s.there()) {
-            round.add(round.isEmpty() ? 0 : chance.nextInt(round.size()), s.name());
+        if (before == null && update.there()) {
+            probeOrder.add(probeOrder.isEmpty() ? 0 : random.nextInt(probeOrder.size()), update.name());
         }
-        tell(s.name());
-        steps.add(new Step.Changed(s, before));
+        enqueueUpdate(update.name());
+        steps.add(new Step.Changed(update, before));
     }
 
-    /** Whatever is said of this one that is not so is refuted by a higher incarnation. */
-    private void aboutSelf(Standing s) {
-        if (!left && s.life() == self.life() && s.incarnation() >= self.incarnation() && s.state() != State.ALIVE) {
-            self = new Standing(self.name(), self.address(), self.hall(), self.life(), s.incarnation() + 1,
+    /** Refutes, by a higher incarnation, an update that says this member is suspected, gone or has left. */
+    private void refuteIfFalse(Standing update) {
+        if (!left && update.life() == self.life() && update.incarnation() >= self.incarnation()
+                && update.state() != State.ALIVE) {
+            self = new Standing(self.name(), self.address(), self.hall(), self.life(), update.incarnation() + 1,
                     State.ALIVE, self.steady(), "");
-            unwell(1);
-            tell(self.name());
+            adjustHealth(1);
+            enqueueUpdate(self.name());
         }
     }
 
-    // ---- what is told along
+    // ---- dissemination
 
-    private void tell(String name) {
-        toTell.put(name, (int) Math.ceil(TOLD * Math.log10(size() + 9)));
+    private void enqueueUpdate(String name) {
+        pendingUpdates.put(name, (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(size() + 9)));
     }
 
-    /** What has been told least, itself always; bounded. */
-    private List<Standing> news() {
-        List<Standing> news = new ArrayList<>();
-        news.add(self);
-        if (toTell.isEmpty()) {
-            return news;
+    /** This member's own status, and a bounded number of pending updates, those sent least often first. */
+    private List<Standing> piggybackedUpdates() {
+        List<Standing> updates = new ArrayList<>();
+        updates.add(self);
+        if (pendingUpdates.isEmpty()) {
+            return updates;
         }
-        toTell.entrySet().stream().sorted(Comparator.comparing((Map.Entry<String, Integer> e) -> -e.getValue()))
-                .limit(PIGGYBACK).map(Map.Entry::getKey).toList().forEach(name -> {
+        pendingUpdates.entrySet().stream()
+                .sorted(Comparator.comparing((Map.Entry<String, Integer> e) -> -e.getValue()))
+                .limit(MAX_PIGGYBACKED_UPDATES).map(Map.Entry::getKey).toList().forEach(name -> {
                     Standing s = others.get(name);
                     if (s != null) {
-                        news.add(s);
+                        updates.add(s);
                     }
-                    toTell.merge(name, -1, Integer::sum);
-                    toTell.values().removeIf(times -> times <= 0);
+                    pendingUpdates.merge(name, -1, Integer::sum);
+                    pendingUpdates.values().removeIf(transmissionsLeft -> transmissionsLeft <= 0);
                 });
-        return news;
+        return updates;
     }
 
-    /** The next part of all, going round by name. */
-    private List<Standing> page() {
+    /** The next page of the member table, cyclically by name, with this member's own status. */
+    private List<Standing> nextTablePage() {
         List<Standing> page = new ArrayList<>();
         page.add(self);
         List<String> names = new ArrayList<>(others.keySet());
         if (!names.isEmpty()) {
-            int at = Collections.binarySearch(names, cursor);
+            int at = Collections.binarySearch(names, syncCursor);
             at = at < 0 ? -at - 1 : at + 1;
             for (int i = 0; i < Math.min(names.size(), MOST_NEWS - 1); i++) {
-                cursor = names.get((at + i) % names.size());
-                page.add(others.get(cursor));
+                syncCursor = names.get((at + i) % names.size());
+                page.add(others.get(syncCursor));
             }
         }
         return page;
     }
 
-    /** Some that are there, drawn without a preference. */
-    private List<String> some(int most, Set<String> without) {
-        List<String> there = new ArrayList<>();
+    /** Names of up to {@code max} members that are present, drawn uniformly without replacement. */
+    private List<String> randomMembers(int max, Set<String> excluded) {
+        List<String> candidates = new ArrayList<>();
         others.values().forEach(s -> {
-            if (s.there() && !without.contains(s.name())) {
-                there.add(s.name());
+            if (s.there() && !excluded.contains(s.name())) {
+                candidates.add(s.name());
             }
         });
         List<String> drawn = new ArrayList<>();
-        while (drawn.size() < most && !there.isEmpty()) {
-            int i = chance.nextInt(there.size());
-            drawn.add(there.set(i, there.get(there.size() - 1)));
-            there.remove(there.size() - 1);
+        while (drawn.size() < max && !candidates.isEmpty()) {
+            int i = random.nextInt(candidates.size());
+            drawn.add(candidates.set(i, candidates.get(candidates.size() - 1)));
+            candidates.remove(candidates.size() - 1);
         }
         return drawn;
     }
 
-    private void say(String to, Gossip what, List<Step> steps) {
-        Standing s = others.get(to);
-        if (s != null) {
-            steps.add(new Step.Say(to, s.address(), what));
+    private void send(String to, Gossip message, List<Step> steps) {
+        Standing receiver = others.get(to);
+        if (receiver != null) {
+            steps.add(new Step.Say(to, receiver.address(), message));
         }
     }
 }
--- a/src/main/java/topazladder/membership/Standing.java
+++ b/src/main/java/topazladder/membership/Standing.java
@@ -1,22 +1,25 @@
 package topazladder.membership;
 
 /**
- * What is known of one member. Of two standings of one name the one that {@link #overrules} holds, so that it does
- * not matter in which order, how often or by whom they are told.
+ * One member's status as some member knows it. Of two statuses with the same name, the one that {@link #overrules} the
+ * other is kept, so updates may arrive in any order, any number of times and from any member.
  *
- * @param address where it listens
- * @param hall where it stands, or empty
- * @param life of its process; a later process of the name has a higher one
- * @param incarnation raised by the member alone, to refute what is said of it
- * @param steady whether it says that it serves as it should
- * @param by who suspects it by its own look, where it is suspected; else empty
+ * @param name stays the same through restarts
+ * @param address where the member listens
+ * @param hall the member's zone; empty for none
+ * @param life incarnation of the process; a later process with the same name has a higher one
+ * @param incarnation SWIM's incarnation number, which only the member itself raises, to refute what others say of it
+ *     or to publish a change
+ * @param steady whether the member reports that it serves as it should
+ * @param by name of the member whose own probe failed, if the state is SUSPECTED; otherwise empty
  */
 public record Standing(String name, String address, String hall, long life, long incarnation, State state,
         boolean steady, String by) {
 
-    /** In one incarnation the later one holds. */
+    /** Within one incarnation a later constant overrules an earlier one. */
     public enum State { ALIVE, SUSPECTED, GONE, LEFT }
 
+    /** Compares the process incarnation first, then SWIM's incarnation, then the state. */
     public boolean overrules(Standing other) {
         if (life != other.life) {
             return life > other.life;
@@ -26,13 +29,13 @@
         return state.compareTo(other.state) > 0;
     }
 
-    /** Whether it is one of the hall now, if only suspected. */
+    /** Whether the member still belongs to the cluster; a suspected member does. */
     public boolean there() {
         return state == State.ALIVE || state == State.SUSPECTED;
     }
 
-    public Standing as(State other) {
-        return new Standing(name, address, hall, life, incarnation, other, steady, "");
+    public Standing as(State newState) {
+        return new Standing(name, address, hall, life, incarnation, newState, steady, "");
     }
 
     public Standing suspectedBy(String whom) {
