--- a/src/main/java/topazladder/below/How.java
+++ b/src/main/java/topazladder/below/How.java
@@ -1,19 +1,19 @@
 package topazladder.below;
 
-/** What became of one call, as far as it tells of the server. */
+/** The outcome of one call, as far as it shows something about the endpoint's health. */
 public enum How {
-    /** It said something: one that turns away, or is too slow for this call, is there; that is the level's matter. */
+    /** The endpoint answered. A rejection or a late answer counts too: overload is handled by the admission level. */
     ANSWERED,
-    /** It said that it failed. */
+    /** The endpoint answered that it failed. */
     FAILED,
-    /** It could not be reached, so that the call surely did not run. */
+    /** The endpoint could not be reached, so the call certainly did not run. */
     REFUSED,
-    /** The connection ended with the call on it. */
+    /** The connection was lost while the call was in flight. */
     CUT,
-    /** It said nothing in the call's time. */
+    /** No answer came before the call timed out. */
     SILENT;
 
-    boolean failed() {
+    boolean isFailure() {
         return this != ANSWERED;
     }
 }
--- a/src/main/java/topazladder/below/Look.java
+++ b/src/main/java/topazladder/below/Look.java
@@ -1,10 +1,10 @@
 package topazladder.below;
 
-/** How a server below looks to one instance, by that instance's own calls alone. */
+/** Health of a dependency endpoint, as one instance judges it by its own calls alone. */
 public enum Look {
-    /** Too few calls of late to tell. */
+    /** Too few recent calls to tell. */
     UNTRIED,
     WELL,
-    /** Half of its calls or more come to nothing. */
+    /** At least half of the recent calls failed. */
     ILL
 }
--- a/src/main/java/topazladder/below/Report.java
+++ b/src/main/java/topazladder/below/Report.java
@@ -1,10 +1,11 @@
 package topazladder.below;
 
 /**
- * One server as one instance finds it; said to the group's leader with each ask.
+ * One instance's view of one dependency endpoint. The instance sends it to the leader of the consensus group with each
+ * of its lease requests.
  *
- * @param tried calls of late, half of them forgotten in some seconds
- * @param failed of these
+ * @param tried number of recent calls, decayed exponentially
+ * @param failed number of those that failed, decayed likewise
  */
 public record Report(String server, Look look, double tried, double failed) {
 }
--- a/src/main/java/topazladder/below/Use.java
+++ b/src/main/java/topazladder/below/Use.java
@@ -10,106 +10,119 @@
 import java.util.stream.Collectors;
 
 /**
- * One instance's use of the servers of one service below: which one a call goes to, how each looks by its calls, and
- * which are left out. What the hall has agreed on counts before what this instance finds. By itself it leaves a server
- * out only where the leader lets it, or within a small share while no leader speaks to it; and where most look ill it
- * leaves none out, as it is likelier its own way to them.
+ * Balances one instance's calls over the endpoints of its dependency, and detects outliers among them. Ejections that
+ * the cluster agreed on take precedence over what this instance observes. By itself it ejects an endpoint only with
+ * the leader's permission, or, while it hears from no leader, up to a small share of the endpoints. While most
+ * endpoints look unhealthy it ejects none: its own network path is then the likelier cause.
  *
- * <p>No I/O; all calls come on one thread.
+ * <p>No I/O; all calls come on one thread. Times are in seconds.
  */
 public class Use {
-    /** Seconds without the leader's word after which this instance can't ask. */
-    static final double ALONE_AFTER = 12;
-    /** Of the calls, those that may be made a second time elsewhere because the first surely did not run. */
-    private static final double REPEATS = 0.1;
-    private static final double MOST_REPEATS = 10;
+    /** Seconds without a directive of the leader after which this instance decides by itself. */
+    static final double LEADER_LOST_SECONDS = 12;
+    /** Retry budget: the part of a retry that each call earns, which bounds retries to a tenth of the calls. */
+    private static final double RETRIES_EARNED_PER_CALL = 0.1;
+    private static final double MAX_SAVED_RETRIES = 10;
 
-    /** Where a server stands for this instance. */
-    public enum State { IN_USE, OUT, RETURNING, OWN_OUT, OWN_RETURNING }
+    /** Whether and why this instance sends calls to an endpoint. */
+    public enum State {
+        IN_USE,
+        /** Ejected by the cluster. */
+        OUT,
+        /** In slow start after an ejection by the cluster. */
+        RETURNING,
+        /** Ejected by this instance alone. */
+        OWN_OUT,
+        /** In slow start after an ejection by this instance alone. */
+        OWN_RETURNING
+    }
 
     /**
-     * @param servers by name, in an order that stays
-     * @param alone share of the servers that one instance may leave out by itself
+     * Settings.
+     *
+     * @param servers names of the endpoints, in a fixed order
+     * @param alone largest share of the endpoints that one instance may eject by itself
      */
     public record Terms(List<String> servers, double alone) {
 
-        /** Servers that one may leave out by itself: none of two, as the other would have to bear it all. */
-        int most() {
+        /** Endpoints that one instance may eject by itself. None of two: the other would have to take all the load. */
+        int maxOwnEjections() {
             return servers.size() < 3 ? 0 : Math.max(1, (int) (alone * servers.size()));
         }
     }
 
-    private static final class Server {
+    private static final class Endpoint {
         private final String name;
-        private final Symptoms symptoms = new Symptoms();
+        private final EndpointHealthTracker health = new EndpointHealthTracker();
         private State state = State.IN_USE;
-        private double since;
+        private double stateSince;
         private long token;
-        private int tries; // by itself, that came to nothing
+        private int failedReturns; // from ejections by this instance alone
         private int inFlight;
 
-        Server(String name) {
+        Endpoint(String name) {
             this.name = name;
         }
     }
 
     private final Terms terms;
-    private final RandomGenerator chance;
-    private final List<Server> servers = new ArrayList<>();
-    private final Map<String, Server> byName = new HashMap<>();
-    private Set<String> avoidable = Set.of();
-    private double toldAt = Double.NEGATIVE_INFINITY;
-    private double bornAt = Double.NaN;
+    private final RandomGenerator random;
+    private final List<Endpoint> endpoints = new ArrayList<>();
+    private final Map<String, Endpoint> byName = new HashMap<>();
+    private Set<String> ejectionPermitted = Set.of(); // by the leader, for this instance alone
+    private double leaderHeardAt = Double.NEGATIVE_INFINITY;
+    private double firstUsedAt = Double.NaN;
     private long term;
-    private double mostUntil = Double.NEGATIVE_INFINITY;
-    private double repeats = MOST_REPEATS;
-    private Map<String, Look> said = Map.of();
+    private double aftermathUntil = Double.NEGATIVE_INFINITY;
+    private double savedRetries = MAX_SAVED_RETRIES;
+    private Map<String, Look> reportedLooks = Map.of();
 
-    public Use(Terms terms, RandomGenerator chance) {
+    public Use(Terms terms, RandomGenerator random) {
         this.terms = terms;
-        this.chance = chance;
+        this.random = random;
         for (String name : terms.servers()) {
-            Server s = new Server(name);
-            servers.add(s);
-            byName.put(name, s);
+            Endpoint endpoint = new Endpoint(name);
+            endpoints.add(endpoint);
+            byName.put(name, endpoint);
         }
     }
 
     // ---- calls
 
     /**
-     * The server that a call goes to: of two drawn by their parts the one with less in hand for its part.
+     * Chooses the endpoint for a call: of two drawn at random by weight, the one with fewer calls in flight relative
+     * to its weight. The call counts as in flight until {@link #ended} or {@link #dropped}.
      *
-     * @param not one that the call has been to, or -1
-     * @return its place among the servers, or -1 where none is left
+     * @param not index of an endpoint that the call has already been to, or -1
+     * @return the index of the endpoint, or -1 if none is available
      */
     public int pick(double now, int not) {
-        turn(now);
-        double[] parts = new double[servers.size()];
+        updateStates(now);
+        double[] weights = new double[endpoints.size()];
         double sum = 0;
-        for (int i = 0; i < parts.length; i++) {
-            parts[i] = i == not ? 0 : part(now, servers.get(i));
-            sum += parts[i];
+        for (int i = 0; i < weights.length; i++) {
+            weights[i] = i == not ? 0 : weight(now, endpoints.get(i));
+            sum += weights[i];
         }
         if (sum <= 0) {
             return -1;
         }
-        int one = drawn(parts, sum);
-        int other = drawn(parts, sum);
-        Server a = servers.get(one);
-        Server b = servers.get(other);
-        int best = a.inFlight / parts[one] <= b.inFlight / parts[other] ? one : other;
-        servers.get(best).inFlight++;
-        return best;
+        int first = draw(weights, sum);
+        int second = draw(weights, sum);
+        double firstLoad = endpoints.get(first).inFlight / weights[first];
+        double secondLoad = endpoints.get(second).inFlight / weights[second];
+        int chosen = firstLoad <= secondLoad ? first : second;
+        endpoints.get(chosen).inFlight++;
+        return chosen;
     }
 
-    private int drawn(double[] parts, double sum) {
-        double x = chance.nextDouble() * sum;
+    private int draw(double[] weights, double sum) {
+        double x = random.nextDouble() * sum;
         int last = -1;
-        for (int i = 0; i < parts.length; i++) {
-            if (parts[i] > 0) {
+        for (int i = 0; i < weights.length; i++) {
+            if (weights[i] > 0) {
                 last = i;
-                x -= parts[i];
+                x -= weights[i];
                 if (x < 0) {
                     break;
                 }
@@ -118,153 +131,179 @@
         return last;
     }
 
-    /** What became of a call that went there. */
+    /** Records the outcome of a call to an endpoint. */
     public void ended(double now, int server, How how) {
-        Server s = servers.get(server);
-        s.inFlight = Math.max(0, s.inFlight - 1);
-        s.symptoms.add(now, how);
-        repeats = Math.min(MOST_REPEATS, repeats + REPEATS);
-        turn(now);
+        Endpoint endpoint = endpoints.get(server);
+        endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
+        endpoint.health.add(now, how);
+        savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + RETRIES_EARNED_PER_CALL);
+        updateStates(now);
     }
 
-    /** The call was given up before it told anything of the server. */
+    /** Records that a call was abandoned before it showed anything about the endpoint. */
     public void dropped(int server) {
-        servers.get(server).inFlight = Math.max(0, servers.get(server).inFlight - 1);
+        Endpoint endpoint = endpoints.get(server);
+        endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
     }
 
-    /** Whether a call that surely did not run may go to another server; a few of many may, or a storm would feed. */
+    /**
+     * Takes a retry from the budget, for a call that certainly did not run. The budget keeps retries from feeding a
+     * retry storm.
+     *
+     * @return whether the call may go to another endpoint
+     */
     public boolean mayRepeat() {
-        if (repeats < 1) {
+        if (savedRetries < 1) {
             return false;
         }
-        repeats--;
+        savedRetries--;
         return true;
     }
 
-    /** Of its usual part, what a server is given now. */
-    private double part(double now, Server s) {
-        return switch (s.state) {
+    /** Current share of its usual load that an endpoint gets. */
+    private double weight(double now, Endpoint endpoint) {
+        return switch (endpoint.state) {
             case IN_USE -> 1;
             case OUT, OWN_OUT -> 0;
-            case RETURNING, OWN_RETURNING -> ramp(now - s.since);
+            case RETURNING, OWN_RETURNING -> ramp(now - endpoint.stateSince);
         };
     }
 
+    /** Share of its usual load that an endpoint gets after so many seconds of slow start. */
     protected double ramp(double seconds) {
-        return Ramp.part(seconds);
+        return SlowStart.fraction(seconds);
     }
 
-    // ---- what is left out
+    // ---- ejections
 
-    /** The leader's word about all servers; one of an earlier term says nothing against a later one's. */
+    /**
+     * Applies the leader's directives about all endpoints; those of an earlier term are ignored.
+     *
+     * @param of term of the leader
+     */
     public void told(double now, long of, List<Word> words) {
         if (of < term) {
             return;
         }
         term = of;
-        toldAt = now;
+        leaderHeardAt = now;
         Map<String, Word> agreed = new HashMap<>();
         words.stream().filter(w -> w.kind() != Word.Kind.AVOID).forEach(w -> agreed.put(w.server(), w));
-        avoidable = words.stream().filter(w -> w.kind() == Word.Kind.AVOID).map(Word::server)
+        ejectionPermitted = words.stream().filter(w -> w.kind() == Word.Kind.AVOID).map(Word::server)
                 .collect(Collectors.toSet());
-        for (Server s : servers) {
-            Word w = agreed.get(s.name);
-            if (w == null) {
-                if (s.state == State.OUT || s.state == State.RETURNING) {
-                    into(s, State.IN_USE, now);
+        for (Endpoint endpoint : endpoints) {
+            Word word = agreed.get(endpoint.name);
+            if (word == null) {
+                if (endpoint.state == State.OUT || endpoint.state == State.RETURNING) {
+                    enter(endpoint, State.IN_USE, now);
                 }
-            } else if (w.kind() == Word.Kind.OUT) {
-                if (s.state != State.OUT) {
-                    into(s, State.OUT, now - w.age());
+            } else if (word.kind() == Word.Kind.OUT) {
+                if (endpoint.state != State.OUT) {
+                    enter(endpoint, State.OUT, now - word.age());
                 }
-            } else if (s.state != State.RETURNING || s.token != w.token() || now - w.age() > s.since + 1) {
-                s.symptoms.forget();
-                into(s, State.RETURNING, now - w.age());
+            } else if (endpoint.state != State.RETURNING || endpoint.token != word.token()
+                    || now - word.age() > endpoint.stateSince + 1) {
+                endpoint.health.reset();
+                enter(endpoint, State.RETURNING, now - word.age());
             }
-            s.token = w == null ? 0 : w.token();
+            endpoint.token = word == null ? 0 : word.token();
         }
-        turn(now);
+        updateStates(now);
     }
 
-    /** What time and its own calls bring. */
-    private void turn(double now) {
+    /** Makes the transitions that follow from elapsed time and this instance's own calls. */
+    private void updateStates(double now) {
         boolean mostIll = mostIll(now);
         if (mostIll) {
-            mostUntil = now + Verdicts.AFTER_MOST;
+            aftermathUntil = now + Verdicts.AFTERMATH_SECONDS;
         }
-        boolean mayBeARest = now < mostUntil;
-        for (Server s : servers) {
-            Look look = s.symptoms.look(now);
-            boolean may = mayLeaveOut(avoidable.contains(s.name), alone(now), servers.stream().filter(o -> o != s
-                    && o.state != State.IN_USE).count());
-            if (s.state == State.IN_USE && look == Look.ILL && !mayBeARest && may) {
-                into(s, State.OWN_OUT, now);
-            } else if (s.state == State.OWN_OUT && (now - s.since >= Waits.seconds(s.tries) || mostIll || !may)) {
-                // Its time is over; or a leader speaks again, and what was left out alone is the hall's to decide.
-                s.symptoms.forget();
-                into(s, State.OWN_RETURNING, now);
-            } else if (s.state == State.OWN_RETURNING && look == Look.ILL && !mostIll && may) {
-                s.tries++;
-                into(s, State.OWN_OUT, now);
-            } else if (s.state == State.OWN_RETURNING && now - s.since >= Ramp.whole()) {
-                s.tries = 0;
-                into(s, State.IN_USE, now);
+        boolean inAftermath = now < aftermathUntil;
+        for (Endpoint endpoint : endpoints) {
+            Look look = endpoint.health.look(now);
+            long othersEjected = endpoints.stream().filter(e -> e != endpoint && e.state != State.IN_USE).count();
+            boolean mayEject = mayLeaveOut(ejectionPermitted.contains(endpoint.name), alone(now), othersEjected);
+            if (endpoint.state == State.IN_USE && look == Look.ILL && !inAftermath && mayEject) {
+                enter(endpoint, State.OWN_OUT, now);
+            } else if (endpoint.state == State.OWN_OUT
+                    && (now - endpoint.stateSince >= EjectionBackoff.seconds(endpoint.failedReturns) || mostIll
+                            || !mayEject)) {
+                // The backoff is over, or the permission: a leader is heard again, and decides what stays ejected.
+                endpoint.health.reset();
+                enter(endpoint, State.OWN_RETURNING, now);
+            } else if (endpoint.state == State.OWN_RETURNING && look == Look.ILL && !mostIll && mayEject) {
+                endpoint.failedReturns++;
+                enter(endpoint, State.OWN_OUT, now);
+            } else if (endpoint.state == State.OWN_RETURNING
+                    && now - endpoint.stateSince >= SlowStart.durationSeconds()) {
+                endpoint.failedReturns = 0;
+                enter(endpoint, State.IN_USE, now);
             }
         }
     }
 
-    /** Where the leader lets it; or by itself where none speaks to it, within its own share. */
+    /**
+     * Whether this instance may eject an endpoint by itself.
+     *
+     * @param allowed whether the leader permits it
+     * @param alone whether this instance hears from no leader
+     * @param leftOut number of other endpoints that are not in full use
+     */
     protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
-        return allowed || alone && leftOut < terms.most();
+        return allowed || alone && leftOut < terms.maxOwnEjections();
     }
 
-    /** Whether no leader has spoken for so long that it can't be asked. */
+    /** Whether no leader was heard for so long that this instance decides by itself. */
     public boolean alone(double now) {
-        bornAt = Double.isNaN(bornAt) ? now : bornAt; // one that has just started has not been told yet
-        return now - Math.max(bornAt, toldAt) > ALONE_AFTER;
+        firstUsedAt = Double.isNaN(firstUsedAt) ? now : firstUsedAt; // a new instance has yet to hear from the leader
+        return now - Math.max(firstUsedAt, leaderHeardAt) > LEADER_LOST_SECONDS;
     }
 
     private boolean mostIll(double now) {
-        long ill = servers.stream().filter(s -> s.state == State.OWN_OUT || s.state == State.OUT
-                || s.symptoms.look(now) == Look.ILL).count();
-        long known = servers.stream().filter(s -> s.state == State.OWN_OUT || s.state == State.OUT
-                || s.symptoms.look(now) != Look.UNTRIED).count();
-        return tooMany(ill, known);
+        long ill = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) == Look.ILL).count();
+        long tried = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) != Look.UNTRIED).count();
+        return tooMany(ill, tried);
+    }
+
+    private static boolean isEjected(Endpoint endpoint) {
+        return endpoint.state == State.OWN_OUT || endpoint.state == State.OUT;
     }
 
-    /** Past that it is likelier the one who looks. */
+    /** Whether so many endpoints look unhealthy that this instance or its network path is the likelier cause. */
     protected boolean tooMany(long ill, long known) {
         return 2 * ill > known;
     }
 
-    private static void into(Server s, State next, double since) {
-        s.state = next;
-        s.since = since;
+    private static void enter(Endpoint endpoint, State state, double since) {
+        endpoint.state = state;
+        endpoint.stateSince = since;
     }
 
-    // ---- what is said
+    // ---- reports
 
-    /** How each server looks from here. */
+    /** This instance's view of all endpoints, for the leader. */
     public List<Report> reports(double now) {
-        List<Report> all = new ArrayList<>();
+        List<Report> reports = new ArrayList<>();
         Map<String, Look> looks = new HashMap<>();
-        for (Server s : servers) {
-            Report r = s.symptoms.report(now, s.name);
-            // What this instance leaves out by itself it still holds for ill: it would be told that all is well.
-            all.add(s.state == State.OWN_OUT ? new Report(s.name, Look.ILL, Math.max(r.tried(), 1), r.failed()) : r);
-            looks.put(s.name, all.get(all.size() - 1).look());
+        for (Endpoint endpoint : endpoints) {
+            Report observed = endpoint.health.report(now, endpoint.name);
+            // An endpoint ejected here gets no calls and would soon be reported as untried, which hides the failure.
+            Report report = endpoint.state == State.OWN_OUT
+                    ? new Report(endpoint.name, Look.ILL, Math.max(observed.tried(), 1), observed.failed())
+                    : observed;
+            reports.add(report);
+            looks.put(endpoint.name, report.look());
         }
-        said = looks;
-        return all;
+        reportedLooks = looks;
+        return reports;
     }
 
-    /** Whether a server looks otherwise than when the leader was last told: it should hear of it at once. */
+    /** Whether an endpoint became unhealthy, or ceased to be, since the last {@link #reports}. */
     public boolean news(double now) {
-        turn(now);
-        return servers.stream().anyMatch(s -> {
-            Look is = s.state == State.OWN_OUT ? Look.ILL : s.symptoms.look(now);
-            Look was = said.getOrDefault(s.name, Look.UNTRIED);
-            return is == Look.ILL != (was == Look.ILL);
+        updateStates(now);
+        return endpoints.stream().anyMatch(endpoint -> {
+            Look current = endpoint.state == State.OWN_OUT ? Look.ILL : endpoint.health.look(now);
+            Look reported = reportedLooks.getOrDefault(endpoint.name, Look.UNTRIED);
+            return current == Look.ILL != (reported == Look.ILL);
         });
     }
 
@@ -276,10 +315,10 @@
         return terms;
     }
 
-    /** For operators: each server with where it stands and how it looks. */
+    /** State, health and calls in flight of each endpoint by name, for operators. */
     public Map<String, String> told(double now) {
-        Map<String, String> all = new TreeMap<>();
-        servers.forEach(s -> all.put(s.name, s.state + " " + s.symptoms.look(now) + " in hand " + s.inFlight));
-        return all;
+        Map<String, String> described = new TreeMap<>();
+        endpoints.forEach(e -> described.put(e.name, e.state + " " + e.health.look(now) + " in hand " + e.inFlight));
+        return described;
     }
 }
--- a/src/main/java/topazladder/below/Verdicts.java
+++ b/src/main/java/topazladder/below/Verdicts.java
@@ -19,305 +19,326 @@
 import topazladder.disruption.DisruptionTarget;
 
 /**
- * What the group's leader makes of how the servers below look to all instances: which one the hall should leave out,
- * which is tried again, which is back; and which instance may leave one out for itself. What it makes of it is
- * proposed, the ledger of outs checks the budgets, and what was heard is lost with the leader: the next one hears it
- * all within one ask of each.
+ * Outlier detection at the leader of the consensus group. From the reports of all instances it decides which dependency
+ * endpoints the cluster ejects, tries again and takes back, and which instances may eject an endpoint for themselves.
+ * Its decisions are proposed as commands, and the replicated state machine checks the disruption budgets. The reports
+ * are not replicated: a new leader gets them all again with the next request of each instance.
  *
- * <p>A server is ill where most of those that call it find it so. One who finds most servers ill is not believed about
- * any: it is likelier its own link. Where most servers look ill to those that are believed, none is treated as out:
- * it is likelier something that lies between.
+ * <p>An endpoint is unhealthy if most of the instances that call it find it so. An instance that finds most endpoints
+ * unhealthy is ignored, as its own network path is the likelier cause. While most endpoints look unhealthy to the
+ * remaining instances, none is ejected: the cause likely lies in between.
+ *
+ * <p>All calls come on one thread; times are seconds by the leader's clock.
  */
 public class Verdicts {
-    /** Seconds after which what an instance said is not believed any more. */
-    static final double STALE = 15;
-    /** Watchers that have to agree, where there are as many. */
-    private static final int LEAST_WATCHERS = 2;
-    /** Seconds for which watchers have to agree: one that is stalled for a moment finds all of them silent. */
-    private static final double SURE_AFTER = 0.5;
+    /** Seconds after which an instance's reports are dropped. */
+    static final double REPORT_VALIDITY_SECONDS = 15;
+    /** Observers that must find an endpoint unhealthy, if there are that many. */
+    private static final int MIN_OBSERVERS = 2;
+    /** Seconds for which observers must agree: one that stalls for a moment finds all endpoints silent. */
+    private static final double CONFIRMATION_SECONDS = 0.5;
     /**
-     * Seconds for which what looks ill behind a trouble of most may be a rest of that: it is forgotten at one server
-     * sooner than at another, by chance.
+     * Seconds without ejections after most endpoints looked unhealthy. The failures of that time decay sooner for some
+     * endpoints than for others, by chance, so those that lag behind would look like outliers.
      */
-    static final double AFTER_MOST = 4;
-    private static final String BY = "symptoms";
+    static final double AFTERMATH_SECONDS = 4;
+    private static final String REQUESTER = "symptoms";
 
     private static final Logger LOG = LoggerFactory.getLogger(Verdicts.class);
 
-    private record Heard(double at, Map<String, Report> reports) {
+    /** The latest reports of one instance, by endpoint. */
+    private record InstanceReports(double receivedAt, Map<String, Report> byEndpoint) {
 
-        /** Whether it tells something of servers, and not of itself. */
-        boolean believed() {
-            long tried = reports.values().stream().filter(r -> r.look() != Look.UNTRIED).count();
-            long ill = reports.values().stream().filter(r -> r.look() == Look.ILL).count();
-            // One that has tried a single server yet, and found it ill, may be one that finds them all so.
-            return reports.size() < 2 || 2 * ill <= tried;
+        /** Whether the reports tell something about the endpoints, and not about the instance itself. */
+        boolean isCredible() {
+            long tried = byEndpoint.values().stream().filter(r -> r.look() != Look.UNTRIED).count();
+            long ill = byEndpoint.values().stream().filter(r -> r.look() == Look.ILL).count();
+            // An instance that has tried one of several endpoints, and found it unhealthy, may find all of them so.
+            return byEndpoint.size() < 2 || 2 * ill <= tried;
         }
     }
 
-    /** What all watchers together find. */
-    private record Count(int ill, int well) {
+    /** Numbers of credible instances that find an endpoint unhealthy and healthy. */
+    private record Votes(int ill, int well) {
+        private static final Votes NONE = new Votes(0, 0);
 
-        int tried() {
+        int total() {
             return ill + well;
         }
     }
 
-    private final DisruptionStateMachine ledger;
-    private final Map<String, Heard> heard = new TreeMap<>(); // by watcher; forgotten once stale
-    private final Map<String, Double> illSince = new HashMap<>(); // by server
-    private final Map<DisruptionTarget, Double> since = new HashMap<>(); // of each phase, by this leader's clock
+    private final DisruptionStateMachine stateMachine;
+    private final Map<String, InstanceReports> reportsByInstance = new TreeMap<>(); // dropped when no longer valid
+    private final Map<String, Double> illSince = new HashMap<>(); // by endpoint
+    private final Map<DisruptionTarget, Double> phaseSince = new HashMap<>(); // by this leader's clock
     private final Map<DisruptionTarget, Phase> phases = new HashMap<>();
-    private final Map<DisruptionTarget, DisruptionCommand> pending = new HashMap<>();
-    private final Map<String, Set<String>> avoiding = new HashMap<>(); // by server, the watchers that may
+    private final Map<DisruptionTarget, DisruptionCommand> commandsInFlight = new HashMap<>();
+    private final Map<String, Set<String>> permittedEjections = new HashMap<>(); // by endpoint: names of the instances
     private boolean leading;
-    private double mostUntil = Double.NEGATIVE_INFINITY;
-    private long asks;
+    private double aftermathUntil = Double.NEGATIVE_INFINITY;
+    private long requestCount;
 
-    public Verdicts(DisruptionStateMachine ledger) {
-        this.ledger = ledger;
+    public Verdicts(DisruptionStateMachine stateMachine) {
+        this.stateMachine = stateMachine;
     }
 
+    /** This voter leads from now on. */
     public void lead(double now) {
         leading = true;
-        heard.clear();
+        reportsByInstance.clear();
         illSince.clear();
-        since.clear();
+        phaseSince.clear();
         phases.clear();
-        pending.clear();
-        avoiding.clear();
-        asks = 0;
-        // Nobody knows whether most were ill when the leader before this one ended.
-        mostUntil = now + AFTER_MOST / 2;
+        commandsInFlight.clear();
+        permittedEjections.clear();
+        requestCount = 0;
+        // Most endpoints may have looked unhealthy to the previous leader.
+        aftermathUntil = now + AFTERMATH_SECONDS / 2;
     }
 
+    /** This voter does not lead any more. */
     public void resign() {
         leading = false;
     }
 
-    /** One instance's reports; it calls no server where there are none. */
+    /** Takes the reports of one instance; empty if it calls no endpoints. */
     public void says(double now, String watcher, List<Report> reports) {
         if (!leading || reports.isEmpty()) {
             return;
         }
-        Map<String, Report> all = new TreeMap<>();
-        reports.forEach(r -> all.put(r.server(), r));
-        heard.put(watcher, new Heard(now, all));
+        Map<String, Report> byEndpoint = new TreeMap<>();
+        reports.forEach(r -> byEndpoint.put(r.server(), r));
+        reportsByInstance.put(watcher, new InstanceReports(now, byEndpoint));
     }
 
-    /** Whether the instance calls servers below, and so wants to be told of them. */
+    /** Whether the instance has reported lately, and so needs the leader's directives. */
     public boolean watches(String watcher) {
-        return heard.containsKey(watcher);
+        return reportsByInstance.containsKey(watcher);
     }
 
-    /** An operation was applied, or nobody knows whether it was. */
+    /** A proposed command was applied, or its fate is unknown. */
     public void over(DisruptionCommand op) {
-        pending.values().removeIf(op::equals);
+        commandsInFlight.values().removeIf(op::equals);
     }
 
-    /** What time and reports bring, to be proposed. */
+    /** Evaluates the reports; returns the commands to propose. */
     public List<DisruptionCommand> tick(double now) {
-        List<DisruptionCommand> ops = new ArrayList<>();
+        List<DisruptionCommand> commands = new ArrayList<>();
         if (!leading) {
-            return ops;
+            return commands;
         }
-        heard.values().removeIf(h -> now - h.at() > STALE);
-        Map<String, Count> counts = counts();
-        follow(now, counts);
-        know(counts.keySet(), ops);
+        reportsByInstance.values().removeIf(reports -> now - reports.receivedAt() > REPORT_VALIDITY_SECONDS);
+        Map<String, Votes> votes = countVotes();
+        trackPhases(now, votes);
+        registerEndpoints(votes.keySet(), commands);
         Set<String> ill = new HashSet<>();
-        counts.forEach((server, c) -> {
-            if (ill(c.ill(), c.tried(), heard.size())) {
-                ill.add(server);
-                illSince.putIfAbsent(server, now);
+        votes.forEach((endpoint, v) -> {
+            if (ill(v.ill(), v.total(), reportsByInstance.size())) {
+                ill.add(endpoint);
+                illSince.putIfAbsent(endpoint, now);
             } else {
-                illSince.remove(server);
+                illSince.remove(endpoint);
             }
         });
-        Set<String> lookIll = new HashSet<>(ill);
-        // What is out is tried by nobody, and so counts as it was when it went.
-        ledger.disruptions().stream()
-                .filter(o -> o.target().kind() == DisruptionTarget.Kind.DEPENDENCY && o.reason() == Reason.ILL
-                        && (o.phase() == Phase.GRANTED || o.phase() == Phase.GONE))
-                .forEach(o -> lookIll.add(
-                        o.target()
-                                .name()));
-        long strange = heard.values().stream().filter(h -> !h.believed()).count();
-        boolean most = tooMany(lookIll.size(), counts.size()) || tooMany((int) strange, heard.size());
-        if (most) {
-            mostUntil = now + AFTER_MOST;
+        Set<String> illOrEjected = new HashSet<>(ill);
+        // An ejected endpoint gets no calls, so it counts as it was when it was ejected.
+        stateMachine.disruptions().stream()
+                .filter(d -> d.target().kind() == DisruptionTarget.Kind.DEPENDENCY && d.reason() == Reason.ILL
+                        && (d.phase() == Phase.GRANTED || d.phase() == Phase.GONE))
+                .forEach(d -> illOrEjected.add(d.target().name()));
+        long notCredible = reportsByInstance.values().stream().filter(reports -> !reports.isCredible()).count();
+        boolean mostIll = tooMany(illOrEjected.size(), votes.size())
+                || tooMany((int) notCredible, reportsByInstance.size());
+        if (mostIll) {
+            aftermathUntil = now + AFTERMATH_SECONDS;
         }
-        // Also of one that nobody speaks of, as behind an election: what was asked for by then has no reason any more.
-        ledger.disruptions().stream().filter(o -> o.target().kind() == DisruptionTarget.Kind.DEPENDENCY)
-                .forEach(o -> counts.putIfAbsent(
-                        o.target().name(), new Count(0, 0)));
-        counts.forEach((server, c) -> decide(now, server, c, ill.contains(server), most, ops));
-        avoid(counts, ill, most);
-        return ops;
+        // Includes endpoints that nobody reports, as after an election: a waiting request may have lost its reason.
+        stateMachine.disruptions().stream().filter(d -> d.target().kind() == DisruptionTarget.Kind.DEPENDENCY)
+                .forEach(d -> votes.putIfAbsent(d.target().name(), Votes.NONE));
+        votes.forEach((endpoint, v) -> decide(now, endpoint, v, ill.contains(endpoint), mostIll, commands));
+        permitEjections(votes, ill, mostIll);
+        return commands;
     }
 
-    private void decide(double now, String server, Count c, boolean ill, boolean most, List<DisruptionCommand> ops) {
-        DisruptionTarget s = subject(server);
-        Disruption out = ledger.get(s);
-        double held = now - since.getOrDefault(s, now);
-        if (out == null) {
-            if (ill && !most && now >= mostUntil && now - illSince.get(server) >= SURE_AFTER) {
-                propose(new DisruptionCommand.Request(s, Reason.ILL, BY + ' ' + server + ' ' + ++asks, BY), s, ops);
+    private void decide(double now, String endpoint, Votes votes, boolean ill, boolean mostIll,
+            List<DisruptionCommand> commands) {
+        DisruptionTarget target = target(endpoint);
+        Disruption disruption = stateMachine.get(target);
+        double inPhase = now - phaseSince.getOrDefault(target, now);
+        if (disruption == null) {
+            if (ill && !mostIll && now >= aftermathUntil && now - illSince.get(endpoint) >= CONFIRMATION_SECONDS) {
+                String requestId = REQUESTER + ' ' + endpoint + ' ' + ++requestCount;
+                propose(new DisruptionCommand.Request(target, Reason.ILL, requestId, REQUESTER), target, commands);
             }
             return;
         }
-        switch (out.phase()) {
+        switch (disruption.phase()) {
             case ASKED -> {
-                // No reason any more, or one too many: whoever waits in vain would go when it is well again.
-                if (out.reason() == Reason.ILL && (!ill || most)) {
-                    propose(new DisruptionCommand.Withdraw(s, out.requestId()), s, ops);
+                // The reason is gone, or this is one of too many; left waiting, it would be ejected once it is well.
+                if (disruption.reason() == Reason.ILL && (!ill || mostIll)) {
+                    propose(new DisruptionCommand.Withdraw(target, disruption.requestId()), target, commands);
                 }
             }
             case GRANTED, GONE -> {
-                if (out.reason() == Reason.ILL && (held >= Waits.seconds(out.incarnation()) || most)) {
-                    propose(new DisruptionCommand.Rejoin(s), s, ops);
+                if (disruption.reason() == Reason.ILL
+                        && (inPhase >= EjectionBackoff.seconds(disruption.incarnation()) || mostIll)) {
+                    propose(new DisruptionCommand.Rejoin(target), target, commands);
                 }
             }
             case RETURNING -> {
-                if (ill && !most && held >= SURE_AFTER) {
-                    propose(new DisruptionCommand.Lost(s, out.incarnation()), s, ops);
-                } else if (held >= Ramp.whole() && 2 * c.well() >= c.tried()) {
-                    propose(new DisruptionCommand.Steady(s), s, ops);
+                if (ill && !mostIll && inPhase >= CONFIRMATION_SECONDS) {
+                    propose(new DisruptionCommand.Lost(target, disruption.incarnation()), target, commands);
+                } else if (inPhase >= SlowStart.durationSeconds() && 2 * votes.well() >= votes.total()) {
+                    propose(new DisruptionCommand.Steady(target), target, commands);
                 }
             }
-            default -> throw new IllegalStateException("no phase of a server: " + out.phase());
+            default -> throw new IllegalStateException("dependency endpoint '" + endpoint + "' is in phase "
+                    + disruption.phase() + "; expected ASKED, GRANTED, GONE or RETURNING");
         }
     }
 
-    /** Most of those that call it, and never one alone where there are more who could. */
+    /**
+     * Whether an endpoint counts as unhealthy: most of the instances that call it find it so, and not a single one
+     * where there are more observers.
+     *
+     * @param ill instances that find it unhealthy
+     * @param tried instances that have a judgement of it
+     * @param watchers instances that report
+     */
     protected boolean ill(int ill, int tried, int watchers) {
-        return ill > 0 && 2 * ill > tried && ill >= Math.min(LEAST_WATCHERS, watchers);
+        return ill > 0 && 2 * ill > tried && ill >= Math.min(MIN_OBSERVERS, watchers);
     }
 
-    /** Past that it is likelier something between. */
+    /** Whether so many look unhealthy that the cause likely lies between instances and endpoints. */
     protected boolean tooMany(int ill, int servers) {
         return 2 * ill > servers;
     }
 
-    /** Whether a watcher's word counts at all. */
+    /** Whether an instance's reports count; overridden to inject a defect. */
     protected boolean believed(boolean tellsOfServers) {
         return tellsOfServers;
     }
 
-    private Map<String, Count> counts() {
-        Map<String, Count> counts = new TreeMap<>();
-        for (Heard h : heard.values()) {
-            boolean believed = believed(h.believed());
-            h.reports().forEach((server, r) -> {
-                int ill = believed && r.look() == Look.ILL ? 1 : 0;
-                int well = believed && r.look() == Look.WELL ? 1 : 0;
-                counts.merge(server, new Count(ill, well), (a, b) -> new Count(a.ill() + b.ill(), a.well() + b.well()));
+    private Map<String, Votes> countVotes() {
+        Map<String, Votes> votes = new TreeMap<>();
+        for (InstanceReports reports : reportsByInstance.values()) {
+            boolean credible = believed(reports.isCredible());
+            reports.byEndpoint().forEach((endpoint, r) -> {
+                int ill = credible && r.look() == Look.ILL ? 1 : 0;
+                int well = credible && r.look() == Look.WELL ? 1 : 0;
+                votes.merge(endpoint, new Votes(ill, well),
+                        (a, b) -> new Votes(a.ill() + b.ill(), a.well() + b.well()));
             });
         }
-        return counts;
+        return votes;
     }
 
-    /** Since when each is in its phase, by this leader's clock; after an election that is a little later. */
-    private void follow(double now, Map<String, Count> counts) {
-        Set<DisruptionTarget> there = new HashSet<>();
-        for (Disruption o : ledger.disruptions()) {
-            if (o.target().kind() == DisruptionTarget.Kind.DEPENDENCY) {
-                there.add(o.target());
-                if (phases.put(o.target(), o.phase()) != o.phase()) {
-                    since.put(o.target(), now);
-                    Count c = counts.getOrDefault(o.target().name(), new Count(0, 0));
-                    LOG.info("{} is {} for {}: found ill by {} and well by {} of {}", o.target(), o.phase(), o.reason(),
-                            c.ill(), c.well(), heard.size());
+    /** Records when each phase began by this leader's clock; after an election that is a little late. */
+    private void trackPhases(double now, Map<String, Votes> votes) {
+        Set<DisruptionTarget> disrupted = new HashSet<>();
+        for (Disruption disruption : stateMachine.disruptions()) {
+            DisruptionTarget target = disruption.target();
+            if (target.kind() == DisruptionTarget.Kind.DEPENDENCY) {
+                disrupted.add(target);
+                if (phases.put(target, disruption.phase()) != disruption.phase()) {
+                    phaseSince.put(target, now);
+                    Votes v = votes.getOrDefault(target.name(), Votes.NONE);
+                    LOG.info("dependency endpoint changed phase endpoint={} phase={} reason={} unhealthy-votes={}"
+                            + " healthy-votes={} observers={}", target.name(), disruption.phase(),
+                            disruption.reason(), v.ill(), v.well(), reportsByInstance.size());
                 }
             }
         }
-        phases.keySet().stream().filter(s -> !there.contains(s)).forEach(s -> LOG.info("{} is in use again", s));
-        phases.keySet().retainAll(there);
-        since.keySet().retainAll(there);
+        phases.keySet().stream().filter(target -> !disrupted.contains(target))
+                .forEach(target -> LOG.info("dependency endpoint back in use endpoint={}", target.name()));
+        phases.keySet().retainAll(disrupted);
+        phaseSince.keySet().retainAll(disrupted);
     }
 
-    /** A share of what there is has to know what there is. */
-    private void know(Set<String> servers, List<DisruptionCommand> ops) {
-        for (String server : servers) {
-            DisruptionTarget s = subject(server);
-            if (!ledger.capacities().containsKey(s)) {
-                propose(new DisruptionCommand.SetCapacity(s, 0), s, ops);
+    /** Makes the endpoints known to the state machine: a budget that is a share needs their number. */
+    private void registerEndpoints(Set<String> endpoints, List<DisruptionCommand> commands) {
+        for (String endpoint : endpoints) {
+            DisruptionTarget target = target(endpoint);
+            if (!stateMachine.capacities().containsKey(target)) {
+                propose(new DisruptionCommand.SetCapacity(target, 0), target, commands);
             }
         }
     }
 
     /**
-     * Who finds one ill that the others find well may leave it out for itself, as long as all that is left out so adds
-     * up to less than the budgets have room for: what many leave out one by one is out all the same.
+     * Permits instances to eject, for themselves, endpoints that the others find healthy. Each permission counts as
+     * one instance's share of an endpoint, and together they stay within the remaining budget: an endpoint that many
+     * instances eject one by one is as unavailable as one that the cluster ejects.
      */
-    private void avoid(Map<String, Count> counts, Set<String> ill, boolean most) {
-        avoiding.clear();
-        if (most) {
+    private void permitEjections(Map<String, Votes> votes, Set<String> ill, boolean mostIll) {
+        permittedEjections.clear();
+        if (mostIll) {
             return;
         }
-        double room = room();
+        double remaining = remainingBudget();
         double used = 0;
-        for (Map.Entry<String, Heard> h : heard.entrySet()) {
-            if (!h.getValue().believed()) {
+        for (Map.Entry<String, InstanceReports> e : reportsByInstance.entrySet()) {
+            if (!e.getValue().isCredible()) {
                 continue;
             }
-            for (Report r : h.getValue().reports().values()) {
-                double part = 1.0 / heard.size();
-                if (r.look() == Look.ILL && !ill.contains(r.server()) && ledger.get(subject(r.server())) == null
-                        && used + part <= room + 1e-9) {
-                    used += part;
-                    avoiding.computeIfAbsent(r.server(), n -> new TreeSet<>()).add(h.getKey());
+            for (Report r : e.getValue().byEndpoint().values()) {
+                double share = 1.0 / reportsByInstance.size();
+                if (r.look() == Look.ILL && !ill.contains(r.server()) && stateMachine.get(target(r.server())) == null
+                        && used + share <= remaining + 1e-9) {
+                    used += share;
+                    permittedEjections.computeIfAbsent(r.server(), name -> new TreeSet<>()).add(e.getKey());
                 }
             }
         }
     }
 
-    /** Servers that may still be out, by the budgets of all zones. */
-    private double room() {
-        double room = 0;
-        for (DisruptionBudget b : ledger.budgets()) {
+    /** Number of endpoints that may still become unavailable, by the budgets that cover all zones. */
+    private double remainingBudget() {
+        double remaining = 0;
+        for (DisruptionBudget b : stateMachine.budgets()) {
             if (b.kind() == DisruptionTarget.Kind.DEPENDENCY && b.zone().isEmpty()) {
-                long out = ledger.targetsUsingBudget().stream().filter(b::covers).count();
-                room = Math.max(room, b.maxUnavailable() - out);
+                long used = stateMachine.targetsUsingBudget().stream().filter(b::covers).count();
+                remaining = Math.max(remaining, b.maxUnavailable() - used);
             }
         }
-        return room;
+        return remaining;
     }
 
-    /** What one instance is told. */
+    /** What the leader tells one instance: all ejections by the cluster, and the instance's own permissions. */
     public List<Word> words(double now, String watcher) {
         List<Word> words = new ArrayList<>();
-        for (Disruption o : ledger.disruptions()) {
-            if (o.target().kind() == DisruptionTarget.Kind.DEPENDENCY && o.usesBudget()) {
-                // Applied since the last look it is new: by the age of the phase before it would be back all at once.
-                double age = phases.get(o.target()) == o.phase() ? now - since.get(o.target()) : 0;
-                words.add(new Word(o.target().name(), o.phase() == Phase.RETURNING ? Word.Kind.RETURNING
-                        : Word.Kind.OUT, o.token(), Math.max(0, age)));
+        for (Disruption d : stateMachine.disruptions()) {
+            if (d.target().kind() == DisruptionTarget.Kind.DEPENDENCY && d.usesBudget()) {
+                // A phase applied since the last tick is new; the age of the one before would skip the slow start.
+                double age = phases.get(d.target()) == d.phase() ? now - phaseSince.get(d.target()) : 0;
+                Word.Kind kind = d.phase() == Phase.RETURNING ? Word.Kind.RETURNING : Word.Kind.OUT;
+                words.add(new Word(d.target().name(), kind, d.token(), Math.max(0, age)));
             }
         }
-        avoiding.forEach((server, by) -> {
-            if (by.contains(watcher)) {
-                words.add(new Word(server, Word.Kind.AVOID, 0, 0));
+        permittedEjections.forEach((endpoint, instances) -> {
+            if (instances.contains(watcher)) {
+                words.add(new Word(endpoint, Word.Kind.AVOID, 0, 0));
             }
         });
         return words;
     }
 
-    /** For operators: by server, how many find it ill and well. */
+    /** The instances' votes by endpoint, for operators. */
     public Map<String, String> looks() {
-        Map<String, String> all = new TreeMap<>();
-        counts().forEach((server, c) -> all.put(server, c.ill() + " ill, " + c.well() + " well of " + heard.size()
-                + (avoiding.containsKey(server) ? ", left out by " + avoiding.get(server) : "")));
-        return all;
+        Map<String, String> described = new TreeMap<>();
+        countVotes().forEach((endpoint, v) -> described.put(endpoint, v.ill() + " ill, " + v.well() + " well of "
+                + reportsByInstance.size() + (permittedEjections.containsKey(endpoint)
+                        ? ", left out by " + permittedEjections.get(endpoint) : "")));
+        return described;
     }
 
-    private static DisruptionTarget subject(String server) {
-        return new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, server, "");
+    private static DisruptionTarget target(String endpoint) {
+        return new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, endpoint, "");
     }
 
-    private void propose(DisruptionCommand op, DisruptionTarget s, List<DisruptionCommand> ops) {
-        if (pending.putIfAbsent(s, op) == null) {
-            ops.add(op);
+    private void propose(DisruptionCommand command, DisruptionTarget target, List<DisruptionCommand> commands) {
+        if (commandsInFlight.putIfAbsent(target, command) == null) {
+            commands.add(command);
         }
     }
 }
--- a/src/main/java/topazladder/below/Word.java
+++ b/src/main/java/topazladder/below/Word.java
@@ -1,19 +1,23 @@
 package topazladder.below;
 
 /**
- * What the leader tells one instance about one server; one that it says nothing about is in use.
+ * What the leader tells one instance about one dependency endpoint. An endpoint without a directive is in use.
  *
- * @param token under which the hall has agreed on it; 0 for what concerns this instance alone
- * @param age seconds for which it has been so
+ * @param token fencing token of the ejection that the group agreed on; 0 for a directive to this instance alone
+ * @param age seconds since the endpoint entered this phase
  */
 public record Word(String server, Kind kind, long token, double age) {
 
+    /** The order of the constants is part of the wire format. */
     public enum Kind {
-        /** Nobody uses it. */
+        /** Ejected: no instance sends calls to it. */
         OUT,
-        /** All use it again, each a little more as time goes. */
+        /** Back in use on all instances, in slow start. */
         RETURNING,
-        /** This instance alone may leave it out: the others find it well, so that it is likelier the way there. */
+        /**
+         * This instance alone may eject it. The other instances find it healthy, so the fault likely lies in the
+         * network path from here.
+         */
         AVOID
     }
 }
