--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -25,27 +25,28 @@
 import topazladder.service.Scheduler;
 
 /**
- * One voter's replica of the group's log: hosts registered state machines over the MicroRaft library, and runs the
- * registered leader services while this voter leads. It knows no domain; each brings its commands, its state, its part
- * of the snapshot ({@link ReplicatedStateMachine}) and its leader's side ({@link LeaderService}).
+ * One voter's replica of the group's log, built on the MicroRaft library. It hosts the registered state machines, and
+ * runs the registered leader services while this voter leads. It knows nothing of the domains: each brings its
+ * commands, its state and its part of the snapshot ({@link ReplicatedStateMachine}), and the service that its leader
+ * runs ({@link LeaderService}).
  *
- * <p>Executor, transport, clock, randomness and store are handed in, so that the same objects run in virtual time. All
- * calls come on the one thread that the timers run on; it is not the requests' thread, as the store may block.
+ * <p>Executor, transport, clock, randomness and store are injected, so that the same objects run in virtual time. All
+ * calls come on the thread that the timers run on. Requests are served on another thread, as the store may block.
  */
 public final class ConsensusReplica implements ReplicatedLog {
     private static final Logger LOG = LoggerFactory.getLogger(ConsensusReplica.class);
 
-    /** What the replica needs of its surroundings. */
+    /** What the replica needs from the program around it. */
     public interface Environment {
 
-        /** Sends to another voter, which may not get it. */
+        /** Sends a message to another voter; it may be lost. */
         void send(VoterEndpoint to, RaftMessage message);
 
-        /** The replica can't go on, as its store failed. A new one may go on from what the store has. */
+        /** The replica has stopped because its store failed. A new replica may continue from what the store holds. */
         void failed(Throwable cause);
     }
 
-    /** How far the replica is; it says and writes nothing once it has failed or is closed. */
+    /** Lifecycle of the replica. A failed or closed replica sends and writes nothing. */
     private enum Phase {
         RUNNING, RESTARTING_NODE, FAILED, CLOSED
     }
@@ -64,7 +65,7 @@
     private final StateMachineRegistry machines;
     private final TermStart.Codec termStarts;
     private final List<LeaderService> services = new ArrayList<>();
-    private final LeaderSilenceDetector silence = new LeaderSilenceDetector(HEARTBEATS_PER_TICK);
+    private final LeaderSilenceDetector leaderSilence = new LeaderSilenceDetector(HEARTBEATS_PER_TICK);
     private final VoterReconfiguration reconfiguration;
     private Collection<String> wantedVoters;
     private RaftNode node;
@@ -74,11 +75,11 @@
     private long ownTermNonce;
 
     /**
-     * Makes a replica of what the store has; it does nothing before {@link #start}.
+     * Creates a replica from what the store holds; it does nothing before {@link #start}.
      *
-     * @param store of a founded voter
-     * @param wantedVoters names of those that should vote; 3, 5 or 7
-     * @param heartbeatSeconds between the leader's heartbeats
+     * @param store initialized store of this voter
+     * @param wantedVoters names of the members that should vote; 3, 5 or 7 of them
+     * @param heartbeatSeconds interval between the leader's heartbeats
      */
     public ConsensusReplica(VoterStore store, Collection<String> wantedVoters, double heartbeatSeconds,
             Scheduler timers,
@@ -100,7 +101,7 @@
         this.node = newNode(founding);
     }
 
-    /** Registers what is done at the leader; services are called, and propose, in the order of registration. */
+    /** Registers a leader service. Services are called, and their commands proposed, in the order of registration. */
     public void register(LeaderService service) {
         services.add(service);
     }
@@ -126,14 +127,14 @@
         return builder.build();
     }
 
-    /** Begins to take part in elections and in the log. */
+    /** Starts taking part in elections and replication. */
     public void start() {
         startNode();
         timers.schedule(tickSeconds, this::tick);
     }
 
     private void startNode() {
-        silence.reset();
+        leaderSilence.reset();
         node.start().whenComplete((done, failure) -> {
             if (failure != null) {
                 fail(failure);
@@ -141,26 +142,26 @@
         });
     }
 
-    /** Ends the replica in order; the store may be closed once the callback is run. */
+    /** Closes the replica gracefully; the store may be closed once the callback has run. */
     public void close(Runnable done) {
         phase = Phase.CLOSED;
         stepDownServices();
         node.terminate().whenComplete((result, failure) -> done.run());
     }
 
-    /** Takes a message of another voter. One of another group, or of an earlier term, is dropped. */
+    /** Handles a message of another voter. Messages of another group and stale responses are dropped. */
     public void handle(RaftMessage message) {
         if (phase != Phase.RUNNING || !message.getGroupId().equals(node.getGroupId())
-                || StaleTerms.isStaleResponse(message, term())) {
+                || TermRules.isStaleResponse(message, term())) {
             return;
         }
         boolean fromLeader = message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest;
         if (fromLeader && message.getTerm() >= term()) {
-            silence.reset();
+            leaderSilence.reset();
         }
         node.handle(message);
-        if (StaleTerms.tellsLaterTerm(message, term())) {
-            node.handle(StaleTerms.termOnly(message));
+        if (TermRules.revealsLaterTerm(message, term())) {
+            node.handle(TermRules.termUpdate(message));
         }
     }
 
@@ -171,14 +172,14 @@
             return;
         }
         if (phase == Phase.RUNNING && RaftNodeStatus.isTerminal(node.getStatus())) {
-            fail(new IllegalStateException("the raft node has terminated by itself"));
+            fail(new IllegalStateException("raft node terminated unexpectedly status=" + node.getStatus()));
             return;
         }
         if (leading) {
             tickAsLeader();
         }
         if (phase == Phase.RUNNING) {
-            noticeSilence();
+            restartNodeIfLeaderSilent();
         }
         timers.schedule(tickSeconds, this::tick);
     }
@@ -194,18 +195,18 @@
         }
     }
 
-    /** Restarts the raft node from the store, as a restart of the process would, where the leader says nothing. */
-    private void noticeSilence() {
+    /** Restarts the raft node from the store, as a restart of the process would, if the leader is silent. */
+    private void restartNodeIfLeaderSilent() {
         VoterEndpoint leader = leader();
         boolean follower = leader != null && !leader.equals(here);
-        if (!silence.tick(follower)) {
+        if (!leaderSilence.tick(follower)) {
             return;
         }
         LOG.info("raft node restarted reason=leader-silent endpoint={} leader={}", here, leader);
         stepDown("leader-silent");
-        silence.reset();
+        leaderSilence.reset();
         phase = Phase.RESTARTING_NODE;
-        // Only once the old node does nothing any more: a vote that it still gave would be forgotten.
+        // The new node reads the store once the old one has ended; it would not know of a vote given after that.
         node.terminate().whenComplete((done, failure) -> {
             if (phase == Phase.RESTARTING_NODE) {
                 phase = Phase.RUNNING;
@@ -259,7 +260,7 @@
 
     // ---- settings
 
-    /** The settings were read anew, those of the leader services before. */
+    /** Applies reloaded settings; the leader services have got theirs already. */
     public void settingsChanged(Collection<String> newWantedVoters) {
         wantedVoters = newWantedVoters;
         if (leading) {
@@ -275,7 +276,7 @@
         }
     }
 
-    /** Somebody whose folder was empty asks to be added as a voter. */
+    /** Handles the request of a member with an empty data folder to be added as a voter. */
     public void joinRequested(VoterEndpoint endpoint) {
         if (leading) {
             reconfiguration.joinRequested(endpoint, wantedVoters);
@@ -314,7 +315,7 @@
         return clock.getAsDouble();
     }
 
-    // ---- as seen from here
+    // ---- state of the group as known here
 
     @Override
     public boolean isLeader() {
@@ -326,7 +327,7 @@
         return here;
     }
 
-    /** Who leads as far as is known here; null while nobody does. */
+    /** The leader as far as this voter knows; null if it knows none. */
     public VoterEndpoint leader() {
         RaftTerm term = node.getTerm();
         return term.getLeaderEndpoint() == null ? null : (VoterEndpoint) term.getLeaderEndpoint();
@@ -341,7 +342,7 @@
         return node.getTerm().getTerm();
     }
 
-    /** The commit index: entries of the log that are committed; 0 before the library has reported. */
+    /** The log's commit index; 0 before the library's first report. */
     public long commitIndex() {
         return report == null ? 0 : report.getLog().getCommitIndex();
     }
@@ -356,7 +357,7 @@
 
         @Override
         public boolean isReachable(RaftEndpoint to) {
-            return true; // a link that is down is found by silence, as one that loses what it is given
+            return true; // a broken link shows by its leaderSilence, like one that loses messages
         }
     }
 
--- a/src/main/java/topazladder/consensus/FailStopStore.java
+++ b/src/main/java/topazladder/consensus/FailStopStore.java
@@ -12,9 +12,8 @@
 import java.util.function.Consumer;
 
 /**
- * A store that is not trusted again once a write failed. The library goes on with what it has in memory and would
- * answer for it, whereas term, vote and log must be on stable storage before an answer leaves (Raft dissertation,
- * section 3.8).
+ * Rejects all writes after one has failed. The library would carry on with its state in memory and answer other voters
+ * from it, but term, vote and log must be on stable storage before an answer is sent (Raft dissertation, section 3.8).
  */
 final class FailStopStore implements RaftStore {
 
@@ -29,8 +28,8 @@
     /**
      * Decorates a store.
      *
-     * @param failed whether a write failed before, by this store or by one before it on the same data
-     * @param onFailure called with each failure, before it is thrown
+     * @param failed tells whether an earlier write failed, through this decorator or a previous one of the same store
+     * @param onFailure called with each failure before it is thrown
      */
     FailStopStore(RaftStore store, BooleanSupplier failed, Consumer<Throwable> onFailure) {
         this.store = store;
@@ -40,7 +39,7 @@
 
     private void write(Write write) throws IOException {
         if (failed.getAsBoolean()) {
-            throw new IOException("the store has failed before");
+            throw new IOException("voter store rejects writes because an earlier write failed; restart the replica");
         }
         try {
             write.run();
--- a/src/main/java/topazladder/consensus/InMemoryVoterStore.java
+++ b/src/main/java/topazladder/consensus/InMemoryVoterStore.java
@@ -10,8 +10,8 @@
 import java.util.List;
 
 /**
- * A store for virtual time. What was not flushed is lost by a crash, as on a disk; a count of writes makes it fail.
- * Not final, so that trials can plant stores that forget.
+ * A simulated store for tests in virtual time. A crash loses what was not flushed, as on a disk, and writes can be made
+ * to fail. Not final, so that subclasses can inject defects such as lost votes.
  */
 public class InMemoryVoterStore implements VoterStore {
     private Founding founding;
@@ -21,40 +21,40 @@
     private long firstFailingWrite = Long.MAX_VALUE;
     private Runnable voteListener = () -> {};
 
-    /** The disk is full after so many more writes, until {@link #allowWrites}. */
+    /** Simulates a disk that is full after so many more writes, until {@link #allowWrites}. */
     public void failWritesAfter(long writesFromNow) {
         firstFailingWrite = writes + writesFromNow;
     }
 
-    /** The disk has room again. */
+    /** Ends the effect of {@link #failWritesAfter}. */
     public void allowWrites() {
         firstFailingWrite = Long.MAX_VALUE;
     }
 
-    /** The power fails: what was not flushed is lost. */
+    /** Simulates a power failure: drops what was not flushed. */
     public void crash() {
         written = flushed.copy();
     }
 
-    /** The voter's folder is lost. */
+    /** Simulates the loss of the voter's data folder. */
     public void wipe() {
         founding = null;
         flushed = new PersistedRaftState();
         written = new PersistedRaftState();
     }
 
-    /** Runs it behind each vote that is flushed, before its answer leaves. */
+    /** Runs the listener after each flushed vote, before the voter sends its answer. */
     public void onVote(Runnable listener) {
         voteListener = listener;
     }
 
-    /** Loses term and vote, which a store must never do. */
+    /** Injects a defect: loses term and vote, which a store must never do. */
     protected final void forgetTermAndVote() {
         flushed.setTermAndVote(null);
         written.setTermAndVote(null);
     }
 
-    /** Loses the latest entries, flushed or not, which a store must never do. */
+    /** Injects a defect: loses the latest log entries, flushed or not, which a store must never do. */
     protected final void forgetLatestEntries(int count) {
         for (int i = 0; i < count; i++) {
             flushed.removeLastEntry();
@@ -64,7 +64,7 @@
 
     private void countWrite() throws IOException {
         if (++writes >= firstFailingWrite) {
-            throw new IOException("no space is left");
+            throw new IOException("no space left on the simulated disk at write " + writes);
         }
     }
 
@@ -149,6 +149,6 @@
 
     @Override
     public void close() {
-        // holds nothing open
+        // no resources to release
     }
 }
--- a/src/main/java/topazladder/consensus/LeaderService.java
+++ b/src/main/java/topazladder/consensus/LeaderService.java
@@ -3,34 +3,35 @@
 import java.util.List;
 
 /**
- * What one domain does at the group's leader alone: it watches, decides and proposes commands. What it knows besides
- * the replicated state is lost with the leader's term. All times are seconds by the replica's clock.
+ * The part of a domain that runs only at the group's leader: it observes, decides and proposes commands. Whatever it
+ * keeps outside the replicated state is lost when the leader's term ends. All times are seconds by the replica's clock.
  */
 public interface LeaderService {
 
-    /** This voter leads from now on, and knows all that leaders before it have committed. */
+    /** This voter leads from now on, and has applied everything that earlier leaders committed. */
     void becomeLeader(double now);
 
-    /** This voter does not lead any more, or can't know whether it does. May be called without having led. */
+    /** This voter no longer leads, or can't be sure that it does. May be called on a voter that never led. */
     void stepDown();
 
-    /** Called twice in a heartbeat while this voter leads. */
+    /** Called twice per heartbeat interval while this voter leads. */
     void tick(double now);
 
     /**
-     * What the settings of this voter have to say to the group; proposed when this voter becomes leader, and again when
-     * its settings were changed.
+     * Commands that bring the replicated state in line with this voter's settings. They are proposed when this voter
+     * becomes leader, and again after its settings were reloaded.
      *
-     * @param groupGeneration how often the group was formed anew by hand
+     * @param groupGeneration number of times that an operator formed the group anew
      */
     default List<?> settingsCommands(long groupGeneration) {
         return List.of();
     }
 
     /**
-     * A command of any domain was applied at this voter, whether it leads or not. It must not replicate from within.
+     * A command of any domain was applied at this voter, leader or not. The callback must not call the log directly;
+     * see {@link ReplicatedLog#runLater}.
      */
     default void commandApplied(double now, Object command, Object outcome) {
-        // most services look at the replicated state at their next tick
+        // most services read the replicated state at their next tick
     }
 }
--- a/src/main/java/topazladder/consensus/LeaderSilenceDetector.java
+++ b/src/main/java/topazladder/consensus/LeaderSilenceDetector.java
@@ -1,13 +1,14 @@
 package topazladder.consensus;
 
 /**
- * Finds a leader that a follower believes in and that says nothing.
+ * Detects that the leader a follower believes in has been silent for too long.
  *
- * <p>MicroRaft 0.7: a follower that was started again, and found its leader in the term that it left, never takes that
- * leader for dead. Once all followers were started again under one leader, its end would be the group's.
+ * <p>It works around a defect of MicroRaft 0.7: a follower that restarts and finds the same leader in the same term
+ * never times that leader out. Once every follower has restarted under one leader, the group would not survive that
+ * leader's failure.
  */
 final class LeaderSilenceDetector {
-    /** After as many heartbeats the library should have started an election: it gives a leader up after five. */
+    /** Heartbeats after which the library should have started an election; its own timeout is five. */
     private static final double TOLERATED_HEARTBEATS = 8;
 
     private final double heartbeatsPerTick;
@@ -17,16 +18,16 @@
         this.heartbeatsPerTick = heartbeatsPerTick;
     }
 
-    /** The leader was heard, or the raft node is a new one. */
+    /** Restarts the count: the leader was heard, or the raft node was replaced. */
     void reset() {
         silentTicks = 0;
     }
 
     /**
-     * Counts one tick.
+     * Counts one tick without a message from the leader.
      *
-     * @param follower whether another voter is believed to lead
-     * @return whether the leader is silent for longer than the library should bear
+     * @param follower whether this voter believes that another one leads
+     * @return whether the leader has been silent for longer than the library should tolerate
      */
     boolean tick(boolean follower) {
         silentTicks = follower ? silentTicks + 1 : 0;
--- a/src/main/java/topazladder/consensus/PersistedRaftState.java
+++ b/src/main/java/topazladder/consensus/PersistedRaftState.java
@@ -16,9 +16,9 @@
 import java.util.TreeMap;
 
 /**
- * Raft's persistent state: current term, vote, log and snapshots, and the configuration that the group began with
- * (Raft dissertation, figure 3.1). The library hands it over piece by piece. Invariant: what is restored is the latest
- * complete snapshot and the entries that follow it without a gap.
+ * Raft's persistent state: current term, vote, log, snapshots and the group's initial configuration (Raft dissertation,
+ * figure 3.1). The library writes it piece by piece. Invariant: the restored state is the latest complete snapshot and
+ * the log entries that follow it without a gap.
  */
 public final class PersistedRaftState {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
@@ -28,8 +28,8 @@
     private RaftEndpointPersistentState endpoint;
     private RaftGroupMembersView initialMembers;
     private RaftTermPersistentState termAndVote;
-    private final TreeMap<Long, LogEntry> entries = new TreeMap<>(); // by index; truncated at each snapshot
-    /** By index of the snapshot and number of the chunk; of two snapshots at most. */
+    private final TreeMap<Long, LogEntry> entries = new TreeMap<>(); // by index; truncated after each snapshot
+    /** By snapshot index and chunk number; holds two snapshots at most. */
     private final TreeMap<Long, TreeMap<Integer, SnapshotChunk>> chunks = new TreeMap<>();
 
     PersistedRaftState copy() {
@@ -46,7 +46,7 @@
         endpoint = newEndpoint;
     }
 
-    /** The voter's own identity, and whether it votes. */
+    /** Sets the voter's own identity, and whether it votes. */
     public void setEndpoint(RaftEndpoint here, boolean voting) {
         endpoint = MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(here).setVoting(voting).build();
     }
@@ -55,12 +55,12 @@
         initialMembers = members;
     }
 
-    /** The current term and the vote in it; null forgets both. */
+    /** Sets the current term and the vote cast in it; null clears both. */
     public void setTermAndVote(RaftTermPersistentState newTermAndVote) {
         termAndVote = newTermAndVote;
     }
 
-    /** Adds an entry, or replaces the one of its index. */
+    /** Adds a log entry, or replaces the entry at the same index. */
     public void putEntry(LogEntry entry) {
         entries.put(entry.getIndex(), entry);
     }
@@ -77,7 +77,7 @@
         entries.pollLastEntry();
     }
 
-    /** Adds a chunk of a snapshot, or replaces the one of its number. */
+    /** Adds a chunk of a snapshot, or replaces the chunk with the same number. */
     public void putChunk(SnapshotChunk chunk) {
         chunks.computeIfAbsent(chunk.getIndex(), index -> new TreeMap<>()).put(chunk.getSnapshotChunkIndex(), chunk);
     }
@@ -86,7 +86,7 @@
         chunks.remove(index);
     }
 
-    /** What a raft node begins with again; null where none has begun yet. */
+    /** The state from which a raft node restarts; null if none has run yet. */
     public RestoredRaftState restored() {
         if (endpoint == null || initialMembers == null) {
             return null;
--- a/src/main/java/topazladder/consensus/RaftStateMachine.java
+++ b/src/main/java/topazladder/consensus/RaftStateMachine.java
@@ -7,17 +7,17 @@
 /** The registered state machines as the library sees them: one state machine, with snapshots of one chunk. */
 final class RaftStateMachine implements StateMachine {
 
-    /** A query that a majority answers; it reads nothing, and so confirms the leadership alone. */
+    /** A linearizable query that reads nothing: a majority's answer to it confirms the leadership. */
     record LeadershipQuery() {
     }
 
-    /** What the replica has to do with the log beside its state machines. */
+    /** Callbacks of the replica that owns the state machines. */
     interface Listener {
 
-        /** A committed command was applied, with that outcome. */
+        /** A committed command was applied and gave this outcome. */
         void commandApplied(Object command, Object outcome);
 
-        /** The entry that this voter appends first in a term that it leads. */
+        /** The first command that this voter appends in each term it leads. */
         Object newTermCommand();
     }
 
--- a/src/main/java/topazladder/consensus/RaftTiming.java
+++ b/src/main/java/topazladder/consensus/RaftTiming.java
@@ -11,26 +11,26 @@
 import topazladder.service.Scheduler;
 
 /**
- * Raft's timeouts. The library counts heartbeats in whole seconds, which is too slow for leases of seconds, so its
- * clock and its executor run faster: library time = time * {@link #LIBRARY_HEARTBEAT_SECONDS} / heartbeat. Invariant:
- * heartbeat and leader election timeout are in the ratio that Raft's availability asks for, broadcast time well below
- * the election timeout (Raft dissertation, section 3.9).
+ * Raft's timeouts. The library only takes heartbeat intervals of whole seconds, which is too slow for leases that last
+ * seconds, so its clock and its executor run faster than real time: library time = time *
+ * {@link #LIBRARY_HEARTBEAT_SECONDS} / heartbeat. Invariant: the ratio of heartbeat interval and election timeout keeps
+ * the broadcast time well below the election timeout, as Raft's availability requires (Raft dissertation, section 3.9).
  */
 final class RaftTiming {
-    /** By the library's time, as all its other settings. */
+    /** In library time, as all settings of the library. */
     private static final int LIBRARY_HEARTBEAT_SECONDS = 1;
-    /** Without a heartbeat for as long, a follower takes its leader for dead. */
+    /** Time without a heartbeat after which a follower considers its leader dead. */
     private static final int LIBRARY_HEARTBEAT_TIMEOUT_SECONDS = 5;
-    /** After as long a candidate without a majority begins another election, with a random part added. */
+    /** Time after which a candidate without a majority starts another election; the library adds a random delay. */
     private static final int LIBRARY_ELECTION_TIMEOUT_MILLIS = 1000;
-    /** Entries in one message: what is sent must fit the link's bound. */
+    /** Log entries per message, which must fit in the link's largest frame. */
     private static final int MAX_APPENDED_ENTRIES = 64;
     private static final int COMMITS_PER_SNAPSHOT = 512;
     private static final int MAX_UNCOMMITTED_ENTRIES = 4096;
 
     private final double libraryTimeFactor;
 
-    /** For a leader that sends its heartbeats so many seconds apart. */
+    /** @param heartbeatSeconds interval between the leader's heartbeats, in real time */
     RaftTiming(double heartbeatSeconds) {
         libraryTimeFactor = LIBRARY_HEARTBEAT_SECONDS / heartbeatSeconds;
     }
@@ -47,7 +47,7 @@
                 .build();
     }
 
-    /** The library's clock, from one that counts seconds. */
+    /** The library's clock, derived from a clock in seconds of real time. */
     Clock clock(DoubleSupplier seconds) {
         return new Clock() {
             @Override
@@ -72,7 +72,7 @@
         };
     }
 
-    /** The library's executor, on the one thread of the timers. */
+    /** The library's executor, which runs everything on the timers' thread. */
     RaftNodeExecutor executor(Scheduler timers) {
         return new RaftNodeExecutor() {
             @Override
--- a/src/main/java/topazladder/consensus/ReplicatedLog.java
+++ b/src/main/java/topazladder/consensus/ReplicatedLog.java
@@ -4,42 +4,43 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** What a {@link LeaderService} needs of the replica that it is registered with. One thread calls, and is called. */
+/** The replicated log as a {@link LeaderService} uses it. All calls and callbacks happen on one thread. */
 public interface ReplicatedLog {
 
-    /** Whether this voter leads, and the first command of its term is applied. */
+    /** Whether this voter leads and has applied the first command of its term. */
     boolean isLeader();
 
     /** Seconds by the replica's clock. */
     double now();
 
-    /** The committed configuration: who votes, ordered by identity. */
+    /** The voters of the committed configuration, ordered by identity. */
     Collection<VoterEndpoint> voting();
 
     /**
      * Appends a command to the log.
      *
-     * @return completes with the outcome once it is committed and applied here; fails where this voter does not lead,
-     *     or where nobody knows whether the command will be committed
+     * @return completes with the outcome once the command is committed and applied here; fails if this voter does not
+     *     lead, or if it is unknown whether the command will be committed
      */
     <T> CompletableFuture<T> replicate(Object command);
 
     /**
-     * Asks a majority whether this voter still leads, without an entry in the log (read-only queries by the read index,
-     * Raft dissertation, section 6.4).
+     * Confirms with a majority that this voter still leads, without appending to the log (read index, Raft
+     * dissertation, section 6.4).
      *
-     * @return completes once a majority has answered to a question that was asked after this call
+     * @return completes once a majority has answered messages that were sent after this call
      */
     CompletableFuture<?> confirmLeadership();
 
-    /** A command or a query failed with that: where it shows that another voter may lead, this one steps down. */
+    /** Reports the failure of a command or query. This voter steps down if the failure shows that it may not lead. */
     void replicationFailed(Throwable failure);
 
-    /** Runs a task behind the current step, as the library must not be entered again from within its own. */
+    /** Runs a task after the current step, since the library is not reentrant. */
     void runLater(Runnable task);
 
     /**
-     * Appends a command of which the outcome shows in the replicated state; the callback runs whatever became of it.
+     * Appends a command whose outcome the caller reads from the replicated state. The callback runs in any case, also
+     * if the command failed or its fate is unknown.
      */
     default <C> void propose(C command, Consumer<C> completed) {
         replicate(command).whenComplete((outcome, failure) -> {
--- a/src/main/java/topazladder/consensus/StateMachineRegistry.java
+++ b/src/main/java/topazladder/consensus/StateMachineRegistry.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The state machines that are replicated together, in one log: each committed command goes to the one it belongs to.
+ * The state machines that share one replicated log. Each committed command goes to the state machine of its type.
  */
 public final class StateMachineRegistry {
     private final List<ReplicatedStateMachine<?, ?>> machines;
@@ -15,8 +15,8 @@
     /**
      * Applies a committed command.
      *
-     * @return its outcome, of the type that its state machine gives
-     * @throws IllegalArgumentException where no state machine is registered for it
+     * @return the outcome that its state machine gives
+     * @throws IllegalArgumentException if no registered state machine accepts the command
      */
     Object apply(Object command) {
         for (ReplicatedStateMachine<?, ?> machine : machines) {
@@ -24,10 +24,11 @@
                 return machine.applyCommand(command);
             }
         }
-        throw new IllegalArgumentException("no state machine is registered for commands of " + command.getClass());
+        throw new IllegalArgumentException(
+                "no state machine registered for commands of type " + command.getClass().getName());
     }
 
-    /** All of the state, as of the command applied last. */
+    /** The whole state after the last applied command. */
     public StateSnapshot takeSnapshot() {
         return StateSnapshot.of(machines.stream().map(machine -> (Object) machine.takeSnapshot().get()).toArray());
     }
@@ -36,7 +37,7 @@
         machines.forEach(machine -> machine.restoreFrom(snapshot));
     }
 
-    /** Forgets all state, as before anything was agreed on. */
+    /** Resets all state to that before the first command. */
     public void clear() {
         restore(StateSnapshot.of());
     }
--- a/src/main/java/topazladder/consensus/StaleTerms.java
+++ b/src/main/java/topazladder/consensus/TermRules.java
@@ -10,18 +10,19 @@
 import io.microraft.model.message.VoteResponse;
 
 /**
- * Holds messages to Raft's rules on terms where MicroRaft 0.7 does not: a server ignores messages of an earlier term,
- * and takes over a later term whoever tells it (Raft dissertation, section 3.3).
+ * Enforces Raft's rules on terms where MicroRaft 0.7 does not: a server ignores messages of an earlier term, and adopts
+ * a later term from any message (Raft dissertation, section 3.3).
  */
-final class StaleTerms {
+final class TermRules {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    private StaleTerms() {}
+    private TermRules() {}
 
     /**
-     * Whether a message answers what this voter asked in an earlier term. The library looks at an answer's term only
-     * where it is higher: one that was long on its way would count for a leader that led before and leads again, as a
-     * follower's acknowledgement of entries that it may have dropped since, or of a query that was not asked yet.
+     * Whether a message is a response to a request of an earlier term. The library checks a response's term only if it
+     * is higher than its own. A leader that lost and regained the leadership would therefore accept a delayed response
+     * of its earlier term: as the acknowledgement of entries that the follower may have dropped since, or as the
+     * confirmation of a query that was sent later.
      */
     static boolean isStaleResponse(RaftMessage message, int currentTerm) {
         return message.getTerm() < currentTerm && isResponse(message);
@@ -35,18 +36,22 @@
                 || message instanceof PreVoteResponse;
     }
 
-    /** Whether a refused pre-vote tells of a later term. It bears the term asked for, or the refuser's where higher. */
-    static boolean tellsLaterTerm(RaftMessage message, int currentTerm) {
+    /**
+     * Whether a rejected pre-vote reveals a later term. The response carries the requested term, or the term of the
+     * rejecting voter if that is higher.
+     */
+    static boolean revealsLaterTerm(RaftMessage message, int currentTerm) {
         return message instanceof PreVoteResponse response && !response.isGranted()
                 && response.getTerm() > currentTerm + 1;
     }
 
     /**
-     * The sender's term in a message of which the library takes over the term. It passes over that of a refused
-     * pre-vote: a voter that campaigned alone into high terms, with a short log, and one with the longer log in a lower
-     * term then refuse each other for ever. This asks, in the sender's name, for a vote that no voter with a log gives.
+     * A message that makes the library adopt the sender's term. The library ignores the term of a rejected pre-vote, so
+     * a voter that reached a high term by campaigning alone, with a short log, and one with a longer log in a lower
+     * term would reject each other for ever. The result is a vote request in the sender's name that claims an empty
+     * log, which no voter with a log grants.
      */
-    static RaftMessage termOnly(RaftMessage message) {
+    static RaftMessage termUpdate(RaftMessage message) {
         return MODEL.createVoteRequestBuilder().setGroupId(message.getGroupId()).setSender(message.getSender())
                 .setTerm(message.getTerm()).setLastLogTerm(0).setLastLogIndex(0).setSticky(true).build();
     }
--- a/src/main/java/topazladder/consensus/VoterSet.java
+++ b/src/main/java/topazladder/consensus/VoterChangePlanner.java
@@ -6,27 +6,26 @@
 import java.util.TreeMap;
 
 /**
- * Decides, at the leader, which voter is added or removed next. Invariant: after each change a majority of the voters
- * was heard lately, so that the group stays available (Raft dissertation, section 4.2). Whoever the settings name and
- * has lost its folder comes back under another birth.
+ * Decides, at the leader, which voter is added or removed next. Invariant: after each change the leader has recently
+ * heard from a majority of the voters, so that the group stays available (Raft dissertation, section 4.2). A voter that
+ * lost its data folder rejoins under a new identity, which replaces the old one.
  */
-public final class VoterSet {
-    /** For as long a request to join holds without being repeated. */
+public final class VoterChangePlanner {
+    /** Seconds after which a join request that is not repeated expires. */
     private static final double JOIN_REQUEST_SECONDS = 5;
 
-    /** One step from a configuration of voters to the next. */
+    /** The addition or removal of one voter. */
     public record Change(VoterEndpoint endpoint, Kind kind) {
 
-        /** What becomes of the endpoint. */
         public enum Kind { ADD, REMOVE }
     }
 
     private record JoinRequest(VoterEndpoint endpoint, double atSeconds) {
     }
 
-    private final Map<String, JoinRequest> joinRequests = new TreeMap<>(); // by name: no more than are wanted
+    private final Map<String, JoinRequest> joinRequests = new TreeMap<>(); // by name, so bounded by the wanted voters
 
-    /** An endpoint that does not vote asks to; only those that the settings name are heard. */
+    /** Records the request of an endpoint to be added; ignored unless the settings name its member. */
     public void joinRequested(double now, VoterEndpoint endpoint, Collection<String> wanted) {
         if (wanted.contains(endpoint.name())) {
             joinRequests.put(endpoint.name(), new JoinRequest(endpoint, now));
@@ -34,12 +33,13 @@
     }
 
     /**
-     * The next change, if any: removals come before additions, so that a reborn voter never votes beside its old self.
+     * The next change, if any. Removals come before additions, so that the old and the new identity of a member never
+     * vote together.
      *
-     * @param now seconds
-     * @param voting who votes now
-     * @param wanted names of those who should
-     * @param heard voters whose answer to the leader came lately, itself among them
+     * @param now time in seconds
+     * @param voting current voters
+     * @param wanted names of the members that should vote
+     * @param heard voters that answered the leader recently, and the leader itself
      */
     public Optional<Change> nextChange(double now, Collection<VoterEndpoint> voting, Collection<String> wanted,
             Collection<VoterEndpoint> heard) {
@@ -48,22 +48,22 @@
         for (VoterEndpoint voter : voting) {
             int remaining = available - (heard.contains(voter) ? 1 : 0);
             boolean keepsMajority = remaining > (voting.size() - 1) / 2;
-            if (isSuperfluous(voter, wanted) && voting.size() > 1 && keepsMajority) {
+            if (isObsolete(voter, wanted) && voting.size() > 1 && keepsMajority) {
                 return Optional.of(new Change(voter, Change.Kind.REMOVE));
             }
         }
-        // One that is added has an empty log, so for a while it is a voter that does not count as available.
-        boolean bearsOneMore = available > (voting.size() + 1) / 2;
+        // A new voter has an empty log, so it counts as a voter but not as available until it has caught up.
+        boolean toleratesOneMore = available > (voting.size() + 1) / 2;
         return joinRequests.values().stream().map(JoinRequest::endpoint)
-                .filter(endpoint -> bearsOneMore && !votes(endpoint.name(), voting))
+                .filter(endpoint -> toleratesOneMore && !votes(endpoint.name(), voting))
                 .findFirst().map(endpoint -> new Change(endpoint, Change.Kind.ADD));
     }
 
-    /** Whether the settings do not name it any more, or another birth of its name asks to vote. */
-    private boolean isSuperfluous(VoterEndpoint voter, Collection<String> wanted) {
+    /** Whether the settings no longer name the voter, or its member asks to vote under another identity. */
+    private boolean isObsolete(VoterEndpoint voter, Collection<String> wanted) {
         JoinRequest request = joinRequests.get(voter.name());
-        boolean reborn = request != null && !request.endpoint().equals(voter);
-        return !wanted.contains(voter.name()) || reborn;
+        boolean replaced = request != null && !request.endpoint().equals(voter);
+        return !wanted.contains(voter.name()) || replaced;
     }
 
     private static boolean votes(String name, Collection<VoterEndpoint> voting) {
--- a/src/main/java/topazladder/consensus/VoterEndpoint.java
+++ b/src/main/java/topazladder/consensus/VoterEndpoint.java
@@ -3,11 +3,11 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A voter as the group knows it. The birth differs between the folders that a voter of one name had: one that lost its
- * folder has forgotten its term and vote, and must never vote as who it was (Raft dissertation, section 3.8).
+ * Identity of a voter in the group. A voter that lost its data folder has forgotten its term and vote, and must not
+ * vote under its old identity again (Raft dissertation, section 3.8). Each data folder therefore has its own number.
  *
- * @param name of the member
- * @param birth 0 for those that the group was founded with
+ * @param name name of the member
+ * @param birth number of the data folder; 0 for the group's initial voters
  */
 public record VoterEndpoint(String name, long birth) implements RaftEndpoint {
     private static final char SEPARATOR = ':';
@@ -18,14 +18,15 @@
     }
 
     /**
-     * Reads what {@link #toString} wrote.
+     * Parses the form that {@link #toString} returns.
      *
-     * @throws IllegalArgumentException where it is not of the form {@code name:birth}
+     * @throws IllegalArgumentException if the form is not {@code name:number}
      */
     public static VoterEndpoint of(String id) {
         int separatorAt = id.lastIndexOf(SEPARATOR);
         if (separatorAt < 1) {
-            throw new IllegalArgumentException("not a voter as name:birth: " + id);
+            throw new IllegalArgumentException(
+                    "invalid voter id '" + id + "': should be name:number, with the number in base 36");
         }
         String birth = id.substring(separatorAt + 1);
         return new VoterEndpoint(id.substring(0, separatorAt), Long.parseLong(birth, Character.MAX_RADIX));
--- a/src/main/java/topazladder/consensus/VoterReconfiguration.java
+++ b/src/main/java/topazladder/consensus/VoterReconfiguration.java
@@ -16,9 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out changes of the voters at the leader. Invariant: one server is added or removed at a time, and none before
- * the change before it is committed, so that majorities of the old and the new configuration overlap (Raft
- * dissertation, section 4.1).
+ * Carries out changes of the voters at the leader. Invariant: voters are added or removed one at a time, each after the
+ * previous change is committed, so that majorities of the old and the new configuration overlap (Raft dissertation,
+ * section 4.1).
  */
 final class VoterReconfiguration {
     private static final Logger LOG = LoggerFactory.getLogger(VoterReconfiguration.class);
@@ -26,7 +26,7 @@
     private final VoterEndpoint here;
     private final RaftTiming timing;
     private final DoubleSupplier clock;
-    private final VoterSet voters = new VoterSet();
+    private final VoterChangePlanner planner = new VoterChangePlanner();
     private boolean changeInProgress;
 
     VoterReconfiguration(VoterEndpoint here, RaftTiming timing, DoubleSupplier clock) {
@@ -35,16 +35,16 @@
         this.clock = clock;
     }
 
-    /** A voter without a vote asks to be added. */
+    /** Handles the request of an endpoint that does not vote yet to be added. */
     void joinRequested(VoterEndpoint endpoint, Collection<String> wanted) {
-        voters.joinRequested(clock.getAsDouble(), endpoint, wanted);
+        planner.joinRequested(clock.getAsDouble(), endpoint, wanted);
     }
 
     /**
-     * Begins the next change, if there is one and none is under way.
+     * Starts the next change, if one is due and none is in progress.
      *
-     * @param report the library's latest
-     * @param wanted names of those that should vote
+     * @param report the library's latest report
+     * @param wanted names of the members that should vote
      */
     void tick(RaftNode node, RaftNodeReport report, Collection<String> wanted) {
         RaftGroupMembers members = node.getCommittedMembers();
@@ -52,14 +52,14 @@
             return;
         }
         Collection<VoterEndpoint> voting = endpoints(members.getVotingMembers());
-        Optional<VoterSet.Change> next =
-                voters.nextChange(clock.getAsDouble(), voting, wanted, heardLately(report, voting));
-        next.ifPresent(change -> begin(node, change, members.getLogIndex()));
+        Optional<VoterChangePlanner.Change> next =
+                planner.nextChange(clock.getAsDouble(), voting, wanted, recentlyHeard(report, voting));
+        next.ifPresent(change -> start(node, change, members.getLogIndex()));
     }
 
-    private void begin(RaftNode node, VoterSet.Change change, long committedAt) {
+    private void start(RaftNode node, VoterChangePlanner.Change change, long committedAt) {
         changeInProgress = true;
-        boolean adds = change.kind() == VoterSet.Change.Kind.ADD;
+        boolean adds = change.kind() == VoterChangePlanner.Change.Kind.ADD;
         LOG.info("voter change proposed endpoint={} change={}", change.endpoint(), change.kind());
         MembershipChangeMode mode =
                 adds ? MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER : MembershipChangeMode.REMOVE_MEMBER;
@@ -73,8 +73,8 @@
         });
     }
 
-    /** Voters whose answer came within the time after which the leader would count as lost; this one is one of them. */
-    private Collection<VoterEndpoint> heardLately(RaftNodeReport report, Collection<VoterEndpoint> voting) {
+    /** This voter and all voters that answered the leader within the heartbeat timeout. */
+    private Collection<VoterEndpoint> recentlyHeard(RaftNodeReport report, Collection<VoterEndpoint> voting) {
         Set<VoterEndpoint> heard = new HashSet<>(Set.of(here));
         long oldestMillis = timing.clock(clock).millis() - timing.config().getLeaderHeartbeatTimeoutSecs() * 1000;
         report.getHeartbeatTimestamps().forEach((endpoint, atMillis) -> {
--- a/src/main/java/topazladder/consensus/VoterStore.java
+++ b/src/main/java/topazladder/consensus/VoterStore.java
@@ -5,31 +5,31 @@
 import java.io.IOException;
 import java.util.List;
 
-/** What a voter keeps through restarts. A write that is not flushed may be lost; one that is may not. */
+/** A voter's durable state. A crash may lose writes that were not flushed, but no flushed ones. */
 public interface VoterStore extends RaftStore, AutoCloseable {
 
     /**
-     * As whom the voter of this store votes.
+     * The identity and group of the voter that owns a store.
      *
-     * @param here its identity
-     * @param initialVoters that the group was formed with
-     * @param groupGeneration how often the group was formed anew by hand; only voters of one generation talk to each
-     *     other
+     * @param here identity under which it votes
+     * @param initialVoters voters with which the group was formed
+     * @param groupGeneration number of times that an operator formed the group anew; voters of different generations
+     *     ignore each other
      */
     record Founding(VoterEndpoint here, List<VoterEndpoint> initialVoters, long groupGeneration) {
     }
 
-    /** Null where the store is empty: then its owner must not vote before the group has added it. */
+    /** The identity and group of this voter. Null if the store is empty: it must not vote until the group adds it. */
     Founding founding();
 
     /**
-     * Begins the store anew, without term, vote and log.
+     * Initializes the store without term, vote and log, dropping what it held.
      *
-     * @throws IOException where it can't be written
+     * @throws IOException if the store can't be written
      */
     void found(Founding founding) throws IOException;
 
-    /** What was flushed; what was not is dropped. Null where the group has written nothing yet. */
+    /** Drops what was not flushed and returns the rest; null if no raft node has written its state yet. */
     RestoredRaftState restored();
 
     @Override
