--- a/src/main/java/topazladder/below/Use.java
+++ b/src/main/java/topazladder/below/Use.java
@@ -65,7 +65,7 @@
         }
     }
 
-    private final Terms terms;
+    private final Terms settings;
     private final RandomGenerator random;
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final Map<String, Endpoint> byName = new HashMap<>();
@@ -77,10 +77,10 @@
     private double savedRetries = MAX_SAVED_RETRIES;
     private Map<String, Look> reportedLooks = Map.of();
 
-    public Use(Terms terms, RandomGenerator random) {
-        this.terms = terms;
+    public Use(Terms settings, RandomGenerator random) {
+        this.settings = settings;
         this.random = random;
-        for (String name : terms.servers()) {
+        for (String name : settings.servers()) {
             Endpoint endpoint = new Endpoint(name);
             endpoints.add(endpoint);
             byName.put(name, endpoint);
@@ -249,7 +249,7 @@
      * @param leftOut number of other endpoints that are not in full use
      */
     protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
-        return allowed || alone && leftOut < terms.maxOwnEjections();
+        return allowed || alone && leftOut < settings.maxOwnEjections();
     }
 
     /** Whether no leader was heard for so long that this instance decides by itself. */
@@ -312,7 +312,7 @@
     }
 
     public Terms terms() {
-        return terms;
+        return settings;
     }
 
     /** State, health and calls in flight of each endpoint by name, for operators. */
--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -357,7 +357,7 @@
 
         @Override
         public boolean isReachable(RaftEndpoint to) {
-            return true; // a broken link shows by its leaderSilence, like one that loses messages
+            return true; // a broken link shows by its silence, like one that loses messages
         }
     }
 
--- a/src/main/java/topazladder/consensus/PersistedRaftState.java
+++ b/src/main/java/topazladder/consensus/PersistedRaftState.java
@@ -38,7 +38,7 @@
         copy.initialMembers = initialMembers;
         copy.termAndVote = termAndVote;
         copy.entries.putAll(entries);
-        chunks.forEach((index, ofSnapshot) -> copy.chunks.put(index, new TreeMap<>(ofSnapshot)));
+        chunks.forEach((index, snapshotChunks) -> copy.chunks.put(index, new TreeMap<>(snapshotChunks)));
         return copy;
     }
 
@@ -98,11 +98,11 @@
     }
 
     private SnapshotEntry latestCompleteSnapshot() {
-        for (TreeMap<Integer, SnapshotChunk> ofSnapshot : chunks.descendingMap().values()) {
-            SnapshotChunk first = ofSnapshot.firstEntry().getValue();
-            if (ofSnapshot.size() == first.getSnapshotChunkCount()) {
+        for (TreeMap<Integer, SnapshotChunk> snapshotChunks : chunks.descendingMap().values()) {
+            SnapshotChunk first = snapshotChunks.firstEntry().getValue();
+            if (snapshotChunks.size() == first.getSnapshotChunkCount()) {
                 return MODEL.createSnapshotEntryBuilder().setIndex(first.getIndex()).setTerm(first.getTerm())
-                        .setSnapshotChunks(new ArrayList<>(ofSnapshot.values()))
+                        .setSnapshotChunks(new ArrayList<>(snapshotChunks.values()))
                         .setGroupMembersView(first.getGroupMembersView()).build();
             }
         }
--- a/src/main/java/topazladder/consensus/VoterEndpoint.java
+++ b/src/main/java/topazladder/consensus/VoterEndpoint.java
@@ -7,7 +7,7 @@
  * vote under its old identity again (Raft dissertation, section 3.8). Each data folder therefore has its own number.
  *
  * @param name name of the member
- * @param birth number of the data folder; 0 for the group's initial voters
+ * @param birth random number of the data folder; 0 for the group's initial voters
  */
 public record VoterEndpoint(String name, long birth) implements RaftEndpoint {
     private static final char SEPARATOR = ':';
--- a/src/main/java/topazladder/membership/Membership.java
+++ b/src/main/java/topazladder/membership/Membership.java
@@ -85,7 +85,7 @@
     /** A sync is answered with the whole table, or with this many pages of one above this many full messages. */
     private static final int MAX_SYNC_PAGES = 4;
 
-    private final Terms terms;
+    private final Terms settings;
     private final RandomGenerator random;
     private Standing self;
     private final Map<String, Standing> others = new TreeMap<>(); // bounded; members that are gone are forgotten
@@ -142,8 +142,8 @@
     }
 
     /** @param self alive, with a process incarnation higher than that of any earlier process of its name */
-    public Membership(Terms terms, Standing self, RandomGenerator random) {
-        this.terms = terms;
+    public Membership(Terms settings, Standing self, RandomGenerator random) {
+        this.settings = settings;
         this.self = self;
         this.random = random;
     }
@@ -175,7 +175,7 @@
     /** Joins the cluster through the given addresses of any members; unreachable ones do no harm. */
     public List<Step> join(double now, List<String> addresses) {
         seeds = List.copyOf(addresses);
-        nextProbeAt = now + terms.period() * random.nextDouble();
+        nextProbeAt = now + settings.period() * random.nextDouble();
         List<Step> steps = new ArrayList<>();
         for (String address : seeds) {
             steps.add(new Step.Say("", address, new Sync(true, piggybackedUpdates())));
@@ -198,7 +198,7 @@
         self = self.as(State.LEFT);
         enqueueUpdate(self.name());
         List<Step> steps = new ArrayList<>();
-        for (String name : randomMembers(terms.helpers() + 1, Set.of())) {
+        for (String name : randomMembers(settings.helpers() + 1, Set.of())) {
             send(name, new Ping(++lastNumber, piggybackedUpdates()), steps);
         }
         return steps;
@@ -208,7 +208,7 @@
 
     /** Seconds until {@link #tick} is due. */
     public double next(double now) {
-        double due = Double.isNaN(nextProbeAt) ? now + terms.period() : nextProbeAt;
+        double due = Double.isNaN(nextProbeAt) ? now + settings.period() : nextProbeAt;
         if (probe != null && !probe.acked) {
             due = Math.min(due, probe.indirect ? probe.deadline : probe.indirectAt);
         }
@@ -232,7 +232,7 @@
         checkProbe(now, steps);
         checkSuspicions(now, steps);
         if (!Double.isNaN(nextProbeAt) && now >= nextProbeAt) {
-            nextProbeAt = now + terms.period() * (1 + healthScore);
+            nextProbeAt = now + settings.period() * (1 + healthScore);
             periods++;
             startProbe(now, steps);
             syncAndReconnect(steps);
@@ -247,11 +247,11 @@
      */
     private void compensatePause(double now) {
         double late = Double.isNaN(nextProbeAt) ? 0 : now - nextProbeAt;
-        if (late > terms.period() / 2) {
-            adjustHealth((int) Math.ceil(late / terms.period()));
+        if (late > settings.period() / 2) {
+            adjustHealth((int) Math.ceil(late / settings.period()));
             if (probe != null) {
-                probe.indirectAt = Math.max(probe.indirectAt, now + terms.period() * MAX_ACK_TIMEOUT);
-                probe.deadline = Math.max(probe.deadline, now + terms.period());
+                probe.indirectAt = Math.max(probe.indirectAt, now + settings.period() * MAX_ACK_TIMEOUT);
+                probe.deadline = Math.max(probe.deadline, now + settings.period());
             }
             suspicions.values().forEach(suspicion -> suspicion.extension += late);
         }
@@ -279,7 +279,7 @@
         }
         if (!probe.indirect && now >= probe.indirectAt) {
             probe.indirect = true;
-            for (String name : randomMembers(terms.helpers(), Set.of(probe.target))) {
+            for (String name : randomMembers(settings.helpers(), Set.of(probe.target))) {
                 probe.silentHelpers.add(name);
                 send(name, new PingFor(probe.number, probe.target, piggybackedUpdates()), steps);
             }
@@ -308,9 +308,9 @@
 
     /** Earlier the more members suspect independently; later the worse this member's own health is. */
     private double suspicionDeadline(Suspicion suspicion) {
-        double min = MIN_SUSPICION * Math.max(1, Math.log10(Math.max(1, size()))) * terms.period();
+        double min = MIN_SUSPICION * Math.max(1, Math.log10(Math.max(1, size()))) * settings.period();
         double max = MAX_SUSPICION_FACTOR * min;
-        double confirmations = terms.helpers();
+        double confirmations = settings.helpers();
         double confirmed = Math.min(1, Math.log(suspicion.accusers.size()) / Math.log(confirmations + 1));
         return suspicion.startedAt + suspicion.extension + (max - (max - min) * confirmed) * (1 + healthScore / 2.0);
     }
@@ -330,7 +330,7 @@
         }
         probe = new Probe(target, ++lastNumber, now);
         probe.indirectAt = now + ackTimeout() * (1 + healthScore);
-        probe.deadline = now + terms.period() * (1 + healthScore) * PROBE_DEADLINE;
+        probe.deadline = now + settings.period() * (1 + healthScore) * PROBE_DEADLINE;
         if (others.get(target).state() == State.SUSPECTED) {
             enqueueUpdate(target); // lets the suspect learn of the suspicion from this ping, and refute it
         }
@@ -338,7 +338,7 @@
     }
 
     private double ackTimeout() {
-        return roundTrips.timeout(MIN_ACK_TIMEOUT * terms.period(), MAX_ACK_TIMEOUT * terms.period());
+        return roundTrips.timeout(MIN_ACK_TIMEOUT * settings.period(), MAX_ACK_TIMEOUT * settings.period());
     }
 
     /** Periodically exchanges tables with a random member, and contacts a member that is gone or a seed. */
@@ -361,7 +361,7 @@
 
     private void forgetGoneMembers(double now) {
         others.values().removeIf(s -> !s.there()
-                && now - changedAt.getOrDefault(s.name(), now) > terms.remember());
+                && now - changedAt.getOrDefault(s.name(), now) > settings.remember());
         changedAt.keySet().retainAll(others.keySet());
     }
 
@@ -386,9 +386,9 @@
             Standing target = others.get(pingFor.whom());
             if (target != null && indirectProbes.size() < MAX_INDIRECT_PROBES) {
                 // The nack has to reach the requester before its probe ends.
-                double nackAfter = Math.min(ackTimeout(), MAX_ACK_TIMEOUT / 2 * terms.period());
+                double nackAfter = Math.min(ackTimeout(), MAX_ACK_TIMEOUT / 2 * settings.period());
                 indirectProbes.put(++lastNumber,
-                        new IndirectProbe(from, pingFor.number(), now + nackAfter, now + 2 * terms.period()));
+                        new IndirectProbe(from, pingFor.number(), now + nackAfter, now + 2 * settings.period()));
                 send(pingFor.whom(), new Ping(lastNumber, piggybackedUpdates()), steps);
             }
         } else if (message instanceof Ack ack) {
@@ -447,7 +447,7 @@
         if (before != null && !update.overrules(before)) {
             Suspicion running = suspicions.get(update.name());
             if (running != null && update.state() == State.SUSPECTED && update.incarnation() == before.incarnation()
-                    && update.life() == before.life() && running.accusers.size() <= terms.helpers()
+                    && update.life() == before.life() && running.accusers.size() <= settings.helpers()
                     && running.accusers.add(update.by())) {
                 others.put(update.name(), update);
                 enqueueUpdate(update.name()); // an independent confirmation shortens the timers of the others too
