--- a/src/main/java/topazladder/below/EndpointHealthTracker.java
+++ b/src/main/java/topazladder/below/EndpointHealthTracker.java
@@ -22,11 +22,11 @@
     private double decayedAt = Double.NaN;
     private Look look = Look.UNTRIED;
 
-    void add(double now, How how) {
+    void add(double now, How outcome) {
         decay(now);
         tried++;
-        failed += how.isFailure() ? 1 : 0;
-        successStreak = how.isFailure() ? 0 : successStreak + 1;
+        failed += outcome.isFailure() ? 1 : 0;
+        successStreak = outcome.isFailure() ? 0 : successStreak + 1;
         if (successStreak >= RECOVERY_STREAK && look == Look.ILL) {
             // The successes say more than the older failures, which would get the endpoint ejected again on its return.
             tried = RECOVERY_STREAK;
@@ -70,8 +70,8 @@
         return look;
     }
 
-    Report report(double now, String server) {
+    Report report(double now, String endpoint) {
         Look current = look(now);
-        return new Report(server, current, tried, failed);
+        return new Report(endpoint, current, tried, failed);
     }
 }
--- a/src/main/java/topazladder/below/Use.java
+++ b/src/main/java/topazladder/below/Use.java
@@ -93,15 +93,15 @@
      * Chooses the endpoint for a call: of two drawn at random by weight, the one with fewer calls in flight relative
      * to its weight. The call counts as in flight until {@link #ended} or {@link #dropped}.
      *
-     * @param not index of an endpoint that the call has already been to, or -1
+     * @param excluded index of an endpoint that the call has already been to, or -1
      * @return the index of the endpoint, or -1 if none is available
      */
-    public int pick(double now, int not) {
+    public int pick(double now, int excluded) {
         updateStates(now);
         double[] weights = new double[endpoints.size()];
         double sum = 0;
         for (int i = 0; i < weights.length; i++) {
-            weights[i] = i == not ? 0 : weight(now, endpoints.get(i));
+            weights[i] = i == excluded ? 0 : weight(now, endpoints.get(i));
             sum += weights[i];
         }
         if (sum <= 0) {
@@ -131,18 +131,18 @@
         return last;
     }
 
-    /** Records the outcome of a call to an endpoint. */
-    public void ended(double now, int server, How how) {
-        Endpoint endpoint = endpoints.get(server);
+    /** Records the outcome of a call to the endpoint of that index. */
+    public void ended(double now, int index, How outcome) {
+        Endpoint endpoint = endpoints.get(index);
         endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
-        endpoint.health.add(now, how);
+        endpoint.health.add(now, outcome);
         savedRetries = Math.min(MAX_SAVED_RETRIES, savedRetries + RETRIES_EARNED_PER_CALL);
         updateStates(now);
     }
 
-    /** Records that a call was abandoned before it showed anything about the endpoint. */
-    public void dropped(int server) {
-        Endpoint endpoint = endpoints.get(server);
+    /** Records that a call to the endpoint of that index was abandoned before it showed anything about it. */
+    public void dropped(int index) {
+        Endpoint endpoint = endpoints.get(index);
         endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
     }
 
@@ -179,42 +179,42 @@
     /**
      * Applies the leader's directives about all endpoints; those of an earlier term are ignored.
      *
-     * @param of term of the leader
+     * @param leaderTerm term of the leader that sent them
      */
-    public void told(double now, long of, List<Word> words) {
-        if (of < term) {
+    public void told(double now, long leaderTerm, List<Word> directives) {
+        if (leaderTerm < term) {
             return;
         }
-        term = of;
+        term = leaderTerm;
         leaderHeardAt = now;
         Map<String, Word> agreed = new HashMap<>();
-        words.stream().filter(w -> w.kind() != Word.Kind.AVOID).forEach(w -> agreed.put(w.server(), w));
-        ejectionPermitted = words.stream().filter(w -> w.kind() == Word.Kind.AVOID).map(Word::server)
+        directives.stream().filter(d -> d.kind() != Word.Kind.AVOID).forEach(d -> agreed.put(d.server(), d));
+        ejectionPermitted = directives.stream().filter(d -> d.kind() == Word.Kind.AVOID).map(Word::server)
                 .collect(Collectors.toSet());
         for (Endpoint endpoint : endpoints) {
-            Word word = agreed.get(endpoint.name);
-            if (word == null) {
+            Word directive = agreed.get(endpoint.name);
+            if (directive == null) {
                 if (endpoint.state == State.OUT || endpoint.state == State.RETURNING) {
                     enter(endpoint, State.IN_USE, now);
                 }
-            } else if (word.kind() == Word.Kind.OUT) {
+            } else if (directive.kind() == Word.Kind.OUT) {
                 if (endpoint.state != State.OUT) {
-                    enter(endpoint, State.OUT, now - word.age());
+                    enter(endpoint, State.OUT, now - directive.age());
                 }
-            } else if (endpoint.state != State.RETURNING || endpoint.token != word.token()
-                    || now - word.age() > endpoint.stateSince + 1) {
+            } else if (endpoint.state != State.RETURNING || endpoint.token != directive.token()
+                    || now - directive.age() > endpoint.stateSince + 1) {
                 endpoint.health.reset();
-                enter(endpoint, State.RETURNING, now - word.age());
+                enter(endpoint, State.RETURNING, now - directive.age());
             }
-            endpoint.token = word == null ? 0 : word.token();
+            endpoint.token = directive == null ? 0 : directive.token();
         }
         updateStates(now);
     }
 
     /** Makes the transitions that follow from elapsed time and this instance's own calls. */
     private void updateStates(double now) {
-        boolean mostIll = mostIll(now);
-        if (mostIll) {
+        boolean mostUnhealthy = mostUnhealthy(now);
+        if (mostUnhealthy) {
             aftermathUntil = now + Verdicts.AFTERMATH_SECONDS;
         }
         boolean inAftermath = now < aftermathUntil;
@@ -225,12 +225,12 @@
             if (endpoint.state == State.IN_USE && look == Look.ILL && !inAftermath && mayEject) {
                 enter(endpoint, State.OWN_OUT, now);
             } else if (endpoint.state == State.OWN_OUT
-                    && (now - endpoint.stateSince >= EjectionBackoff.seconds(endpoint.failedReturns) || mostIll
+                    && (now - endpoint.stateSince >= EjectionBackoff.seconds(endpoint.failedReturns) || mostUnhealthy
                             || !mayEject)) {
                 // The backoff is over, or the permission: a leader is heard again, and decides what stays ejected.
                 endpoint.health.reset();
                 enter(endpoint, State.OWN_RETURNING, now);
-            } else if (endpoint.state == State.OWN_RETURNING && look == Look.ILL && !mostIll && mayEject) {
+            } else if (endpoint.state == State.OWN_RETURNING && look == Look.ILL && !mostUnhealthy && mayEject) {
                 endpoint.failedReturns++;
                 enter(endpoint, State.OWN_OUT, now);
             } else if (endpoint.state == State.OWN_RETURNING
@@ -244,12 +244,12 @@
     /**
      * Whether this instance may eject an endpoint by itself.
      *
-     * @param allowed whether the leader permits it
-     * @param alone whether this instance hears from no leader
-     * @param leftOut number of other endpoints that are not in full use
+     * @param permitted whether the leader permits it
+     * @param leaderLost whether this instance hears from no leader
+     * @param othersEjected number of other endpoints that are not in full use
      */
-    protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
-        return allowed || alone && leftOut < settings.maxOwnEjections();
+    protected boolean mayLeaveOut(boolean permitted, boolean leaderLost, long othersEjected) {
+        return permitted || leaderLost && othersEjected < settings.maxOwnEjections();
     }
 
     /** Whether no leader was heard for so long that this instance decides by itself. */
@@ -258,10 +258,10 @@
         return now - Math.max(firstUsedAt, leaderHeardAt) > LEADER_LOST_SECONDS;
     }
 
-    private boolean mostIll(double now) {
-        long ill = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) == Look.ILL).count();
+    private boolean mostUnhealthy(double now) {
+        long unhealthy = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) == Look.ILL).count();
         long tried = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) != Look.UNTRIED).count();
-        return tooMany(ill, tried);
+        return tooMany(unhealthy, tried);
     }
 
     private static boolean isEjected(Endpoint endpoint) {
@@ -269,8 +269,8 @@
     }
 
     /** Whether so many endpoints look unhealthy that this instance or its network path is the likelier cause. */
-    protected boolean tooMany(long ill, long known) {
-        return 2 * ill > known;
+    protected boolean tooMany(long unhealthy, long tried) {
+        return 2 * unhealthy > tried;
     }
 
     private static void enter(Endpoint endpoint, State state, double since) {
@@ -307,8 +307,8 @@
         });
     }
 
-    public State state(String server) {
-        return byName.get(server).state;
+    public State state(String endpoint) {
+        return byName.get(endpoint).state;
     }
 
     public Terms terms() {
--- a/src/main/java/topazladder/below/Verdicts.java
+++ b/src/main/java/topazladder/below/Verdicts.java
@@ -52,24 +52,24 @@
         /** Whether the reports tell something about the endpoints, and not about the instance itself. */
         boolean isCredible() {
             long tried = byEndpoint.values().stream().filter(r -> r.look() != Look.UNTRIED).count();
-            long ill = byEndpoint.values().stream().filter(r -> r.look() == Look.ILL).count();
+            long unhealthy = byEndpoint.values().stream().filter(r -> r.look() == Look.ILL).count();
             // An instance that has tried one of several endpoints, and found it unhealthy, may find all of them so.
-            return byEndpoint.size() < 2 || 2 * ill <= tried;
+            return byEndpoint.size() < 2 || 2 * unhealthy <= tried;
         }
     }
 
     /** Numbers of credible instances that find an endpoint unhealthy and healthy. */
-    private record Votes(int ill, int well) {
+    private record Votes(int unhealthy, int healthy) {
         private static final Votes NONE = new Votes(0, 0);
 
         int total() {
-            return ill + well;
+            return unhealthy + healthy;
         }
     }
 
     private final DisruptionStateMachine stateMachine;
     private final Map<String, InstanceReports> reportsByInstance = new TreeMap<>(); // dropped when no longer valid
-    private final Map<String, Double> illSince = new HashMap<>(); // by endpoint
+    private final Map<String, Double> unhealthySince = new HashMap<>(); // by endpoint
     private final Map<DisruptionTarget, Double> phaseSince = new HashMap<>(); // by this leader's clock
     private final Map<DisruptionTarget, Phase> phases = new HashMap<>();
     private final Map<DisruptionTarget, DisruptionCommand> commandsInFlight = new HashMap<>();
@@ -86,7 +86,7 @@
     public void lead(double now) {
         leading = true;
         reportsByInstance.clear();
-        illSince.clear();
+        unhealthySince.clear();
         phaseSince.clear();
         phases.clear();
         commandsInFlight.clear();
@@ -102,23 +102,23 @@
     }
 
     /** Takes the reports of one instance; empty if it calls no endpoints. */
-    public void says(double now, String watcher, List<Report> reports) {
+    public void says(double now, String instance, List<Report> reports) {
         if (!leading || reports.isEmpty()) {
             return;
         }
         Map<String, Report> byEndpoint = new TreeMap<>();
         reports.forEach(r -> byEndpoint.put(r.server(), r));
-        reportsByInstance.put(watcher, new InstanceReports(now, byEndpoint));
+        reportsByInstance.put(instance, new InstanceReports(now, byEndpoint));
     }
 
     /** Whether the instance has reported lately, and so needs the leader's directives. */
-    public boolean watches(String watcher) {
-        return reportsByInstance.containsKey(watcher);
+    public boolean watches(String instance) {
+        return reportsByInstance.containsKey(instance);
     }
 
     /** A proposed command was applied, or its fate is unknown. */
-    public void over(DisruptionCommand op) {
-        commandsInFlight.values().removeIf(op::equals);
+    public void over(DisruptionCommand command) {
+        commandsInFlight.values().removeIf(command::equals);
     }
 
     /** Evaluates the reports; returns the commands to propose. */
@@ -131,42 +131,43 @@
         Map<String, Votes> votes = countVotes();
         trackPhases(now, votes);
         registerEndpoints(votes.keySet(), commands);
-        Set<String> ill = new HashSet<>();
+        Set<String> unhealthy = new HashSet<>();
         votes.forEach((endpoint, v) -> {
-            if (ill(v.ill(), v.total(), reportsByInstance.size())) {
-                ill.add(endpoint);
-                illSince.putIfAbsent(endpoint, now);
+            if (ill(v.unhealthy(), v.total(), reportsByInstance.size())) {
+                unhealthy.add(endpoint);
+                unhealthySince.putIfAbsent(endpoint, now);
             } else {
-                illSince.remove(endpoint);
+                unhealthySince.remove(endpoint);
             }
         });
-        Set<String> illOrEjected = new HashSet<>(ill);
+        Set<String> unhealthyOrEjected = new HashSet<>(unhealthy);
         // An ejected endpoint gets no calls, so it counts as it was when it was ejected.
         stateMachine.disruptions().stream()
                 .filter(d -> d.target().kind() == DisruptionTarget.Kind.DEPENDENCY && d.reason() == Reason.ILL
                         && (d.phase() == Phase.GRANTED || d.phase() == Phase.GONE))
-                .forEach(d -> illOrEjected.add(d.target().name()));
+                .forEach(d -> unhealthyOrEjected.add(d.target().name()));
         long notCredible = reportsByInstance.values().stream().filter(reports -> !reports.isCredible()).count();
-        boolean mostIll = tooMany(illOrEjected.size(), votes.size())
+        boolean mostUnhealthy = tooMany(unhealthyOrEjected.size(), votes.size())
                 || tooMany((int) notCredible, reportsByInstance.size());
-        if (mostIll) {
+        if (mostUnhealthy) {
             aftermathUntil = now + AFTERMATH_SECONDS;
         }
         // Includes endpoints that nobody reports, as after an election: a waiting request may have lost its reason.
         stateMachine.disruptions().stream().filter(d -> d.target().kind() == DisruptionTarget.Kind.DEPENDENCY)
                 .forEach(d -> votes.putIfAbsent(d.target().name(), Votes.NONE));
-        votes.forEach((endpoint, v) -> decide(now, endpoint, v, ill.contains(endpoint), mostIll, commands));
-        permitEjections(votes, ill, mostIll);
+        votes.forEach((endpoint, v) -> decide(now, endpoint, v, unhealthy.contains(endpoint), mostUnhealthy, commands));
+        permitEjections(votes, unhealthy, mostUnhealthy);
         return commands;
     }
 
-    private void decide(double now, String endpoint, Votes votes, boolean ill, boolean mostIll,
+    private void decide(double now, String endpoint, Votes votes, boolean unhealthy, boolean mostUnhealthy,
             List<DisruptionCommand> commands) {
         DisruptionTarget target = target(endpoint);
         Disruption disruption = stateMachine.get(target);
         double inPhase = now - phaseSince.getOrDefault(target, now);
         if (disruption == null) {
-            if (ill && !mostIll && now >= aftermathUntil && now - illSince.get(endpoint) >= CONFIRMATION_SECONDS) {
+            if (unhealthy && !mostUnhealthy && now >= aftermathUntil
+                    && now - unhealthySince.get(endpoint) >= CONFIRMATION_SECONDS) {
                 String requestId = REQUESTER + ' ' + endpoint + ' ' + ++requestCount;
                 propose(new DisruptionCommand.Request(target, Reason.ILL, requestId, REQUESTER), target, commands);
             }
@@ -175,20 +176,20 @@
         switch (disruption.phase()) {
             case ASKED -> {
                 // The reason is gone, or this is one of too many; left waiting, it would be ejected once it is well.
-                if (disruption.reason() == Reason.ILL && (!ill || mostIll)) {
+                if (disruption.reason() == Reason.ILL && (!unhealthy || mostUnhealthy)) {
                     propose(new DisruptionCommand.Withdraw(target, disruption.requestId()), target, commands);
                 }
             }
             case GRANTED, GONE -> {
                 if (disruption.reason() == Reason.ILL
-                        && (inPhase >= EjectionBackoff.seconds(disruption.incarnation()) || mostIll)) {
+                        && (inPhase >= EjectionBackoff.seconds(disruption.incarnation()) || mostUnhealthy)) {
                     propose(new DisruptionCommand.Rejoin(target), target, commands);
                 }
             }
             case RETURNING -> {
-                if (ill && !mostIll && inPhase >= CONFIRMATION_SECONDS) {
+                if (unhealthy && !mostUnhealthy && inPhase >= CONFIRMATION_SECONDS) {
                     propose(new DisruptionCommand.Lost(target, disruption.incarnation()), target, commands);
-                } else if (inPhase >= SlowStart.durationSeconds() && 2 * votes.well() >= votes.total()) {
+                } else if (inPhase >= SlowStart.durationSeconds() && 2 * votes.healthy() >= votes.total()) {
                     propose(new DisruptionCommand.Steady(target), target, commands);
                 }
             }
@@ -201,22 +202,22 @@
      * Whether an endpoint counts as unhealthy: most of the instances that call it find it so, and not a single one
      * where there are more observers.
      *
-     * @param ill instances that find it unhealthy
+     * @param unhealthy instances that find it unhealthy
      * @param tried instances that have a judgement of it
-     * @param watchers instances that report
+     * @param observers instances that report
      */
-    protected boolean ill(int ill, int tried, int watchers) {
-        return ill > 0 && 2 * ill > tried && ill >= Math.min(MIN_OBSERVERS, watchers);
+    protected boolean ill(int unhealthy, int tried, int observers) {
+        return unhealthy > 0 && 2 * unhealthy > tried && unhealthy >= Math.min(MIN_OBSERVERS, observers);
     }
 
     /** Whether so many look unhealthy that the cause likely lies between instances and endpoints. */
-    protected boolean tooMany(int ill, int servers) {
-        return 2 * ill > servers;
+    protected boolean tooMany(int unhealthy, int total) {
+        return 2 * unhealthy > total;
     }
 
     /** Whether an instance's reports count; overridden to inject a defect. */
-    protected boolean believed(boolean tellsOfServers) {
-        return tellsOfServers;
+    protected boolean believed(boolean credible) {
+        return credible;
     }
 
     private Map<String, Votes> countVotes() {
@@ -224,10 +225,10 @@
         for (InstanceReports reports : reportsByInstance.values()) {
             boolean credible = believed(reports.isCredible());
             reports.byEndpoint().forEach((endpoint, r) -> {
-                int ill = credible && r.look() == Look.ILL ? 1 : 0;
-                int well = credible && r.look() == Look.WELL ? 1 : 0;
-                votes.merge(endpoint, new Votes(ill, well),
-                        (a, b) -> new Votes(a.ill() + b.ill(), a.well() + b.well()));
+                int unhealthy = credible && r.look() == Look.ILL ? 1 : 0;
+                int healthy = credible && r.look() == Look.WELL ? 1 : 0;
+                votes.merge(endpoint, new Votes(unhealthy, healthy),
+                        (a, b) -> new Votes(a.unhealthy() + b.unhealthy(), a.healthy() + b.healthy()));
             });
         }
         return votes;
@@ -245,7 +246,7 @@
                     Votes v = votes.getOrDefault(target.name(), Votes.NONE);
                     LOG.info("dependency endpoint changed phase endpoint={} phase={} reason={} unhealthy-votes={}"
                             + " healthy-votes={} observers={}", target.name(), disruption.phase(),
-                            disruption.reason(), v.ill(), v.well(), reportsByInstance.size());
+                            disruption.reason(), v.unhealthy(), v.healthy(), reportsByInstance.size());
                 }
             }
         }
@@ -270,9 +271,9 @@
      * one instance's share of an endpoint, and together they stay within the remaining budget: an endpoint that many
      * instances eject one by one is as unavailable as one that the cluster ejects.
      */
-    private void permitEjections(Map<String, Votes> votes, Set<String> ill, boolean mostIll) {
+    private void permitEjections(Map<String, Votes> votes, Set<String> unhealthy, boolean mostUnhealthy) {
         permittedEjections.clear();
-        if (mostIll) {
+        if (mostUnhealthy) {
             return;
         }
         double remaining = remainingBudget();
@@ -283,8 +284,8 @@
             }
             for (Report r : e.getValue().byEndpoint().values()) {
                 double share = 1.0 / reportsByInstance.size();
-                if (r.look() == Look.ILL && !ill.contains(r.server()) && stateMachine.get(target(r.server())) == null
-                        && used + share <= remaining + 1e-9) {
+                if (r.look() == Look.ILL && !unhealthy.contains(r.server())
+                        && stateMachine.get(target(r.server())) == null && used + share <= remaining + 1e-9) {
                     used += share;
                     permittedEjections.computeIfAbsent(r.server(), name -> new TreeSet<>()).add(e.getKey());
                 }
@@ -305,29 +306,29 @@
     }
 
     /** What the leader tells one instance: all ejections by the cluster, and the instance's own permissions. */
-    public List<Word> words(double now, String watcher) {
-        List<Word> words = new ArrayList<>();
+    public List<Word> words(double now, String instance) {
+        List<Word> directives = new ArrayList<>();
         for (Disruption d : stateMachine.disruptions()) {
             if (d.target().kind() == DisruptionTarget.Kind.DEPENDENCY && d.usesBudget()) {
                 // A phase applied since the last tick is new; the age of the one before would skip the slow start.
                 double age = phases.get(d.target()) == d.phase() ? now - phaseSince.get(d.target()) : 0;
                 Word.Kind kind = d.phase() == Phase.RETURNING ? Word.Kind.RETURNING : Word.Kind.OUT;
-                words.add(new Word(d.target().name(), kind, d.token(), Math.max(0, age)));
+                directives.add(new Word(d.target().name(), kind, d.token(), Math.max(0, age)));
             }
         }
         permittedEjections.forEach((endpoint, instances) -> {
-            if (instances.contains(watcher)) {
-                words.add(new Word(endpoint, Word.Kind.AVOID, 0, 0));
+            if (instances.contains(instance)) {
+                directives.add(new Word(endpoint, Word.Kind.AVOID, 0, 0));
             }
         });
-        return words;
+        return directives;
     }
 
     /** The instances' votes by endpoint, for operators. */
     public Map<String, String> looks() {
         Map<String, String> described = new TreeMap<>();
-        countVotes().forEach((endpoint, v) -> described.put(endpoint, v.ill() + " ill, " + v.well() + " well of "
-                + reportsByInstance.size() + (permittedEjections.containsKey(endpoint)
+        countVotes().forEach((endpoint, v) -> described.put(endpoint, v.unhealthy() + " ill, " + v.healthy()
+                + " well of " + reportsByInstance.size() + (permittedEjections.containsKey(endpoint)
                         ? ", left out by " + permittedEjections.get(endpoint) : "")));
         return described;
     }
--- a/src/main/java/topazladder/membership/Membership.java
+++ b/src/main/java/topazladder/membership/Membership.java
@@ -184,10 +184,10 @@
     }
 
     /** Sets whether this member serves as it should, and publishes a change. */
-    public void steady(boolean is) {
-        if (self.steady() != is) {
+    public void steady(boolean steady) {
+        if (self.steady() != steady) {
             self = new Standing(self.name(), self.address(), self.hall(), self.life(), self.incarnation() + 1,
-                    self.state(), is, "");
+                    self.state(), steady, "");
             enqueueUpdate(self.name());
         }
     }
