--- a/src/main/java/topazladder/membership/Standing.java
+++ b/src/main/java/topazladder/membership/Standing.java
@@ -17,7 +17,9 @@
         boolean steady, String by) {
 
     /** Within one incarnation a later constant overrules an earlier one. */
-    public enum State { ALIVE, SUSPECTED, GONE, LEFT }
+    public enum State {
+        ALIVE, SUSPECTED, GONE, LEFT
+    }
 
     /** Compares the process incarnation first, then SWIM's incarnation, then the state. */
     public boolean overrules(Standing other) {
