--- a/src/main/java/topazladder/below/EndpointHealthTracker.java
+++ b/src/main/java/topazladder/below/EndpointHealthTracker.java
@@ -9,8 +9,6 @@
     private static final double HALF_LIFE_SECONDS = 2;
     /** Fewer decayed calls than this do not change the verdict. */
     private static final double MIN_CALLS = 3;
-    /** Below this number of decayed calls, the endpoint counts as untried. */
-    private static final double UNTRIED_CALLS = MIN_CALLS / 4;
     private static final double ILL_FAILURE_RATE = 0.5;
     private static final double WELL_FAILURE_RATE = 0.2;
     /** After this many successes in a row an unhealthy endpoint counts as healthy. */
@@ -56,11 +54,10 @@
         double failureRate = tried <= 0 ? 0 : failed / tried;
         if (tried < MIN_CALLS) {
             // Without this an endpoint that gets no calls any more would stay unhealthy for ever.
-            look = tried < UNTRIED_CALLS ? Look.UNTRIED : look;
-        } else if (failureRate >= ILL_FAILURE_RATE) {
-            look = Look.ILL;
-        } else if (look != Look.ILL || failureRate < WELL_FAILURE_RATE) {
-            look = Look.WELL;
+            look = tried < MIN_CALLS / 4 ? Look.UNTRIED : look;
+        } else {
+            look = failureRate >= ILL_FAILURE_RATE ? Look.ILL
+                    : look != Look.ILL || failureRate < WELL_FAILURE_RATE ? Look.WELL : look;
         }
     }
 
--- a/src/main/java/topazladder/below/Use.java
+++ b/src/main/java/topazladder/below/Use.java
@@ -109,9 +109,9 @@
         }
         int first = draw(weights, sum);
         int second = draw(weights, sum);
-        double firstLoad = endpoints.get(first).inFlight / weights[first];
-        double secondLoad = endpoints.get(second).inFlight / weights[second];
-        int chosen = firstLoad <= secondLoad ? first : second;
+        Endpoint a = endpoints.get(first);
+        Endpoint b = endpoints.get(second);
+        int chosen = a.inFlight / weights[first] <= b.inFlight / weights[second] ? first : second;
         endpoints.get(chosen).inFlight++;
         return chosen;
     }
@@ -142,8 +142,7 @@
 
     /** Records that a call to the endpoint of that index was abandoned before it showed anything about it. */
     public void dropped(int index) {
-        Endpoint endpoint = endpoints.get(index);
-        endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
+        endpoints.get(index).inFlight = Math.max(0, endpoints.get(index).inFlight - 1);
     }
 
     /**
@@ -220,8 +219,8 @@
         boolean inAftermath = now < aftermathUntil;
         for (Endpoint endpoint : endpoints) {
             Look look = endpoint.health.look(now);
-            long othersEjected = endpoints.stream().filter(e -> e != endpoint && e.state != State.IN_USE).count();
-            boolean mayEject = mayLeaveOut(ejectionPermitted.contains(endpoint.name), alone(now), othersEjected);
+            boolean mayEject = mayLeaveOut(ejectionPermitted.contains(endpoint.name), alone(now),
+                    endpoints.stream().filter(e -> e != endpoint && e.state != State.IN_USE).count());
             if (endpoint.state == State.IN_USE && look == Look.ILL && !inAftermath && mayEject) {
                 enter(endpoint, State.OWN_OUT, now);
             } else if (endpoint.state == State.OWN_OUT
@@ -259,15 +258,13 @@
     }
 
     private boolean mostUnhealthy(double now) {
-        long unhealthy = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) == Look.ILL).count();
-        long tried = endpoints.stream().filter(e -> isEjected(e) || e.health.look(now) != Look.UNTRIED).count();
+        long unhealthy = endpoints.stream().filter(e -> e.state == State.OWN_OUT || e.state == State.OUT
+                || e.health.look(now) == Look.ILL).count();
+        long tried = endpoints.stream().filter(e -> e.state == State.OWN_OUT || e.state == State.OUT
+                || e.health.look(now) != Look.UNTRIED).count();
         return tooMany(unhealthy, tried);
     }
 
-    private static boolean isEjected(Endpoint endpoint) {
-        return endpoint.state == State.OWN_OUT || endpoint.state == State.OUT;
-    }
-
     /** Whether so many endpoints look unhealthy that this instance or its network path is the likelier cause. */
     protected boolean tooMany(long unhealthy, long tried) {
         return 2 * unhealthy > tried;
@@ -287,11 +284,10 @@
         for (Endpoint endpoint : endpoints) {
             Report observed = endpoint.health.report(now, endpoint.name);
             // An endpoint ejected here gets no calls and would soon be reported as untried, which hides the failure.
-            Report report = endpoint.state == State.OWN_OUT
+            reports.add(endpoint.state == State.OWN_OUT
                     ? new Report(endpoint.name, Look.ILL, Math.max(observed.tried(), 1), observed.failed())
-                    : observed;
-            reports.add(report);
-            looks.put(endpoint.name, report.look());
+                    : observed);
+            looks.put(endpoint.name, reports.get(reports.size() - 1).look());
         }
         reportedLooks = looks;
         return reports;
--- a/src/main/java/topazladder/below/Verdicts.java
+++ b/src/main/java/topazladder/below/Verdicts.java
@@ -60,7 +60,6 @@
 
     /** Numbers of credible instances that find an endpoint unhealthy and healthy. */
     private record Votes(int unhealthy, int healthy) {
-        private static final Votes NONE = new Votes(0, 0);
 
         int total() {
             return unhealthy + healthy;
@@ -154,7 +153,7 @@
         }
         // Includes endpoints that nobody reports, as after an election: a waiting request may have lost its reason.
         stateMachine.disruptions().stream().filter(d -> d.target().kind() == DisruptionTarget.Kind.DEPENDENCY)
-                .forEach(d -> votes.putIfAbsent(d.target().name(), Votes.NONE));
+                .forEach(d -> votes.putIfAbsent(d.target().name(), new Votes(0, 0)));
         votes.forEach((endpoint, v) -> decide(now, endpoint, v, unhealthy.contains(endpoint), mostUnhealthy, commands));
         permitEjections(votes, unhealthy, mostUnhealthy);
         return commands;
@@ -168,8 +167,8 @@
         if (disruption == null) {
             if (unhealthy && !mostUnhealthy && now >= aftermathUntil
                     && now - unhealthySince.get(endpoint) >= CONFIRMATION_SECONDS) {
-                String requestId = REQUESTER + ' ' + endpoint + ' ' + ++requestCount;
-                propose(new DisruptionCommand.Request(target, Reason.ILL, requestId, REQUESTER), target, commands);
+                propose(new DisruptionCommand.Request(target, Reason.ILL,
+                        REQUESTER + ' ' + endpoint + ' ' + ++requestCount, REQUESTER), target, commands);
             }
             return;
         }
@@ -238,14 +237,13 @@
     private void trackPhases(double now, Map<String, Votes> votes) {
         Set<DisruptionTarget> disrupted = new HashSet<>();
         for (Disruption disruption : stateMachine.disruptions()) {
-            DisruptionTarget target = disruption.target();
-            if (target.kind() == DisruptionTarget.Kind.DEPENDENCY) {
-                disrupted.add(target);
-                if (phases.put(target, disruption.phase()) != disruption.phase()) {
-                    phaseSince.put(target, now);
-                    Votes v = votes.getOrDefault(target.name(), Votes.NONE);
+            if (disruption.target().kind() == DisruptionTarget.Kind.DEPENDENCY) {
+                disrupted.add(disruption.target());
+                if (phases.put(disruption.target(), disruption.phase()) != disruption.phase()) {
+                    phaseSince.put(disruption.target(), now);
+                    Votes v = votes.getOrDefault(disruption.target().name(), new Votes(0, 0));
                     LOG.info("dependency endpoint changed phase endpoint={} phase={} reason={} unhealthy-votes={}"
-                            + " healthy-votes={} observers={}", target.name(), disruption.phase(),
+                            + " healthy-votes={} observers={}", disruption.target().name(), disruption.phase(),
                             disruption.reason(), v.unhealthy(), v.healthy(), reportsByInstance.size());
                 }
             }
@@ -312,8 +310,8 @@
             if (d.target().kind() == DisruptionTarget.Kind.DEPENDENCY && d.usesBudget()) {
                 // A phase applied since the last tick is new; the age of the one before would skip the slow start.
                 double age = phases.get(d.target()) == d.phase() ? now - phaseSince.get(d.target()) : 0;
-                Word.Kind kind = d.phase() == Phase.RETURNING ? Word.Kind.RETURNING : Word.Kind.OUT;
-                directives.add(new Word(d.target().name(), kind, d.token(), Math.max(0, age)));
+                directives.add(new Word(d.target().name(), d.phase() == Phase.RETURNING ? Word.Kind.RETURNING
+                        : Word.Kind.OUT, d.token(), Math.max(0, age)));
             }
         }
         permittedEjections.forEach((endpoint, instances) -> {
--- a/src/main/java/topazladder/membership/Membership.java
+++ b/src/main/java/topazladder/membership/Membership.java
@@ -138,7 +138,8 @@
     }
 
     /** A ping on behalf of another member. */
-    private record IndirectProbe(String requester, long requesterNumber, double nackAt, double expiresAt) {
+    private record IndirectProbe(String requester, long requesterNumber, String target, double nackAt,
+            double expiresAt) {
     }
 
     /** @param self alive, with a process incarnation higher than that of any earlier process of its name */
@@ -215,8 +216,8 @@
         for (IndirectProbe indirect : indirectProbes.values()) {
             due = Math.min(due, indirect.nackAt());
         }
-        for (Suspicion suspicion : suspicions.values()) {
-            due = Math.min(due, suspicionDeadline(suspicion));
+        for (Map.Entry<String, Suspicion> e : suspicions.entrySet()) {
+            due = Math.min(due, suspicionDeadline(e.getValue()));
         }
         return Math.max(0.001, due - now);
     }
@@ -235,8 +236,7 @@
             nextProbeAt = now + settings.period() * (1 + healthScore);
             periods++;
             startProbe(now, steps);
-            syncAndReconnect(steps);
-            forgetGoneMembers(now);
+            syncReconnectAndForget(now, steps);
         }
         return steps;
     }
@@ -286,7 +286,7 @@
         }
         if (probe.indirect && now >= probe.deadline) {
             // Several helpers that sent not even a nack are as unreachable as the target: this member may be isolated.
-            adjustHealth(probe.silentHelpers.size() > 1 ? 1 : 0);
+            adjustHealth(probe.silentHelpers.isEmpty() ? 0 : probe.silentHelpers.size() > 1 ? 1 : 0);
             Standing target = others.get(probe.target);
             if (target != null && target.state() == State.ALIVE) {
                 applyUpdate(now, target.suspectedBy(self.name()), steps);
@@ -329,20 +329,21 @@
             return;
         }
         probe = new Probe(target, ++lastNumber, now);
-        probe.indirectAt = now + ackTimeout() * (1 + healthScore);
+        probe.indirectAt = now + roundTrips.timeout(MIN_ACK_TIMEOUT * settings.period(),
+                MAX_ACK_TIMEOUT * settings.period()) * (1 + healthScore);
         probe.deadline = now + settings.period() * (1 + healthScore) * PROBE_DEADLINE;
-        if (others.get(target).state() == State.SUSPECTED) {
+        Standing known = others.get(target);
+        if (known.state() == State.SUSPECTED) {
             enqueueUpdate(target); // lets the suspect learn of the suspicion from this ping, and refute it
         }
         send(target, new Ping(probe.number, piggybackedUpdates()), steps);
     }
 
-    private double ackTimeout() {
-        return roundTrips.timeout(MIN_ACK_TIMEOUT * settings.period(), MAX_ACK_TIMEOUT * settings.period());
-    }
-
-    /** Periodically exchanges tables with a random member, and contacts a member that is gone or a seed. */
-    private void syncAndReconnect(List<Step> steps) {
+    /**
+     * Periodically exchanges tables with a random member, and contacts a member that is gone or a seed; forgets members
+     * that have been gone for long.
+     */
+    private void syncReconnectAndForget(double now, List<Step> steps) {
         if (periods % SYNC_PERIODS == 0) {
             randomMembers(1, Set.of()).forEach(name -> send(name, new Sync(true, nextTablePage()), steps));
         }
@@ -357,9 +358,6 @@
                         new Sync(true, piggybackedUpdates())));
             }
         }
-    }
-
-    private void forgetGoneMembers(double now) {
         others.values().removeIf(s -> !s.there()
                 && now - changedAt.getOrDefault(s.name(), now) > settings.remember());
         changedAt.keySet().retainAll(others.keySet());
@@ -385,10 +383,12 @@
         } else if (message instanceof PingFor pingFor) {
             Standing target = others.get(pingFor.whom());
             if (target != null && indirectProbes.size() < MAX_INDIRECT_PROBES) {
+                double ackTimeout = roundTrips.timeout(MIN_ACK_TIMEOUT * settings.period(),
+                        MAX_ACK_TIMEOUT * settings.period());
                 // The nack has to reach the requester before its probe ends.
-                double nackAfter = Math.min(ackTimeout(), MAX_ACK_TIMEOUT / 2 * settings.period());
-                indirectProbes.put(++lastNumber,
-                        new IndirectProbe(from, pingFor.number(), now + nackAfter, now + 2 * settings.period()));
+                indirectProbes.put(++lastNumber, new IndirectProbe(from, pingFor.number(), pingFor.whom(),
+                        now + Math.min(ackTimeout, MAX_ACK_TIMEOUT / 2 * settings.period()),
+                        now + 2 * settings.period()));
                 send(pingFor.whom(), new Ping(lastNumber, piggybackedUpdates()), steps);
             }
         } else if (message instanceof Ack ack) {
@@ -398,7 +398,19 @@
                 probe.silentHelpers.remove(from);
             }
         } else if (message instanceof Sync sync && sync.back()) {
-            sendTable(from, steps);
+            List<Standing> all = new ArrayList<>(others.values());
+            if (all.size() <= MAX_SYNC_PAGES * MOST_NEWS) {
+                for (int i = 0; i == 0 || i < all.size(); i += MOST_NEWS - 1) {
+                    List<Standing> page = new ArrayList<>(all.subList(i, Math.min(all.size(), i + MOST_NEWS - 1)));
+                    page.add(self);
+                    send(from, new Sync(false, page), steps);
+                }
+            } else {
+                // The rest of a large table arrives with later syncs and piggybacked updates.
+                for (int i = 0; i < MAX_SYNC_PAGES; i++) {
+                    send(from, new Sync(false, nextTablePage()), steps);
+                }
+            }
         }
         return steps;
     }
@@ -421,22 +433,6 @@
         }
     }
 
-    private void sendTable(String to, List<Step> steps) {
-        List<Standing> all = new ArrayList<>(others.values());
-        if (all.size() <= MAX_SYNC_PAGES * MOST_NEWS) {
-            for (int i = 0; i == 0 || i < all.size(); i += MOST_NEWS - 1) {
-                List<Standing> page = new ArrayList<>(all.subList(i, Math.min(all.size(), i + MOST_NEWS - 1)));
-                page.add(self);
-                send(to, new Sync(false, page), steps);
-            }
-        } else {
-            // The rest of a large table arrives with later syncs and piggybacked updates.
-            for (int i = 0; i < MAX_SYNC_PAGES; i++) {
-                send(to, new Sync(false, nextTablePage()), steps);
-            }
-        }
-    }
-
     /** Applies an update of one member if it overrules what is known; it does not matter who sent it. */
     private void applyUpdate(double now, Standing update, List<Step> steps) {
         if (update.name().equals(self.name())) {
--- a/src/test/java/topazladder/below/VerdictsTest.java
+++ b/src/test/java/topazladder/below/VerdictsTest.java
@@ -56,12 +56,8 @@
         return List.of(ill, ill, ill, ill, ill);
     }
 
-    private static DisruptionTarget dependency(String endpoint) {
-        return new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, endpoint, "");
-    }
-
     private Disruption disruption(String endpoint) {
-        return stateMachine.get(dependency(endpoint));
+        return stateMachine.get(new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, endpoint, ""));
     }
 
     @Test
@@ -119,7 +115,8 @@
 
     @Test
     void permissionsStayWithinTheRemainingBudget() {
-        stateMachine.apply(new DisruptionCommand.Request(dependency("d"),
+        stateMachine.apply(new DisruptionCommand.Request(
+                new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "d", ""),
                 Disruption.Reason.OPERATOR, "operator", "me"));
         pass(2, List.of(Set.of("a"), Set.of("b"), Set.of(), Set.of(), Set.of()));
         assertThat(disruption("d").phase()).isEqualTo(Disruption.Phase.GRANTED);
@@ -156,7 +153,7 @@
     @Test
     void operatorKeepsAnEjectedEndpointOutUntilRejoin() {
         pass(2, foundByAll(Set.of("a")));
-        DisruptionTarget a = dependency("a");
+        DisruptionTarget a = new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", "");
         assertThat(stateMachine.apply(new DisruptionCommand.KeepOut(a, "operator", "me")).isApplied()).isTrue();
         pass(60, foundByAll(Set.of()));
         assertThat(disruption("a").phase()).as("kept out by the operator").isEqualTo(Disruption.Phase.GRANTED);
@@ -175,7 +172,8 @@
     void phaseThatBeganSinceTheLastTickIsToldAsNew() {
         pass(2, foundByAll(Set.of("a")));
         now += 1;
-        stateMachine.apply(new DisruptionCommand.Rejoin(dependency("a")));
+        stateMachine.apply(new DisruptionCommand.Rejoin(
+                new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", "")));
         assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
             assertThat(w.kind()).isEqualTo(Word.Kind.RETURNING);
             assertThat(w.age()).isZero();
@@ -185,7 +183,8 @@
     /** A new leader has no reports yet; a request of its predecessor must not use up the budget without a reason. */
     @Test
     void requestOfAnEarlierLeaderIsWithdrawnUnlessReportsSupportIt() {
-        stateMachine.apply(new DisruptionCommand.Request(dependency("a"),
+        stateMachine.apply(new DisruptionCommand.Request(
+                new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", ""),
                 Disruption.Reason.ILL, "symptoms a 1", "symptoms"));
         pass(0.25, List.of());
         assertThat(disruption("a")).isNull();
--- a/src/test/java/topazladder/membership/MembershipTest.java
+++ b/src/test/java/topazladder/membership/MembershipTest.java
@@ -86,7 +86,8 @@
                     messagesSent.merge(from, 1, Integer::sum);
                     mostUpdates = Math.max(mostUpdates, send.what().news().size());
                     String to = send.address();
-                    if (random.nextDouble() < loss || !connected(from, to)) {
+                    if (random.nextDouble() < loss
+                            || !partitions.getOrDefault(from, 0).equals(partitions.getOrDefault(to, 0))) {
                         continue;
                     }
                     time.schedule(MAX_DELAY * random.nextDouble(), () -> {
@@ -98,16 +99,13 @@
                     });
                 } else if (step instanceof Membership.Step.Changed change && change.now().state() == State.GONE
                         && !dead.contains(change.now().name()) && !paused.contains(change.now().name())
-                        && connected(from, change.now().name())) {
+                        && partitions.getOrDefault(from, 0)
+                                .equals(partitions.getOrDefault(change.now().name(), 0))) {
                     falselyGone++;
                 }
             }
         }
 
-        private boolean connected(String from, String to) {
-            return partitions.getOrDefault(from, 0).equals(partitions.getOrDefault(to, 0));
-        }
-
         SimulatedCluster withMembers(int count) {
             for (int i = 0; i < count; i++) {
                 start("n" + i, 1, "n0");
