--- a/src/main/java/topazladder/consensus/VoterChangePlanner.java
+++ b/src/main/java/topazladder/consensus/VoterChangePlanner.java
@@ -17,6 +17,7 @@
     /** The addition or removal of one voter. */
     public record Change(VoterEndpoint endpoint, Kind kind) {
 
+        /** Whether the endpoint becomes a voter or ceases to be one. */
         public enum Kind { ADD, REMOVE }
     }
 
