--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/ReleaseStart.java
@@ -16,16 +16,16 @@
 import topazladder.replication.ClusterReplica;
 
 /**
- * Whether a release may start, and which instances it covers, by what the group's leader knows. No I/O; called on the
- * group's thread, at the leader.
+ * Decides whether a rollout may start, and which instances it covers, by what the group's leader knows. No I/O; called
+ * on the consensus thread of the leader.
  *
- * <p>A release covers the members that the leader has heard of when it starts. One that joins later, or that the leader
- * hears of later, is added by the conductor ({@link ReleaseOp.AddPlace}) while the release runs.
+ * <p>A rollout covers the members that the leader has heard of when it starts. A member that joins later, or that the
+ * leader hears of later, is added by the rollout controller ({@link ReleaseOp.AddPlace}) while the rollout runs.
  */
 public final class ReleaseStart {
-    /** The schema of messages in which releases came. */
-    private static final int KNOWS_RELEASES = 2;
-    private static final String CONDUCTING_LEASE = "release";
+    /** The message schema that introduced rollouts. */
+    private static final int ROLLOUT_SCHEMA = 2;
+    private static final String CONTROLLER_LEASE = "release";
 
     private final ClusterReplica replica;
     private final Plan plan;
@@ -36,10 +36,10 @@
     }
 
     /**
-     * What becomes of an operator's order to start a release.
+     * Whether the rollout starts.
      *
-     * @param operation to be agreed on, or null where it is refused
-     * @param refusal why it is refused, for the operator; null where it is not
+     * @param operation to be proposed, or null where the start is refused
+     * @param refusal the reason, for the operator, or null where the start is not refused
      */
     public record Decision(ReleaseOp.Start operation, String refusal) {
 
@@ -48,58 +48,64 @@
         }
     }
 
+    /** Decides on an operator's command to start a rollout by that plan. */
     public static Decision decide(ClusterReplica replica, Plan plan, ReleaseOp.By by) {
         return new ReleaseStart(replica, plan).decide(by);
     }
 
     private Decision decide(ReleaseOp.By by) {
         if (!replica.rollouts().isSettled()) {
-            return new Decision(null, "the leader has not led for long enough to know every member; try again soon");
+            return new Decision(null, "the leader " + replica.here().name()
+                    + " has not led for long enough to have heard of every member; try again soon");
         }
         View view = replica.rollouts().view();
         String refusal = refusal(view);
         if (refusal != null) {
             return new Decision(null, refusal);
         }
-        Set<String> voting = replica.voting().stream().map(VoterEndpoint::name).collect(Collectors.toSet());
+        Set<String> voters = replica.voting().stream().map(VoterEndpoint::name).collect(Collectors.toSet());
         List<Place> places = new ArrayList<>();
         for (View.Sight member : view.members()) {
-            places.add(new Place(member.name(), member.zone(), voting.contains(member.name()), 0, Place.Stage.LEFT, 0));
+            places.add(new Place(member.name(), member.zone(), voters.contains(member.name()), 0, Place.Stage.LEFT, 0));
         }
-        return new Decision(new ReleaseOp.Start(by, plan, Waves.of(plan, places, conductor())), null);
+        return new Decision(new ReleaseOp.Start(by, plan, Waves.of(plan, places, controllerHolder())), null);
     }
 
-    /** What would stop it in the middle is better known before its first step. */
+    /** Refuses at the start what would halt the rollout halfway; null for nothing. */
     private String refusal(View view) {
-        List<String> unread = replica.voting().stream().map(VoterEndpoint::name)
-                .filter(name -> replica.disruptions().controller().schemaOf(name) < KNOWS_RELEASES).toList();
-        if (2 * unread.size() >= replica.voting().size()) {
-            return "the voters " + unread + " can't read releases; start them in a version that can";
+        List<String> outdated = replica.voting().stream().map(VoterEndpoint::name)
+                .filter(name -> replica.disruptions().controller().schemaOf(name) < ROLLOUT_SCHEMA).toList();
+        if (2 * outdated.size() >= replica.voting().size()) {
+            return "the voters " + outdated + " do not read message schema " + ROLLOUT_SCHEMA
+                    + ", which rollouts need; a majority of the voters has to run a version that does";
         }
-        if (replica.state().leases().leases().stream().noneMatch(d -> d.settings().name().equals(CONDUCTING_LEASE))) {
-            return "no duty named release conducts here";
+        if (replica.state().leases().leases().stream().noneMatch(d -> d.settings().name().equals(CONTROLLER_LEASE))) {
+            return "hall.duties has no duty named " + CONTROLLER_LEASE + ", which runs the rollout controller";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
     }
 
     private String refusalBy(View.Sight member) {
         if (member.look() == DisruptionController.Health.GONE) {
-            return member.name() + " is not there; give it up first, or start it";
+            return "member " + member.name() + " is gone; start it, or give it up first";
         }
         String runs = member.serving() == null ? "" : member.serving().version();
         if (!runs.equals(plan.from()) && !runs.equals(plan.to())) {
-            return member.name() + " runs '" + runs + "', neither " + plan.from() + " nor " + plan.to();
+            return "member " + member.name() + " runs version '" + runs + "'; the plan needs '" + plan.from()
+                    + "' or '" + plan.to() + "'";
         }
-        DisruptionTarget subject = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.zone());
+        DisruptionTarget target = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.zone());
         List<DisruptionBudget> covering =
-                replica.state().disruptions().budgets().stream().filter(b -> b.covers(subject)).toList();
-        boolean mayGo = !covering.isEmpty() && covering.stream().noneMatch(b -> b.maxUnavailable() == 0);
-        return mayGo ? null : "no budget lets " + member.name() + " go";
+                replica.state().disruptions().budgets().stream().filter(b -> b.covers(target)).toList();
+        boolean mayShutDown = !covering.isEmpty() && covering.stream().noneMatch(b -> b.maxUnavailable() == 0);
+        return mayShutDown ? null : "no disruption budget permits member " + member.name()
+                + " to shut down; hall.budgets needs one that covers it, and none with most 0";
     }
 
-    private String conductor() {
+    /** Name of the member that runs the rollout controller, or empty. */
+    private String controllerHolder() {
         return replica.state().leases().leases().stream()
-                .filter(d -> d.isHeld() && d.settings().name().equals(CONDUCTING_LEASE))
+                .filter(d -> d.isHeld() && d.settings().name().equals(CONTROLLER_LEASE))
                 .map(d -> d.holder().name()).findFirst().orElse("");
     }
 }
