--- a/src/main/java/topazladder/net/hall/SqliteTransactions.java
+++ b/src/main/java/topazladder/net/hall/SqliteTransactions.java
@@ -17,8 +17,8 @@
 import org.sqlite.util.OSInfo;
 
 /**
- * One SQLite database of a voter, held by one process at a time. Invariant: a transaction is open between any two
- * calls; it ends with {@link #commit}, which returns once it is on the disk, or with {@link #rollBack}.
+ * A voter's SQLite database, which one process at a time may open. Invariant: a transaction is open between any two
+ * calls. It ends with {@link #commit}, which returns once the data is on the disk, or with {@link #rollBack}.
  */
 final class SqliteTransactions implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(SqliteTransactions.class);
@@ -26,7 +26,10 @@
     private static final String BEGIN = "begin immediate";
     private static final String COMMIT = "commit";
 
-    /** Exclusive: held from the first write to the end of the process, also by one that was killed and not gone yet. */
+    /**
+     * Exclusive locking holds the lock from the first write to the end of the process, which includes a process that
+     * was killed and has not ended yet.
+     */
     private static final List<String> PRAGMAS = List.of(
             "pragma busy_timeout = 0",
             "pragma locking_mode = exclusive",
@@ -44,52 +47,56 @@
             BEGIN);
 
     static {
-        // From its own jar the library would be written into the folder for temporary files at each start: a full disk
-        // refuses that, and a process that is killed leaves it behind.
+        // By default the driver extracts its native library from the jar into the folder for temporary files at each
+        // start. That fails on a full disk, and a process that is killed leaves the file behind.
         try {
             Path jar = Path.of(OSInfo.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-            Path beside = jar.resolveSibling("org/sqlite/native").resolve(OSInfo.getNativeLibFolderPathForCurrentOS());
-            if (Files.isDirectory(beside)) {
-                System.setProperty("org.sqlite.lib.path", beside.toString());
+            Path libraryFolder =
+                    jar.resolveSibling("org/sqlite/native").resolve(OSInfo.getNativeLibFolderPathForCurrentOS());
+            if (Files.isDirectory(libraryFolder)) {
+                System.setProperty("org.sqlite.lib.path", libraryFolder.toString());
             }
         } catch (URISyntaxException | RuntimeException e) {
-            LOG.debug("native library of SQLite not found beside its jar", e);
+            LOG.debug("sqlite native library not found next to its jar", e);
         }
     }
 
     private final Connection connection;
 
     /**
-     * Opens a database, and makes folder and database where there are none.
+     * Opens a database; creates the folder and the database where there are none.
      *
-     * @throws IOException where the folder can't be written, is another process's, or is of a newer version
+     * @throws IOException where the folder can't be written, is in use by another process, or was written by a newer
+     *     version
      */
     SqliteTransactions(Path folder, String fileName) throws IOException {
         try {
             Files.createDirectories(folder);
             connection = DriverManager.getConnection("jdbc:sqlite:" + folder.resolve(fileName).toAbsolutePath());
         } catch (SQLException e) {
-            throw new IOException("the voter's folder can't be opened: " + e.getMessage(), e);
+            throw new IOException("the voter store in " + folder + " can't be opened: " + e.getMessage(), e);
         }
         try {
-            prepare();
+            prepare(folder);
         } catch (SQLException e) {
             close();
-            throw new IOException("the voter's folder is another process's, or is damaged: " + e.getMessage(), e);
+            throw new IOException("the voter store in " + folder
+                    + " is in use by another process, or is damaged: " + e.getMessage(), e);
         } catch (IOException e) {
             close();
             throw e;
         }
     }
 
-    private void prepare() throws SQLException, IOException {
+    private void prepare(Path folder) throws SQLException, IOException {
         try (Statement statement = connection.createStatement()) {
             for (String pragma : PRAGMAS) {
                 statement.execute(pragma);
             }
             try (ResultSet version = statement.executeQuery("pragma user_version")) {
                 if (version.next() && version.getInt(1) > SCHEMA_VERSION) {
-                    throw new IOException("the voter's folder was written by a newer version");
+                    throw new IOException("the voter store in " + folder + " has schema version "
+                            + version.getInt(1) + "; this program reads up to " + SCHEMA_VERSION);
                 }
             }
             for (String sql : CREATE_SCHEMA) {
@@ -106,11 +113,11 @@
         try {
             return call.run();
         } catch (SQLException e) {
-            throw new IOException("the voter's store: " + e.getMessage(), e);
+            throw new IOException("the voter store failed: " + e.getMessage(), e);
         }
     }
 
-    /** Runs one statement with these values; each is a string, a whole number or bytes. */
+    /** Runs one statement with these values, each of which is a string, an integer or bytes. */
     void update(String sql, Object... values) throws IOException {
         call(() -> {
             try (PreparedStatement statement = prepared(sql, values)) {
@@ -119,7 +126,7 @@
         });
     }
 
-    /** The first column of each row. */
+    /** Returns the first column of each row. */
     List<byte[]> select(String sql, Object... values) throws IOException {
         return call(() -> {
             try (PreparedStatement statement = prepared(sql, values); ResultSet rows = statement.executeQuery()) {
@@ -161,7 +168,7 @@
                 try {
                     statement.execute("rollback");
                 } catch (SQLException e) {
-                    // A disk that was full has ended the transaction by itself.
+                    // SQLite rolls back by itself on some errors, such as a full disk; no transaction is open then.
                 }
                 return statement.execute(BEGIN);
             }
@@ -173,7 +180,7 @@
         try {
             connection.close();
         } catch (SQLException e) {
-            // What was committed is on the disk, and nothing else was promised.
+            // What was committed is on the disk, and nothing else may be relied on.
         }
     }
 }
--- a/src/main/java/topazladder/net/hall/SqliteVoterStore.java
+++ b/src/main/java/topazladder/net/hall/SqliteVoterStore.java
@@ -24,17 +24,18 @@
 import topazladder.net.codec.MalformedMessageException;
 
 /**
- * A voter's folder, as one SQLite database: a transaction is open from flush to flush, and a flush returns once it is
- * on the disk. A second process on the same folder is refused. All calls block, and come on the group's own thread.
+ * A voter's store, as one SQLite database in its folder. A transaction spans the time from one flush to the next, and a
+ * flush returns once the data is on the disk. A second process on the same folder is refused. All calls block, and come
+ * on the consensus thread.
  *
  * <p>Table {@code word} has single values by name, {@code entry} the log by index, {@code chunk} the snapshots by index
- * and number. Values are protobuf messages, or UTF-8 for {@code here}.
+ * and chunk number. Values are protobuf messages, or UTF-8 for {@code here}.
  */
 public final class SqliteVoterStore implements VoterStore {
     private static final String FILE_NAME = "voter.db";
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
 
-    /** Names in the table of single values. */
+    /** Names in the table of single values; stored, so they stay. */
     private static final String HERE = "here";
     private static final String FOUNDING = "first";
     private static final String ENDPOINT = "endpoint";
@@ -56,9 +57,10 @@
     private final SqliteTransactions database;
 
     /**
-     * Opens the folder, and makes it where there is none.
+     * Opens the store; creates the folder and the database where there are none.
      *
-     * @throws IOException where the folder can't be written, is another process's, or is of a newer version
+     * @throws IOException where the folder can't be written, is in use by another process, or was written by a newer
+     *     version
      */
     public SqliteVoterStore(Path folder) throws IOException {
         database = new SqliteTransactions(folder, FILE_NAME);
@@ -73,7 +75,7 @@
         database.update(PUT_VALUE, name, value);
     }
 
-    // ---- as whom it votes
+    // ---- identity
 
     @Override
     public Founding founding() {
@@ -87,7 +89,7 @@
             return new Founding(VoterEndpoint.of(new String(here, StandardCharsets.UTF_8)), voters,
                     initial.getLogIndex());
         } catch (IOException e) {
-            throw new IllegalStateException("the voter's store can't be read", e);
+            throw new IllegalStateException("the voter store can't be read: " + e.getMessage(), e);
         }
     }
 
@@ -168,7 +170,7 @@
             database.rollBack();
             return readState().restored();
         } catch (MalformedMessageException | IOException e) {
-            throw new IllegalStateException("the voter's store can't be read", e);
+            throw new IllegalStateException("the voter store can't be read: " + e.getMessage(), e);
         }
     }
 
--- a/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
@@ -23,7 +23,7 @@
 import topazladder.lease.LeaseStateMachine;
 import topazladder.lease.MemberIdentity;
 
-/** A voter's folder: what was flushed is there again, what was not is not, and nobody else writes to it. */
+/** A reopened store has what was flushed and nothing else, and only one process may open it. */
 class SqliteVoterStoreTest {
     private static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
     private static final VoterEndpoint N0 = new VoterEndpoint("n0", 0);
@@ -32,11 +32,11 @@
     @TempDir
     private Path folder;
 
-    private static LogEntry entry(long at, LeaseCommand op) {
-        return MODEL.createLogEntryBuilder().setIndex(at).setTerm(2).setOperation(op).build();
+    private static LogEntry entry(long index, LeaseCommand command) {
+        return MODEL.createLogEntryBuilder().setIndex(index).setTerm(2).setOperation(command).build();
     }
 
-    private SqliteVoterStore founded() throws IOException {
+    private SqliteVoterStore foundedStore() throws IOException {
         SqliteVoterStore store = new SqliteVoterStore(folder);
         assertThat(store.founding()).isNull();
         assertThat(store.restored()).isNull();
@@ -50,7 +50,7 @@
 
     @Test
     void restoresWhatWasFlushedAndNothingElse() throws IOException {
-        try (SqliteVoterStore store = founded()) {
+        try (SqliteVoterStore store = foundedStore()) {
             store.persistAndFlushTerm(MODEL.createRaftTermPersistentStateBuilder().setTerm(2).setVotedFor(N1).build());
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n1", -5)),
                     entry(2, new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3)))),
@@ -63,11 +63,11 @@
         }
         try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
             assertThat(store.founding()).isEqualTo(new VoterStore.Founding(N0, List.of(N0, N1), 3));
-            RestoredRaftState r = store.restored();
-            assertThat(r.getTermPersistentState().getTerm()).isEqualTo(2);
-            assertThat(r.getTermPersistentState().getVotedFor()).isEqualTo(N1);
-            assertThat(r.getLocalEndpointPersistentState().isVoting()).isTrue();
-            assertThat(r.getLogEntries()).extracting(LogEntry::getOperation).containsExactly(
+            RestoredRaftState restored = store.restored();
+            assertThat(restored.getTermPersistentState().getTerm()).isEqualTo(2);
+            assertThat(restored.getTermPersistentState().getVotedFor()).isEqualTo(N1);
+            assertThat(restored.getLocalEndpointPersistentState().isVoting()).isTrue();
+            assertThat(restored.getLogEntries()).extracting(LogEntry::getOperation).containsExactly(
                     new LeaseCommand.BeginLeadership("n1", -5),
                     new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))),
                     new LeaseCommand.Suspend("probe", "by hand"));
@@ -75,40 +75,38 @@
     }
 
     @Test
-    void restoresTheLatestCompleteSnapshotAndTheEntriesBehindIt() throws IOException {
-        LeaseStateMachine ledger = new LeaseStateMachine();
-        ledger.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
-        ledger.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
-        ledger.apply(new LeaseCommand.Expire("probe", 1));
-        ledger.apply(new LeaseCommand.HolderCrashed("probe", 1));
-        ledger.apply(new LeaseCommand.Suspend("probe", "by hand"));
-        StateSnapshot snapshot = StateSnapshot.of(ledger.snapshot(), new DisruptionStateMachine().snapshot());
-        try (SqliteVoterStore store = founded()) {
+    void restoresTheLatestCompleteSnapshotAndTheEntriesAfterIt() throws IOException {
+        LeaseStateMachine leases = new LeaseStateMachine();
+        leases.apply(new LeaseCommand.Define(List.of(new LeaseSettings("probe", 2, 3))));
+        leases.apply(new LeaseCommand.Grant("probe", new MemberIdentity("n0", 9), 0));
+        leases.apply(new LeaseCommand.Expire("probe", 1));
+        leases.apply(new LeaseCommand.HolderCrashed("probe", 1));
+        leases.apply(new LeaseCommand.Suspend("probe", "by hand"));
+        StateSnapshot snapshot = StateSnapshot.of(leases.snapshot(), new DisruptionStateMachine().snapshot());
+        try (SqliteVoterStore store = foundedStore()) {
             store.persistLogEntries(
                     List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1)),
                             entry(2, new LeaseCommand.Resume("probe"))));
-            store.persistSnapshotChunk(
-                    chunk(2, 0, 1, snapshot));
+            store.persistSnapshotChunk(chunk(2, 0, 1, snapshot));
             store.flush();
             store.truncateLogEntriesUntil(2);
             store.persistLogEntries(List.of(entry(3, new LeaseCommand.Resume("probe"))));
-            store.persistSnapshotChunk(
-                    chunk(3, 0, 2, snapshot));
+            store.persistSnapshotChunk(chunk(3, 0, 2, snapshot));
             store.flush();
         }
         try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
-            RestoredRaftState r = store.restored();
-            assertThat(r.getSnapshotEntry().getIndex()).isEqualTo(2);
-            assertThat(((List<?>) r.getSnapshotEntry().getOperation())).first()
+            RestoredRaftState restored = store.restored();
+            assertThat(restored.getSnapshotEntry().getIndex()).isEqualTo(2);
+            assertThat(((List<?>) restored.getSnapshotEntry().getOperation())).first()
                     .isInstanceOfSatisfying(SnapshotChunk.class,
                             c -> assertThat(c.getOperation()).isEqualTo(snapshot));
-            assertThat(r.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(3L);
+            assertThat(restored.getLogEntries()).extracting(LogEntry::getIndex).containsExactly(3L);
         }
     }
 
-    private static SnapshotChunk chunk(long at, int number, int of, StateSnapshot state) {
-        return MODEL.createSnapshotChunkBuilder().setIndex(at).setTerm(2).setSnapshotChunkIndex(number)
-                .setSnapshotChunkCount(of).setOperation(state).setGroupMembersView(MODEL
+    private static SnapshotChunk chunk(long index, int chunkIndex, int chunkCount, StateSnapshot state) {
+        return MODEL.createSnapshotChunkBuilder().setIndex(index).setTerm(2).setSnapshotChunkIndex(chunkIndex)
+                .setSnapshotChunkCount(chunkCount).setOperation(state).setGroupMembersView(MODEL
                         .createRaftGroupMembersViewBuilder().setLogIndex(0).setMembers(List.of(N0, N1))
                         .setVotingMembers(List.of(N0, N1)).build())
                 .build();
@@ -116,7 +114,7 @@
 
     @Test
     void refusesASecondStoreOnTheSameFolder() throws IOException {
-        try (SqliteVoterStore store = founded()) {
+        try (SqliteVoterStore store = foundedStore()) {
             assertThatThrownBy(() -> new SqliteVoterStore(folder)).isInstanceOf(IOException.class)
                     .hasMessageContaining("another process");
             assertThat(store.founding()).isNotNull();
@@ -125,7 +123,7 @@
     }
 
     @Test
-    void refusesAFolderWithoutADatabaseInIt() throws IOException {
+    void refusesAFileThatIsNotADatabase() throws IOException {
         Files.writeString(folder.resolve("voter.db"),
                 "this is no database, but it is long enough to look at".repeat(9));
         assertThatThrownBy(() -> new SqliteVoterStore(folder)).isInstanceOf(IOException.class)
@@ -133,8 +131,8 @@
     }
 
     @Test
-    void foundingAnewForgetsWhatWasThere() throws IOException {
-        try (SqliteVoterStore store = founded()) {
+    void foundingAgainDropsTheOldContent() throws IOException {
+        try (SqliteVoterStore store = foundedStore()) {
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1))));
             store.flush();
             store.found(new VoterStore.Founding(N1, List.of(N1), 4));
