--- a/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
+++ b/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
@@ -35,8 +35,8 @@
 import topazladder.replication.ClusterState;
 
 /**
- * A voter goes on from a store that the program wrote as of commit 7ae6163: the only voter of a group of generation 2,
- * with a snapshot and entries behind it. The file was made by that program's own classes.
+ * Compatibility with a store that the program wrote as of commit 7ae6163: of the only voter of a group of generation 2,
+ * with a snapshot and the log entries after it. The file was written by that program's own classes.
  */
 class StoreOfEarlierReleaseTest {
     private static final String RESOURCE = "/store-of-7ae6163/voter.db";
@@ -47,7 +47,7 @@
             new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n1", "east");
     private static final DisruptionTarget TARGET_N2 =
             new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, "n2", "west");
-    /** Fencing tokens of the second generation are above it. */
+    /** All fencing tokens of group generation 2 are above this. */
     private static final long TOKEN_FLOOR = 2L << 40;
     private static final double LEASE_SECONDS = 3600;
     private static final ClusterReplica.Settings SETTINGS = new ClusterReplica.Settings(List.of("n0"), 0.2,
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void goesOnFromTheStateThatWasAgreedOn() throws IOException {
+    void continuesFromTheCommittedState() throws IOException {
         try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
             ClusterState state = runningReplica(store).state();
 
@@ -106,13 +106,13 @@
     }
 
     @Test
-    void aCommandAgreedOnAfterwardsSurvivesAnotherRestart() throws IOException {
+    void aCommandCommittedAfterwardsSurvivesAnotherRestart() throws IOException {
         try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
             ClusterReplica replica = runningReplica(store);
-            LeaseCommand hand = new LeaseCommand.Release("probe", TOKEN_FLOOR + 1);
-            LeaseCommand again = new LeaseCommand.Grant("probe", N2, TOKEN_FLOOR + 1);
-            replica.leases().propose(hand, outcome -> assertThat(outcome.isApplied()).isTrue());
-            replica.leases().propose(again,
+            LeaseCommand release = new LeaseCommand.Release("probe", TOKEN_FLOOR + 1);
+            LeaseCommand grant = new LeaseCommand.Grant("probe", N2, TOKEN_FLOOR + 1);
+            replica.leases().propose(release, outcome -> assertThat(outcome.isApplied()).isTrue());
+            replica.leases().propose(grant,
                     outcome -> assertThat(outcome).isEqualTo(new LeaseStateMachine.Outcome(TOKEN_FLOOR + 2, null)));
             time.runUntil(time.getAsDouble() + 1);
             assertThat(replica.term()).isEqualTo(2);
@@ -131,7 +131,7 @@
     private ClusterReplica runningReplica(SqliteVoterStore store) {
         ClusterState state = new ClusterState();
         ClusterReplica replica = new ClusterReplica(store, SETTINGS, time, time, new SplittableRandom(7),
-                new NoMembers(), new ClusterReplica.Domains(state, new LeaseManager(state.leases()),
+                new EnvironmentWithoutMembers(), new ClusterReplica.Domains(state, new LeaseManager(state.leases()),
                         new DisruptionController(state.disruptions(), 0.8), new Verdicts(state.disruptions())));
         replica.start();
         time.runUntil(time.getAsDouble() + 30);
@@ -139,10 +139,10 @@
         return replica;
     }
 
-    private static final class NoMembers implements ClusterReplica.Environment {
+    private static final class EnvironmentWithoutMembers implements ClusterReplica.Environment {
         @Override
         public void send(VoterEndpoint to, RaftMessage message) {
-            throw new AssertionError("a message to " + to + " of a group of one voter");
+            throw new AssertionError("the only voter of its group sent a message to " + to);
         }
 
         @Override
@@ -152,22 +152,22 @@
 
         @Override
         public void reply(MemberIdentity to, LeaseResponse response) {
-            // no member asks
+            // no member polls
         }
 
         @Override
         public void wakeUp(MemberIdentity to) {
-            // no member is there
+            // there are no members
         }
 
         @Override
         public void mayGo(String member, long token) {
-            // no member is there
+            // there are no members
         }
 
         @Override
         public void go(String member, long token, String version) {
-            // no member is there
+            // there are no members
         }
     }
 }
