--- a/src/main/java/topazladder/net/hall/Founding.java
+++ b/src/main/java/topazladder/net/hall/Founding.java
@@ -8,33 +8,41 @@
 import topazladder.consensus.VoterStore;
 
 /**
- * Makes a voter's folder, once and by hand: only so is a folder that was lost told from one that never was. A voter
- * that finds its folder empty asks the others to be taken in under another birth.
+ * Creates a voter's store, once and by an operator's command. A voter never creates it by itself: that is how a store
+ * that was lost is told from one that never existed. A voter whose store is empty asks the other voters to be added,
+ * under another birth.
  */
 public final class Founding {
 
     private Founding() {}
 
     /**
-     * @param formed 0 for the first time; higher than ever before to form a group anew of which a majority is lost.
-     * Voters of one     forming do not speak with those of another, and tokens go on far above those of the one before
+     * Creates the store of one voter.
+     *
+     * @param formed the group generation: 0 for the first time, and higher than ever before to form a group anew whose
+     *     majority is lost. Voters of one generation do not talk to those of another, and fencing tokens go on far
+     *     above those of the generation before
      * @return what was done, in words
      */
     public static String found(String name, ClusterSettings settings, long formed) {
-        if (!settings.voters().contains(name) || settings.dataFolder() == null) {
-            throw new InvalidSettingsException(name + " should be one of hall.voters, with a hall.folder");
+        if (!settings.voters().contains(name)) {
+            throw new InvalidSettingsException(
+                    "hall.voters should name " + name + ", whose store is to be created: " + settings.voters());
+        }
+        if (settings.dataFolder() == null) {
+            throw new InvalidSettingsException("hall.folder is missing; the voter " + name + " keeps its store there");
         }
         try (SqliteVoterStore store = new SqliteVoterStore(settings.dataFolder())) {
-            VoterStore.Founding before = store.founding();
-            if (before != null && before.groupGeneration() >= formed) {
-                throw new InvalidSettingsException(
-                        "the folder is that of " + before.here() + " already, formed " + before.groupGeneration()
-                                + "; to form the group anew give --formed " + (before.groupGeneration() + 1)
-                                + " or more, the same to all its voters, once all of the old group are ended");
+            VoterStore.Founding existing = store.founding();
+            if (existing != null && existing.groupGeneration() >= formed) {
+                throw new InvalidSettingsException("hall.folder: the store in " + settings.dataFolder()
+                        + " belongs to voter " + existing.here() + " of group generation "
+                        + existing.groupGeneration() + "; to form the group anew, end all its voters, then give"
+                        + " --formed " + (existing.groupGeneration() + 1) + " or more, the same for each voter");
             }
-            List<VoterEndpoint> first = settings.voters().stream().map(v -> new VoterEndpoint(v, 0)).toList();
-            store.found(new VoterStore.Founding(new VoterEndpoint(name, 0), first, formed));
-            return "founded: " + name + " votes with " + first + ", formed " + formed;
+            List<VoterEndpoint> voters = settings.voters().stream().map(v -> new VoterEndpoint(v, 0)).toList();
+            store.found(new VoterStore.Founding(new VoterEndpoint(name, 0), voters, formed));
+            return "voter store created: name=" + name + " voters=" + voters + " formed=" + formed;
         } catch (IOException e) {
             throw new InvalidSettingsException("hall.folder: " + e.getMessage());
         }
