--- a/src/main/java/topazladder/net/hall/LinkTraffic.java
+++ b/src/main/java/topazladder/net/hall/LinkTraffic.java
@@ -3,8 +3,8 @@
 import io.vertx.core.json.JsonObject;
 
 /**
- * What the links between members cost one member, counted at its sockets since its start: all bytes of frames and
- * handshakes in both directions, but not the headers of TCP and IP. Owned by the event loop.
+ * Traffic of one member's links to the others, counted at its sockets since its start: all bytes of frames and
+ * handshakes in both directions, without the headers of TCP and IP. Owned by the event loop.
  *
  * <p>Operators' connections are not counted: a measurement that asks for these figures would change them.
  */
@@ -17,10 +17,10 @@
     private long connectionsTaken;
 
     /**
-     * One reading of the counters.
+     * One reading of the counters. Their names in JSON are those of the components.
      *
-     * @param connectionsMade to other members, finished handshakes alone
-     * @param connectionsTaken from other members, likewise
+     * @param connectionsMade to other members whose handshake was finished
+     * @param connectionsTaken from other members whose handshake was finished
      */
     public record Totals(long bytesSent, long bytesReceived, long framesSent, long framesReceived,
             long connectionsMade, long connectionsTaken) {
