--- a/src/main/java/topazladder/hall/ConductorNode.java
+++ b/src/main/java/topazladder/hall/ConductorNode.java
@@ -12,83 +12,99 @@
 import topazladder.service.Scheduler;
 
 /**
- * The conducting duty at its holder: asks the leader to be shown how things stand, decides, and says what should be
- * agreed on; a word that is lost is said anew from what is shown then. Without its lease it says nothing.
+ * Runs the rollout controller at the holder of its lease. It polls the leader for the state of the rollout, decides,
+ * and proposes operations to the leader. Messages may be lost: a poll that is not answered in time is repeated, and
+ * what is still to be proposed is decided anew from the next response. Without the lease nothing is sent.
  */
 public final class ConductorNode {
-    private static final double BEAT = 0.5;
-    private static final double PATIENCE = 1.5;
+    private static final double POLL_SECONDS = 0.5;
+    private static final double RESPONSE_TIMEOUT_SECONDS = 1.5;
 
-    private final MemberIdentity here;
-    private final String duty;
+    private final MemberIdentity identity;
+    private final String leaseName;
     private final Scheduler timers;
     private final DoubleSupplier clock;
-    private final LongSupplier timeOfDay;
+    private final LongSupplier epochMillis;
     private final MemberNode member;
-    private final Function<ReleaseOp.By, Conductor> maker;
-    private Conductor conductor;
-    private Supplier<OptionalLong> leave = OptionalLong::empty;
-    private long number;
+    private final Function<ReleaseOp.By, Conductor> controllerFactory;
+    private Conductor controller; // null while the lease is not held
+    private Supplier<OptionalLong> permission = OptionalLong::empty;
+    private long sequence;
     private long generation;
-    private boolean answered;
+    private boolean responseHandled;
 
-    /** @param maker of what decides; trials plant one that errs */
-    public ConductorNode(MemberIdentity here, String duty, Scheduler timers, DoubleSupplier clock,
-            LongSupplier timeOfDay,
-            MemberNode member, Function<ReleaseOp.By, Conductor> maker) {
-        this.here = here;
-        this.duty = duty;
+    /**
+     * Creates a node that does nothing before {@link #start}.
+     *
+     * @param controllerFactory makes the rollout controller of one lease; tests pass one with an injected defect
+     */
+    public ConductorNode(MemberIdentity identity, String leaseName, Scheduler timers, DoubleSupplier clock,
+            LongSupplier epochMillis, MemberNode member, Function<ReleaseOp.By, Conductor> controllerFactory) {
+        this.identity = identity;
+        this.leaseName = leaseName;
         this.timers = timers;
         this.clock = clock;
-        this.timeOfDay = timeOfDay;
+        this.epochMillis = epochMillis;
         this.member = member;
-        this.maker = maker;
+        this.controllerFactory = controllerFactory;
     }
 
-    /** @param mayGoOn the token while it may go on */
-    public void start(long token, Supplier<OptionalLong> mayGoOn) {
-        leave = mayGoOn;
-        conductor = maker.apply(new ReleaseOp.By(duty, token, 0));
+    /**
+     * Starts a controller under a new lease.
+     *
+     * @param token the fencing token of the lease
+     * @param leasePermission the fencing token while the lease is held, else empty
+     */
+    public void start(long token, Supplier<OptionalLong> leasePermission) {
+        permission = leasePermission;
+        controller = controllerFactory.apply(new ReleaseOp.By(leaseName, token, 0));
         generation++;
-        say(List.of());
+        send(List.of());
     }
 
+    /** Drops the controller and its timers. */
     public void stop() {
         generation++;
-        conductor = null;
-        leave = OptionalLong::empty;
+        controller = null;
+        permission = OptionalLong::empty;
     }
 
-    private void say(List<ReleaseOp> ops) {
-        if (conductor == null || leave.get().isEmpty()) {
+    /** Sends these operations to the leader; without any it is a poll. */
+    private void send(List<ReleaseOp> operations) {
+        if (controller == null || permission.get().isEmpty()) {
             return;
         }
-        long mine = ++number;
-        answered = false;
-        member.toLeader(new Saying.Conduct(here, mine, ops, conductor.doing()));
-        again(PATIENCE, mine);
+        long sent = ++sequence;
+        responseHandled = false;
+        member.sendToLeader(new Saying.Conduct(identity, sent, operations, controller.doing()));
+        schedulePoll(RESPONSE_TIMEOUT_SECONDS, sent);
     }
 
-    private void again(double in, long of) {
-        long same = generation;
-        timers.schedule(in, () -> {
-            if (same == generation && of == number) {
-                say(List.of());
+    /** Polls after a delay, unless something was sent since the message with this sequence number. */
+    private void schedulePoll(double delaySeconds, long afterSequence) {
+        long scheduledIn = generation;
+        timers.schedule(delaySeconds, () -> {
+            if (scheduledIn == generation && afterSequence == sequence) {
+                send(List.of());
             }
         });
     }
 
-    /** What the leader shows; of an earlier question it says nothing about what was proposed since. */
-    public void shown(Saying.Conducted c) {
-        if (conductor == null || c.number() != number || answered || leave.get().isEmpty()) {
+    /**
+     * Handles the leader's response. Only the response to the latest message counts: an earlier one does not show what
+     * was proposed since.
+     */
+    public void shown(Saying.Conducted response) {
+        if (controller == null || response.number() != sequence || responseHandled || permission.get().isEmpty()) {
             return;
         }
-        answered = true;
-        List<ReleaseOp> ops = conductor.next(clock.getAsDouble(), timeOfDay.getAsLong(), c.view());
-        if (ops.isEmpty()) {
-            again(BEAT, c.number());
+        responseHandled = true;
+        List<ReleaseOp> operations =
+                controller.next(clock.getAsDouble(), epochMillis.getAsLong(), response.view());
+        if (operations.isEmpty()) {
+            schedulePoll(POLL_SECONDS, response.number());
         } else {
-            say(ops);
+            send(operations);
         }
     }
 }
--- a/src/main/java/topazladder/hall/HallTerms.java
+++ b/src/main/java/topazladder/hall/HallTerms.java
@@ -6,24 +6,24 @@
 import topazladder.membership.Membership;
 
 /**
- * What a hall is, by the settings that all its members share.
+ * A member's settings of its cluster; those of the cluster as a whole are meant to be the same at all members.
  *
  * @param name of this member
- * @param address where it listens for the others, host:port
- * @param hall where it stands, or empty
- * @param seeds addresses of members by which the hall is found
- * @param voters names of those that vote; none means no group, and so no duties
- * @param heartbeat seconds between the leader's heartbeats
- * @param duties there are
- * @param budgets of what may be out at once
- * @param schema of what this member can read
- * @param mayHold whether this member takes duties at all
+ * @param address where it listens for the others, as host:port
+ * @param zone where it runs, or empty
+ * @param seeds addresses of members through which the cluster is found
+ * @param voters names of the members that vote; none for no consensus group, and so no leases
+ * @param heartbeatSeconds between the leader's heartbeats
+ * @param leases that the group grants
+ * @param eligibleForLeases whether this member takes leases at all
+ * @param budgets of what may be disrupted at once
+ * @param messageSchema the latest schema of cluster messages that this member can read
  */
-public record HallTerms(String name, String address, String hall, List<String> seeds, List<String> voters,
-        double heartbeat, List<LeaseSettings> duties, boolean mayHold, Membership.Terms membership,
-        List<DisruptionBudget> budgets, int schema) {
+public record HallTerms(String name, String address, String zone, List<String> seeds, List<String> voters,
+        double heartbeatSeconds, List<LeaseSettings> leases, boolean eligibleForLeases, Membership.Terms membership,
+        List<DisruptionBudget> budgets, int messageSchema) {
 
-    public boolean votes() {
+    public boolean isVoter() {
         return voters.contains(name);
     }
 }
--- a/src/main/java/topazladder/hall/MemberNode.java
+++ b/src/main/java/topazladder/hall/MemberNode.java
@@ -20,347 +20,383 @@
 import topazladder.service.Scheduler;
 
 /**
- * A member of a hall without I/O: who is there, and what it holds. It never asks the group anything on a request's
- * path. All calls come on one thread.
+ * A member of a cluster, without I/O: its membership protocol and the leases that it holds. No request that the
+ * instance serves ever waits for the consensus group. All calls come on one thread.
  */
 public final class MemberNode {
     private static final Logger LOG = LoggerFactory.getLogger(MemberNode.class);
-    /** A member counts as steady only this long after it began to serve as it should. */
-    private static final double STEADY_AFTER = 1;
-    /** Unwell past this, it is not steady: it would be the first to be suspected. */
-    private static final int MOST_UNWELL = 3;
-    /** Seconds between two hints of who leads that are followed at once. */
-    private static final double HINTS_APART = 0.2;
-
-    private static final double LEAVING_EVERY = 0.3;
-
-    /** What it needs of the world. */
+    /** A member is steady only once it has been healthy for this long. */
+    private static final double STEADY_AFTER_SECONDS = 1;
+    /** From this membership health score on a member is not steady: it would be the first to be suspected. */
+    private static final int UNSTEADY_HEALTH_SCORE = 3;
+    /** Least time between two early polls, whether after a leader hint or after a change at a dependency endpoint. */
+    private static final double EARLY_POLL_INTERVAL_SECONDS = 0.2;
+    private static final double LEAVE_NOTICE_INTERVAL_SECONDS = 0.3;
+
+    /** What the node needs of its environment. */
     public interface World {
 
         /**
-         * To another member, which may not get it.
+         * Sends a message to another member; it may be lost.
          *
          * @param to its name, or empty where only its address is known
          * @param address where it was last known to listen, or null
          */
         void say(String to, String address, Saying what);
 
-        /** Begin a duty; {@link MemberNode#token} tells before each effect whether it may be made. */
-        void start(String duty, long token);
+        /** Starts a lease's task, which asks {@link MemberNode#token} before each effect whether it may be made. */
+        void start(String leaseName, long token);
 
-        /** Stop it within so many seconds, and say {@link MemberNode#stopped}. */
-        void stop(String duty, long token, double within);
+        /** Stops a lease's task within so many seconds, and reports {@link MemberNode#stopped}. */
+        void stop(String leaseName, long token, double withinSeconds);
 
         /**
-         * The hall has agreed that this instance goes out: it drains and ends, by its own status, to be started again
-         * as
-         * that version; empty for as it is.
+         * The group has agreed that this instance shuts down: it drains and ends, reports that by its own status, and
+         * is to be restarted with that version; empty for the version that it runs.
          */
         default void drain(long token, String version) {}
 
-        /** What a conductor is shown. */
+        /** The leader has sent the state of the rollout to the rollout controller here. */
         default void conducted(Saying.Conducted what) {}
 
-        /** Somebody came, went or changed. */
-        default void changed(Standing now, Standing before) {}
+        /**
+         * A member joined, left or changed.
+         *
+         * @param before null for a member that was not known
+         */
+        default void standingChanged(Standing now, Standing before) {}
     }
 
-    private final HallTerms terms;
+    private final HallTerms settings;
     private final Scheduler timers;
     private final DoubleSupplier clock;
-    private final World world;
+    private final World environment;
     private final Membership membership;
-    private final LeaseHolder holder;
-    private final Guide guide;
-    private double lastHint = Double.NEGATIVE_INFINITY;
-    private Saying.LeaderIs toldOf;
-    private int asked;
+    private final LeaseHolder leaseHolder;
+    private final LeaderLocator leaderLocator;
+    private double lastHintFollowedAt = Double.NEGATIVE_INFINITY;
+    private Saying.LeaderIs lastLocatedHint; // the last hint that gave an address
+    private int seedPolls;
     private boolean leaving;
-    private boolean agreed;
-    private boolean wellSaid;
-    private double wellSince;
-    private boolean over;
-    private long wake;
-    private LoadReport serving = LoadReport.EMPTY;
-    private double answeredAt = Double.NEGATIVE_INFINITY;
-    private Use below; // null where this instance calls no servers below, or only one
-    private double lastNews = Double.NEGATIVE_INFINITY;
-
-    /** @param holder made for the same member; handed in so that trials can plant one that errs */
-    public MemberNode(HallTerms terms, LeaseHolder holder, Scheduler timers, DoubleSupplier clock,
-            RandomGenerator chance,
-            World world) {
-        this.terms = terms;
-        this.holder = holder;
+    private boolean shutdownApproved;
+    private boolean healthy;
+    private double healthChangedAt;
+    private boolean closed;
+    private long timerGeneration;
+    private LoadReport loadReport = LoadReport.EMPTY;
+    private double lastResponseAt = Double.NEGATIVE_INFINITY;
+    private Use dependencyPool; // null where the dependency has one endpoint, or is not called at all
+    private double lastDependencyPollAt = Double.NEGATIVE_INFINITY;
+
+    /**
+     * Creates a member that does nothing before {@link #open}.
+     *
+     * @param leaseHolder of the same member; tests pass one with an injected defect
+     */
+    public MemberNode(HallTerms settings, LeaseHolder leaseHolder, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator random, World environment) {
+        this.settings = settings;
+        this.leaseHolder = leaseHolder;
         this.timers = timers;
         this.clock = clock;
-        this.world = world;
-        membership = new Membership(terms.membership(), new Standing(terms.name(), terms.address(), terms.hall(),
-                holder.identity().incarnation(), 0, Standing.State.ALIVE, false, ""), chance);
-        guide = new Guide(terms.voters(), chance.nextInt(Integer.MAX_VALUE));
+        this.environment = environment;
+        membership = new Membership(settings.membership(), new Standing(settings.name(), settings.address(),
+                settings.zone(), leaseHolder.identity().incarnation(), 0, Standing.State.ALIVE, false, ""), random);
+        leaderLocator = new LeaderLocator(settings.voters(), random.nextInt(Integer.MAX_VALUE));
     }
 
+    /** Joins the cluster through its seeds. */
     public void open() {
-        members(membership.join(clock.getAsDouble(), terms.seeds()));
-        wake();
+        applyMembershipSteps(membership.join(clock.getAsDouble(), settings.seeds()));
+        scheduleTick();
     }
 
     public MemberIdentity here() {
-        return holder.identity();
+        return leaseHolder.identity();
     }
 
     public Membership membership() {
         return membership;
     }
 
-    public LeaseHolder holder() {
-        return holder;
+    public LeaseHolder leaseHolder() {
+        return leaseHolder;
     }
 
-    /** Whether the instance serves as it should; what it holds is handed over if that lasts. */
-    public void well(boolean is) {
-        if (is != wellSaid) {
-            wellSaid = is;
-            wellSince = clock.getAsDouble();
+    /** Sets whether the instance serves as it should. A member that stays unhealthy hands its leases over. */
+    public void well(boolean isHealthy) {
+        if (isHealthy != healthy) {
+            healthy = isHealthy;
+            healthChangedAt = clock.getAsDouble();
         }
-        look();
+        updateEligibility();
     }
 
-    /** The token under which an effect may be made now; to be asked before each one. */
-    public OptionalLong token(String duty) {
-        return holder.fencingToken(clock.getAsDouble(), duty);
+    /** The fencing token under which an effect may be made now; to be asked before each effect. */
+    public OptionalLong token(String leaseName) {
+        return leaseHolder.fencingToken(clock.getAsDouble(), leaseName);
     }
 
-    /** The duty has come to its end; {@code failed} says why it could not be done, or is null. */
-    public void stopped(String duty, long token, String failed) {
-        duties(holder.taskStopped(clock.getAsDouble(), duty, token, failed));
-        wake();
+    /** A lease's task has stopped; {@code failure} says why it could not go on, or is null. */
+    public void stopped(String leaseName, long token, String failure) {
+        applyLeaseSteps(leaseHolder.taskStopped(clock.getAsDouble(), leaseName, token, failure));
+        scheduleTick();
     }
 
-    /** The process will end: all duties are handed over in order, and the others are told. */
+    /** The process is shutting down: hands all leases over and tells the group. */
     public void leave() {
         leaving = true;
-        sayLeaving();
-        duties(holder.shutDown(clock.getAsDouble()));
-        wake();
+        sendLeaveNotice();
+        applyLeaseSteps(leaseHolder.shutDown(clock.getAsDouble()));
+        scheduleTick();
     }
 
-    /** Best effort: where nobody hears it, its end is found out as that of one that is lost. */
-    private void sayLeaving() {
-        if (!agreed && !over && guide.whom() != null) {
-            world.say(guide.whom(), addressOf(guide.whom()), new Saying.Leaving(here(), "a signal"));
-            timers.schedule(LEAVING_EVERY, this::sayLeaving);
+    /** Repeats the notice until the member closes. Best effort: unheard, the member is detected as lost later. */
+    private void sendLeaveNotice() {
+        if (!shutdownApproved && !closed && leaderLocator.target() != null) {
+            sendToLeader(new Saying.Leaving(here(), "a signal"));
+            timers.schedule(LEAVE_NOTICE_INTERVAL_SECONDS, this::sendLeaveNotice);
         }
     }
 
     /** Whether nothing is left to hand over. */
     public boolean clear() {
-        return holder.isIdle() || terms.voters().isEmpty();
+        return leaseHolder.isIdle() || settings.voters().isEmpty();
     }
 
-    /** The last that is done: says good-bye, and does nothing any more. */
+    /** Tells the other members that this one leaves; nothing is sent or handled after that. */
     public void close() {
-        if (!over) {
-            members(membership.leave(clock.getAsDouble()));
-            over = true;
+        if (!closed) {
+            applyMembershipSteps(membership.leave(clock.getAsDouble()));
+            closed = true;
         }
     }
 
-    /** Other voters by the settings, which were read anew; whether there is a group at all needs a restart. */
-    public void replace(HallTerms next) {
-        if (!next.voters().isEmpty() && !terms.voters().isEmpty()) {
-            guide.replace(next.voters());
+    /**
+     * Takes the voters of settings that were read anew. Going from no voters to some, or back, needs a restart and is
+     * ignored.
+     */
+    public void replace(HallTerms newSettings) {
+        if (!newSettings.voters().isEmpty() && !settings.voters().isEmpty()) {
+            leaderLocator.replaceVoters(newSettings.voters());
         }
     }
 
-    /** What another member says, or this process's own voter. */
-    public void heard(String from, Saying what) {
-        if (over) {
+    /** Handles a message of another member, or of this process's own voter. */
+    public void heard(String from, Saying message) {
+        if (closed) {
             return;
         }
         double now = clock.getAsDouble();
-        if (what instanceof Saying.Membership m) {
-            members(membership.heard(now, from, m.gossip()));
-        } else if (what instanceof Saying.Answering a) {
-            guide.answeredBy(from);
-            answeredAt = now;
-            duties(holder.handleResponse(now, a.answer()));
-        } else if (what instanceof Saying.LeaderIs l) {
-            // Two that each believe in the other must not be asked in turn as fast as the link can.
-            if (!l.address().isEmpty()) {
-                toldOf = l;
-            }
-            if (guide.told(from, l.name()) && now - lastHint > HINTS_APART) {
-                lastHint = now;
-                duties(holder.wakeUp(now));
+        if (message instanceof Saying.Membership m) {
+            applyMembershipSteps(membership.heard(now, from, m.gossip()));
+        } else if (message instanceof Saying.Answering a) {
+            leaderLocator.leaderConfirmed(from);
+            lastResponseAt = now;
+            applyLeaseSteps(leaseHolder.handleResponse(now, a.answer()));
+        } else if (message instanceof Saying.LeaderIs hint) {
+            followLeaderHint(now, from, hint);
+        } else if (message instanceof Saying.MayGo m && !leaving && !shutdownApproved) {
+            environment.say(from, addressOf(from), new Saying.Going(here(), m.token()));
+        } else if (message instanceof Saying.Go g && !leaving && !shutdownApproved) {
+            LOG.info("shutdown approved member={} token={} next_version={}", here(), g.token(), g.version());
+            shutdownApproved = true;
+            environment.drain(g.token(), g.version());
+        } else if (message instanceof Saying.Conducted c) {
+            leaderLocator.leaderConfirmed(from);
+            environment.conducted(c);
+        } else if (message instanceof Saying.Belows b) {
+            if (dependencyPool != null) {
+                dependencyPool.told(now, b.term(), b.words());
             }
-        } else if (what instanceof Saying.MayGo m && !leaving && !agreed) {
-            world.say(from, addressOf(from), new Saying.Going(here(), m.token()));
-        } else if (what instanceof Saying.Go g && !leaving && !agreed) {
-            LOG.info("{} goes out as agreed under {}", here(), g.token());
-            agreed = true;
-            world.drain(g.token(), g.version());
-        } else if (what instanceof Saying.Conducted c) {
-            guide.answeredBy(from);
-            world.conducted(c);
-        } else if (what instanceof Saying.Belows b) {
-            if (below != null) {
-                below.told(now, b.term(), b.words());
-            }
-        } else if (what instanceof Saying.Nudge) {
-            guide.answeredBy(from);
-            duties(holder.wakeUp(now));
+        } else if (message instanceof Saying.Nudge) {
+            leaderLocator.leaderConfirmed(from);
+            applyLeaseSteps(leaseHolder.wakeUp(now));
+        }
+        scheduleTick();
+    }
+
+    private void followLeaderHint(double now, String from, Saying.LeaderIs hint) {
+        if (!hint.address().isEmpty()) {
+            lastLocatedHint = hint;
+        }
+        // Two voters that each name the other as leader must not be polled in turn as fast as the link allows.
+        if (leaderLocator.leaderHinted(from, hint.name())
+                && now - lastHintFollowedAt > EARLY_POLL_INTERVAL_SECONDS) {
+            lastHintFollowedAt = now;
+            applyLeaseSteps(leaseHolder.wakeUp(now));
         }
-        wake();
     }
 
-    private void look() {
+    private void updateEligibility() {
         double now = clock.getAsDouble();
-        boolean steady = wellSaid && now - wellSince >= STEADY_AFTER && membership.health() < MOST_UNWELL;
+        boolean steady = healthy && now - healthChangedAt >= STEADY_AFTER_SECONDS
+                && membership.health() < UNSTEADY_HEALTH_SCORE;
         membership.steady(steady);
-        duties(holder.setEligible(now, steady && terms.mayHold() && !terms.voters().isEmpty()));
+        applyLeaseSteps(leaseHolder.setEligible(now,
+                steady && settings.eligibleForLeases() && !settings.voters().isEmpty()));
     }
 
-    /** One timer at a time: the earliest of what is due. */
-    private void wake() {
-        if (over) {
+    /** Keeps one timer, for the earliest of what is due. */
+    private void scheduleTick() {
+        if (closed) {
             return;
         }
         double now = clock.getAsDouble();
-        double in =
-                Math.min(membership.next(now),
-                        terms.voters().isEmpty() ? Double.MAX_VALUE : holder.secondsUntilTick(now));
-        long mine = ++wake;
-        timers.schedule(Math.min(in, STEADY_AFTER), () -> {
-            if (mine == wake && !over) {
-                members(membership.tick(clock.getAsDouble()));
-                look();
-                wake();
+        double delaySeconds = Math.min(membership.next(now),
+                settings.voters().isEmpty() ? Double.MAX_VALUE : leaseHolder.secondsUntilTick(now));
+        long scheduled = ++timerGeneration;
+        timers.schedule(Math.min(delaySeconds, STEADY_AFTER_SECONDS), () -> {
+            if (scheduled == timerGeneration && !closed) {
+                applyMembershipSteps(membership.tick(clock.getAsDouble()));
+                updateEligibility();
+                scheduleTick();
             }
         });
     }
 
-    private void members(List<Membership.Step> steps) {
+    private void applyMembershipSteps(List<Membership.Step> steps) {
         for (Membership.Step step : steps) {
             if (step instanceof Membership.Step.Say s) {
-                world.say(s.to(), s.address(), new Saying.Membership(s.what()));
+                environment.say(s.to(), s.address(), new Saying.Membership(s.what()));
             } else if (step instanceof Membership.Step.Changed c) {
                 if (c.before() == null || c.before().state() != c.now().state() || c.before().life() != c.now()
                         .life()) {
-                    LOG.info("{}: {} is {}", terms.name(), c.now().name(), c.now().state());
+                    LOG.info("member state changed observer={} member={} state={}", settings.name(), c.now().name(),
+                            c.now().state());
                 }
-                world.changed(c.now(), c.before());
+                environment.standingChanged(c.now(), c.before());
             }
         }
     }
 
-    private void duties(List<LeaseHolder.Step> steps) {
-        if (terms.voters().isEmpty()) {
+    private void applyLeaseSteps(List<LeaseHolder.Step> steps) {
+        if (settings.voters().isEmpty()) {
             return;
         }
         for (LeaseHolder.Step step : steps) {
             if (step instanceof LeaseHolder.Step.Send s) {
-                if (s.otherVoter()) {
-                    guide.another();
-                }
-                String whom = guide.whom();
-                Saying ask = new Saying.Asking(s.request(), terms.address(), terms.schema(), serving,
-                        below == null ? List.of() : below.reports(clock.getAsDouble()));
-                if (addressOf(whom) == null && !terms.seeds().isEmpty()) {
-                    // Its first words to the voters were lost, and a large hall tells of them late: whoever is found by
-                    // the settings knows one.
-                    world.say("", terms.seeds().get(asked++ % terms.seeds().size()), ask);
-                } else {
-                    world.say(whom, addressOf(whom), ask);
-                }
+                poll(s);
             } else if (step instanceof LeaseHolder.Step.Start s) {
-                LOG.info("{} takes {} under token {}", here(), s.leaseName(), s.fencingToken());
-                world.start(s.leaseName(), s.fencingToken());
+                LOG.info("lease acquired holder={} lease={} token={}", here(), s.leaseName(), s.fencingToken());
+                environment.start(s.leaseName(), s.fencingToken());
             } else if (step instanceof LeaseHolder.Step.Stop s) {
-                LOG.info("{} stops {} under token {}: {}", here(), s.leaseName(), s.fencingToken(), s.reason());
-                world.stop(s.leaseName(), s.fencingToken(), s.withinSeconds());
+                LOG.info("lease task stopping holder={} lease={} token={} reason={}", here(), s.leaseName(),
+                        s.fencingToken(), s.reason());
+                environment.stop(s.leaseName(), s.fencingToken(), s.withinSeconds());
             }
         }
     }
 
-    /** Who leads the group as far as this member was told; null where nobody answered yet. */
+    private void poll(LeaseHolder.Step.Send step) {
+        if (step.otherVoter()) {
+            leaderLocator.tryNextVoter();
+        }
+        String target = leaderLocator.target();
+        Saying request = new Saying.Asking(step.request(), settings.address(), settings.messageSchema(), loadReport,
+                dependencyPool == null ? List.of() : dependencyPool.reports(clock.getAsDouble()));
+        if (addressOf(target) == null && !settings.seeds().isEmpty()) {
+            // Where the first messages to the voters were lost, a large cluster spreads their addresses only slowly;
+            // any seed passes on a hint of who leads.
+            environment.say("", settings.seeds().get(seedPolls++ % settings.seeds().size()), request);
+        } else {
+            environment.say(target, addressOf(target), request);
+        }
+    }
+
+    /** Who leads the group as far as this member was told; null where nobody has answered yet. */
     public String leader() {
-        return guide.leader();
+        return leaderLocator.leader();
     }
 
-    /** What the instance did of late; goes with the next ask. */
-    public void serving(LoadReport now) {
-        serving = now;
+    /** Sets the load report that goes with the next poll. */
+    public void serving(LoadReport latest) {
+        loadReport = latest;
     }
 
-    /** How this instance uses the servers below; what it finds goes with each ask. */
-    public void below(Use use) {
-        below = use;
+    /** Sets the dependency endpoints that this instance uses; its reports on them go with each poll. */
+    public void below(Use pool) {
+        dependencyPool = pool;
     }
 
-    /** Calls have ended: what is new of a server is told at once, and not with the next ask. */
+    /** A dependency call has ended: where it changes what is known of an endpoint, the leader is polled at once. */
     public void noticed() {
         double now = clock.getAsDouble();
-        if (below != null && now - lastNews > HINTS_APART && below.news(now) && !over) {
-            lastNews = now;
-            duties(holder.wakeUp(now));
-            wake();
+        if (dependencyPool != null && now - lastDependencyPollAt > EARLY_POLL_INTERVAL_SECONDS
+                && dependencyPool.news(now) && !closed) {
+            lastDependencyPollAt = now;
+            applyLeaseSteps(leaseHolder.wakeUp(now));
+            scheduleTick();
         }
     }
 
-    /** To whoever leads, as far as it is known here. */
-    public void toLeader(Saying what) {
-        String whom = guide.whom();
-        if (whom != null && !over) {
-            world.say(whom, addressOf(whom), what);
+    /** Sends to the leader, or to the voter that is tried next while no leader is known. */
+    public void sendToLeader(Saying message) {
+        String target = leaderLocator.target();
+        if (target != null && !closed) {
+            environment.say(target, addressOf(target), message);
         }
     }
 
-    /** When a leader answered last, by this member's clock. */
+    /** When a leader last answered a poll, by this member's clock. */
     public double answeredAt() {
-        return answeredAt;
+        return lastResponseAt;
     }
 
-    /** How the instances look from this one; a leader goes by it. */
+    /** How all instances look to this member; a voter that leads goes by it. */
     public Map<DisruptionTarget, DisruptionController.Observation> looks() {
-        Map<DisruptionTarget, DisruptionController.Observation> looks = new HashMap<>();
-        for (Standing s : membership.others()) {
-            looks.put(subject(s), new DisruptionController.Observation(!s.there() ? DisruptionController.Health.GONE
-                    : s.state() == Standing.State.SUSPECTED ? DisruptionController.Health.SUSPECTED
-                            : s.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY,
-                    s.life()));
+        Map<DisruptionTarget, DisruptionController.Observation> observations = new HashMap<>();
+        for (Standing other : membership.others()) {
+            observations.put(target(other), new DisruptionController.Observation(health(other), other.life()));
         }
         Standing self = membership.self();
-        looks.put(subject(self),
-                new DisruptionController.Observation(
-                        self.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY,
-                        self.life()));
-        return looks;
+        observations.put(target(self), new DisruptionController.Observation(
+                self.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY,
+                self.life()));
+        return observations;
     }
 
-    private static DisruptionTarget subject(Standing s) {
-        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, s.name(), s.hall());
+    private static DisruptionController.Health health(Standing other) {
+        if (!other.there()) {
+            return DisruptionController.Health.GONE;
+        } else if (other.state() == Standing.State.SUSPECTED) {
+            return DisruptionController.Health.SUSPECTED;
+        }
+        return other.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY;
+    }
+
+    private static DisruptionTarget target(Standing member) {
+        return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.hall());
     }
 
     private String addressOf(String name) {
-        Standing s = membership.other(name);
-        return s != null ? s.address() : toldOf != null && toldOf.name().equals(name) ? toldOf.address() : null;
+        Standing member = membership.other(name);
+        if (member != null) {
+            return member.address();
+        }
+        return lastLocatedHint != null && lastLocatedHint.name().equals(name) ? lastLocatedHint.address() : null;
     }
 
-    /** To an asker that took this member for a voter. */
+    /** The response to a member that has polled this one although it does not vote. */
     public Saying elsewhere() {
-        return located(new Saying.LeaderIs(guide.leader() == null ? "" : guide.leader()));
+        return located(new Saying.LeaderIs(leaderLocator.leader() == null ? "" : leaderLocator.leader()));
     }
 
-    /** The same, with where the leader hears that it names: whoever asked may know of that one by name alone. */
-    public Saying located(Saying what) {
-        String address = what instanceof Saying.LeaderIs l && l.address().isEmpty() ? addressOf(l.name()) : null;
-        return address == null ? what : new Saying.LeaderIs(((Saying.LeaderIs) what).name(), address);
+    /**
+     * Adds the leader's address to a leader hint where it is known here: the receiver may know the leader by name
+     * alone. Any other message is returned as it is.
+     */
+    public Saying located(Saying message) {
+        if (!(message instanceof Saying.LeaderIs hint) || !hint.address().isEmpty()) {
+            return message;
+        }
+        String address = addressOf(hint.name());
+        return address == null ? message : new Saying.LeaderIs(hint.name(), address);
     }
 
-    /** Names of all that are there, itself among them; for whatever is told to all. */
-    public List<String> there() {
-        List<String> names = new ArrayList<>(List.of(terms.name()));
+    /** Names of all members that are alive or suspected, this one first. */
+    public List<String> presentMembers() {
+        List<String> names = new ArrayList<>(List.of(settings.name()));
         membership.others().stream().filter(Standing::there).map(Standing::name).forEach(names::add);
         return names;
     }
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -23,157 +23,181 @@
 import topazladder.service.Scheduler;
 
 /**
- * A member's part in the group, without I/O but for its store. A voter whose folder is empty does not vote: it asks,
- * under a new birth, to be taken in, since it has forgotten how it voted. All calls come on the one thread that the
- * timers run on.
+ * A member's replica in the consensus group, without I/O but for its store. A voter whose store is empty does not vote,
+ * since it has forgotten how it voted before: it asks the group to be added, under a new birth. All calls come on the
+ * one thread that the timers run on.
  */
 public final class VoterNode {
     private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
-    /** Seconds between two times that it asks to vote. */
-    private static final double ASK_EVERY = 1;
+    private static final double JOIN_REQUEST_INTERVAL_SECONDS = 1;
+    /** Heartbeats for which an instance must be gone before it is recorded as lost. */
+    private static final double LOST_AFTER_HEARTBEATS = 4;
+    /** Delay before a failed replica is opened again: a disk that was full may have space by then. */
+    private static final double REOPEN_DELAY_SECONDS = 2;
 
-    /** Heartbeats for which a member must be gone from sight before its place is written down as lost. */
-    private static final double LOST_AFTER = 4;
-    /** Seconds after which a voter whose store failed tries it again: a disk that was full may have room. */
-    private static final double AGAIN_AFTER = 2;
-
-    public enum Phase { ASKING_TO_VOTE, SEATED, FAILED, RETIRED, CLOSED }
+    /** How far the voter takes part in the group. Reported by name: the names stay. */
+    public enum Phase {
+        /** Its store is empty, and it asks the other voters to be added. */
+        ASKING_TO_VOTE,
+        /** It has a replica, and votes. */
+        SEATED,
+        /** Its store or its replica failed, and is opened again after a delay. */
+        FAILED,
+        /** The settings do not name it as a voter any more. */
+        RETIRED,
+        /** The process is ending. */
+        CLOSED
+    }
 
-    /** What it needs of the world. */
+    /** What the node needs of its environment. */
     public interface World {
 
-        /** To a member by its name; to its own process's member as well. */
+        /** Sends a message to a member by name, maybe the one of its own process. */
         void say(String to, Saying what);
 
-        /** The store failed, and with it the voter; the instance goes on serving. */
-        void failed(Throwable why);
+        /** The store or the replica failed. The instance goes on serving without it. */
+        void failed(Throwable cause);
     }
 
-    private final HallTerms terms;
+    private final HallTerms settings;
     private final VoterStore store;
     private final Scheduler timers;
     private final DoubleSupplier clock;
-    private final RandomGenerator chance;
-    private final World world;
+    private final RandomGenerator random;
+    private final World environment;
     private final ClusterReplica.Domains domains;
     private final Verdicts verdicts;
     private ClusterReplica.Settings replicaSettings;
     private ClusterReplica replica;
-    private VoterEndpoint newborn;
+    private VoterEndpoint newEndpoint; // null unless the store was empty
     private Phase phase = Phase.ASKING_TO_VOTE;
-    private String doing = "";
+    private String controllerActivity = "";
 
-    public VoterNode(HallTerms terms, VoterStore store, Scheduler timers, DoubleSupplier clock, RandomGenerator chance,
-            World world) {
-        this(terms, store, timers, clock, chance, world, new ClusterState(), null, null, null);
+    /** Creates a voter that does nothing before {@link #open}. */
+    public VoterNode(HallTerms settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator random, World environment) {
+        this(settings, store, timers, clock, random, environment, new ClusterState(), null, null, null);
     }
 
     /**
-     * @param leaseManager and what is behind it, of what is agreed, or null for the usual; trials plant ones that err
+     * Creates a voter whose replicated state and decisions are given; tests pass some with an injected defect.
+     *
+     * @param leaseManager null for the default; likewise the two behind it
      */
-    public VoterNode(HallTerms terms, VoterStore store, Scheduler timers, DoubleSupplier clock, RandomGenerator chance,
-            World world, ClusterState state, LeaseManager leaseManager, DisruptionController permits,
-            Verdicts verdicts) {
-        this.terms = terms;
+    public VoterNode(HallTerms settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator random, World environment, ClusterState state, LeaseManager leaseManager,
+            DisruptionController disruptionController, Verdicts verdicts) {
+        this.settings = settings;
         this.store = store;
         this.timers = timers;
         this.clock = clock;
-        this.chance = chance;
-        this.world = world;
+        this.random = random;
+        this.environment = environment;
         this.verdicts = verdicts == null ? new Verdicts(state.disruptions()) : verdicts;
         domains = new ClusterReplica.Domains(state,
                 leaseManager == null ? new LeaseManager(state.leases()) : leaseManager,
-                permits == null ? new DisruptionController(state.disruptions(), LOST_AFTER * terms.heartbeat())
-                        : permits,
+                disruptionController == null
+                        ? new DisruptionController(state.disruptions(),
+                                LOST_AFTER_HEARTBEATS * settings.heartbeatSeconds())
+                        : disruptionController,
                 this.verdicts);
-        replicaSettings =
-                new ClusterReplica.Settings(terms.voters(), terms.heartbeat(), terms.duties(), terms.budgets());
+        replicaSettings = replicaSettings(settings);
+    }
+
+    /** The heartbeat is that of the start: a change of it needs a restart. */
+    private ClusterReplica.Settings replicaSettings(HallTerms latest) {
+        return new ClusterReplica.Settings(latest.voters(), settings.heartbeatSeconds(), latest.leases(),
+                latest.budgets());
     }
 
     public Phase phase() {
         return phase;
     }
 
-    /** Null while it has none. */
+    /** Null before the voter was first {@link Phase#SEATED}. */
     public ClusterReplica replica() {
         return replica;
     }
 
+    /** Starts the replica from the store, or asks to be added where the store is empty. */
     public void open() {
         if (store.founding() != null) {
-            take();
+            startReplica();
         } else {
-            newborn = new VoterEndpoint(terms.name(), 1 + (chance.nextLong() >>> 2));
-            LOG.warn("{} has an empty folder: it asks to be taken in as {}", terms.name(), newborn);
-            askToVote();
+            newEndpoint = new VoterEndpoint(settings.name(), 1 + (random.nextLong() >>> 2));
+            LOG.warn("voter store empty, requesting to join name={} endpoint={}", settings.name(), newEndpoint);
+            requestToJoin();
         }
     }
 
-    private void askToVote() {
+    private void requestToJoin() {
         if (phase == Phase.ASKING_TO_VOTE) {
-            terms.voters().stream().filter(v -> !v.equals(terms.name()))
-                    .forEach(v -> world.say(v, new Saying.AsksToVote(newborn)));
-            timers.schedule(ASK_EVERY, this::askToVote);
+            settings.voters().stream().filter(v -> !v.equals(settings.name()))
+                    .forEach(v -> environment.say(v, new Saying.AsksToVote(newEndpoint)));
+            timers.schedule(JOIN_REQUEST_INTERVAL_SECONDS, this::requestToJoin);
         }
     }
 
-    private void take() {
+    private void startReplica() {
         phase = Phase.SEATED;
         if (replica != null) {
             replica.close(() -> {});
         }
-        replica = new ClusterReplica(store, replicaSettings, timers, clock, chance, new ClusterReplica.Environment() {
-            @Override
-            public void send(VoterEndpoint to, RaftMessage message) {
-                world.say(to.name(), new Saying.Consensus(message));
-            }
+        replica = new ClusterReplica(store, replicaSettings, timers, clock, random, new ReplicaEnvironment(), domains);
+        replica.start();
+    }
 
-            @Override
-            public void reply(MemberIdentity to, LeaseResponse answer) {
-                world.say(to.name(), new Saying.Answering(answer));
-                if (verdicts.watches(to.name())) {
-                    world.say(to.name(), new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to
-                            .name())));
-                }
-            }
+    /** Turns what the replica sends into messages between members. */
+    private final class ReplicaEnvironment implements ClusterReplica.Environment {
+        @Override
+        public void send(VoterEndpoint to, RaftMessage message) {
+            environment.say(to.name(), new Saying.Consensus(message));
+        }
 
-            @Override
-            public void wakeUp(MemberIdentity to) {
-                world.say(to.name(), new Saying.Nudge());
+        @Override
+        public void reply(MemberIdentity to, LeaseResponse response) {
+            environment.say(to.name(), new Saying.Answering(response));
+            if (verdicts.watches(to.name())) {
+                environment.say(to.name(),
+                        new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to.name())));
             }
+        }
 
-            @Override
-            public void mayGo(String member, long token) {
-                world.say(member, new Saying.MayGo(token));
-            }
+        @Override
+        public void wakeUp(MemberIdentity to) {
+            environment.say(to.name(), new Saying.Nudge());
+        }
 
-            @Override
-            public void go(String member, long token, String version) {
-                world.say(member, new Saying.Go(token, version));
-            }
+        @Override
+        public void mayGo(String member, long token) {
+            environment.say(member, new Saying.MayGo(token));
+        }
 
-            @Override
-            public void failed(Throwable why) {
-                VoterNode.this.failed(why);
-            }
-        }, domains);
-        replica.start();
+        @Override
+        public void go(String member, long token, String version) {
+            environment.say(member, new Saying.Go(token, version));
+        }
+
+        @Override
+        public void failed(Throwable cause) {
+            VoterNode.this.failed(cause);
+        }
     }
 
     /**
-     * What was flushed is still true: nothing was answered for that was not. So it may take its replica again from
-     * that.
+     * Opens the replica again after a delay. What was flushed is still valid, as nothing was acknowledged before it was
+     * flushed, so the new replica may start from it.
      */
-    private void failed(Throwable why) {
-        if (!replicaSettings.voters().contains(terms.name())) {
-            // The library ends where its voter is taken out, which the settings asked for.
+    private void failed(Throwable cause) {
+        if (!replicaSettings.voters().contains(settings.name())) {
+            // The Raft library terminates a node that is removed from the group, as the settings asked for.
             phase = Phase.RETIRED;
-            LOG.info("{} votes no more", terms.name());
+            LOG.info("voter retired name={} reason=not-in-settings", settings.name());
             return;
         }
         phase = Phase.FAILED;
-        world.failed(why);
-        timers.schedule(AGAIN_AFTER, () -> {
+        environment.failed(cause);
+        timers.schedule(REOPEN_DELAY_SECONDS, () -> {
             if (phase == Phase.FAILED) {
                 domains.state().stateMachines().clear();
                 phase = Phase.ASKING_TO_VOTE;
@@ -182,20 +206,21 @@
         });
     }
 
-    public void replace(HallTerms next) {
-        replicaSettings =
-                new ClusterReplica.Settings(next.voters(), terms.heartbeat(), next.duties(), next.budgets());
+    /** Takes the voters, leases and budgets of settings that were read anew. */
+    public void replace(HallTerms newSettings) {
+        replicaSettings = replicaSettings(newSettings);
         if (replica != null) {
             replica.replaceSettings(replicaSettings);
         }
     }
 
-    public void close(Runnable done) {
+    /** Ends the replica in order, then closes the store. */
+    public void close(Runnable onClosed) {
         Phase before = phase;
         phase = Phase.CLOSED;
         Runnable end = () -> {
             store.close();
-            done.run();
+            onClosed.run();
         };
         if (before == Phase.SEATED) {
             replica.close(end);
@@ -204,85 +229,93 @@
         }
     }
 
-    /** What another member says, or this process's own. */
-    public void heard(String from, Saying what) {
-        if (what instanceof Saying.TakenIn t) {
-            takenIn(t);
+    /** Handles a message of another member, or of this process's own. */
+    public void heard(String from, Saying message) {
+        if (message instanceof Saying.TakenIn t) {
+            addedToGroup(t);
         } else if (phase != Phase.SEATED) {
-            return; // whoever asks finds another voter
-        } else if (what instanceof Saying.Consensus c) {
+            return; // without a response the sender tries another voter
+        } else if (message instanceof Saying.Consensus c) {
             replica.handle(c.message());
-        } else if (what instanceof Saying.Asking a) {
+        } else if (message instanceof Saying.Asking a) {
             if (replica.leading()) {
                 replica.disruptions().loadReported(a.ask().member(), a.schema(), a.serving(), a.ask().eligible());
                 verdicts.says(clock.getAsDouble(), a.ask().member().name(), a.below());
                 replica.leases().handleRequest(a.ask());
             } else {
-                elsewhere(from);
+                sendLeaderHint(from);
             }
-        } else if (what instanceof Saying.Conduct c) {
+        } else if (message instanceof Saying.Conduct c) {
             if (replica.leading()) {
-                doing = c.doing();
-                replica.rollouts().conduct(c.ops(), view -> world.say(from, new Saying.Conducted(c.number(), view)));
+                controllerActivity = c.doing();
+                replica.rollouts().conduct(c.ops(),
+                        view -> environment.say(from, new Saying.Conducted(c.number(), view)));
             } else {
-                elsewhere(from);
+                sendLeaderHint(from);
             }
-        } else if (what instanceof Saying.Going g) {
+        } else if (message instanceof Saying.Going g) {
             replica.disruptions().shutdownRequested(g.from(), g.token());
-        } else if (what instanceof Saying.Leaving l) {
+        } else if (message instanceof Saying.Leaving l) {
             replica.disruptions().leaving(l.from(), l.by());
-        } else if (what instanceof Saying.AsksToVote v) {
-            // Any voter may tell it that it is one, since the leader that took it in may be gone by now.
-            if (replica.voting().contains(v.who())) {
-                VoterStore.Founding f = store.founding();
-                world.say(from, new Saying.TakenIn(v.who(), f.initialVoters(), f.groupGeneration()));
-            } else {
-                replica.joinRequested(v.who());
-            }
+        } else if (message instanceof Saying.AsksToVote v) {
+            handleJoinRequest(from, v.who());
+        }
+    }
+
+    private void handleJoinRequest(String from, VoterEndpoint endpoint) {
+        // Any voter may confirm that the endpoint was added, since the leader that added it may be gone by now.
+        if (replica.voting().contains(endpoint)) {
+            VoterStore.Founding founding = store.founding();
+            environment.say(from,
+                    new Saying.TakenIn(endpoint, founding.initialVoters(), founding.groupGeneration()));
+        } else {
+            replica.joinRequested(endpoint);
         }
     }
 
-    private void elsewhere(String from) {
+    private void sendLeaderHint(String to) {
         VoterEndpoint leader = replica.leader();
-        world.say(from, new Saying.LeaderIs(leader == null || leader.equals(replica.here()) ? "" : leader.name()));
+        environment.say(to,
+                new Saying.LeaderIs(leader == null || leader.equals(replica.here()) ? "" : leader.name()));
     }
 
-    /** How the servers below look to all, for operators; of use only while this voter leads. */
+    /** How dependency endpoints look to all instances, for operators; up to date only while this voter leads. */
     public Verdicts verdicts() {
         return verdicts;
     }
 
-    /** What the conductor said last that it does, in words. */
-    public String doing() {
-        return doing;
+    /** What the rollout controller last reported that it is doing, in words. */
+    public String controllerActivity() {
+        return controllerActivity;
     }
 
-    private void takenIn(Saying.TakenIn t) {
-        if (phase != Phase.ASKING_TO_VOTE || !t.who().equals(newborn)) {
+    private void addedToGroup(Saying.TakenIn added) {
+        if (phase != Phase.ASKING_TO_VOTE || !added.who().equals(newEndpoint)) {
             return;
         }
         try {
-            store.found(new VoterStore.Founding(newborn, t.first(), t.formed()));
-            LOG.info("{} votes from now on", newborn);
-            take();
+            store.found(new VoterStore.Founding(newEndpoint, added.first(), added.formed()));
+            LOG.info("voter joined the group endpoint={}", newEndpoint);
+            startReplica();
         } catch (IOException e) {
             failed(e);
         }
     }
 
-    /** How the instances look from this member. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Observation> looks) {
+    /** Takes how the instances look to this member. */
+    public void seen(Map<DisruptionTarget, DisruptionController.Observation> observations) {
         if (replica != null && phase == Phase.SEATED) {
-            replica.disruptions().membersObserved(looks);
+            replica.disruptions().membersObserved(observations);
         }
     }
 
-    /** An operator's wish; only the leader can carry it out. */
-    public void propose(LeaseCommand op, Consumer<Outcome> then) {
+    /** Proposes an operator's command; only the leader can carry it out. */
+    public void propose(LeaseCommand command, Consumer<Outcome> onOutcome) {
         if (replica == null || phase != Phase.SEATED) {
-            then.accept(new Outcome(0, "this voter has no seat"));
+            onOutcome.accept(new Outcome(0, "voter " + settings.name() + " can't propose in phase " + phase
+                    + "; it must be " + Phase.SEATED));
         } else {
-            replica.leases().propose(op, then);
+            replica.leases().propose(command, onOutcome);
         }
     }
 }
--- a/src/main/java/topazladder/net/hall/GroupThread.java
+++ b/src/main/java/topazladder/net/hall/ConsensusThread.java
@@ -8,38 +8,40 @@
 import topazladder.service.Scheduler;
 
 /**
- * The one thread that owns the group's state. It is not the event loop: a voter's store waits for its disk, and no
- * request may wait for that. What goes between the two is handed over as a task.
+ * The one thread that owns a voter's state. It is separate from the event loop because a voter's store waits for the
+ * disk, which no request may do. The two hand work to each other as tasks.
  */
-final class GroupThread implements Scheduler {
-    private static final Logger LOG = LoggerFactory.getLogger(GroupThread.class);
+final class ConsensusThread implements Scheduler {
+    private static final Logger LOG = LoggerFactory.getLogger(ConsensusThread.class);
     private static final double NANOS_PER_SECOND = 1e9;
+    /** Performance measurements find the thread by this prefix. */
+    private static final String NAME_PREFIX = "group-";
 
-    private final ScheduledThreadPoolExecutor thread;
+    private final ScheduledThreadPoolExecutor executor;
     private final double clockRate;
 
     /**
      * Starts the thread.
      *
-     * @param name of the member, for the thread's name
+     * @param memberName for the thread's name
      * @param clockRate seconds that this process's clock counts in one true second; its timers run as fast
      */
-    GroupThread(String name, double clockRate) {
+    ConsensusThread(String memberName, double clockRate) {
         this.clockRate = clockRate;
-        thread = new ScheduledThreadPoolExecutor(1, loop -> {
-            Thread created = new Thread(loop, "group-" + name);
+        executor = new ScheduledThreadPoolExecutor(1, loop -> {
+            Thread created = new Thread(loop, NAME_PREFIX + memberName);
             created.setDaemon(true);
             return created;
         });
-        thread.setRemoveOnCancelPolicy(true);
-        thread.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
+        executor.setRemoveOnCancelPolicy(true);
+        executor.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     }
 
     @Override
-    public void schedule(double seconds, Runnable what) {
+    public void schedule(double seconds, Runnable task) {
         try {
             long delayNanos = Math.max(0, Math.round(seconds / clockRate * NANOS_PER_SECOND));
-            thread.schedule(() -> runLogged(what), delayNanos, TimeUnit.NANOSECONDS);
+            executor.schedule(() -> runLogged(task), delayNanos, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             LOG.debug("consensus task rejected reason=thread-ended", e);
         }
@@ -54,12 +56,12 @@
         }
     }
 
-    void execute(Runnable what) {
-        schedule(0, what);
+    void execute(Runnable task) {
+        schedule(0, task);
     }
 
-    /** Lets the task that runs come to its end; none that is due later runs any more. */
+    /** Lets the running task finish; tasks that are due later are dropped. */
     void end() {
-        thread.shutdown();
+        executor.shutdown();
     }
 }
--- a/src/main/java/topazladder/net/hall/FleetClient.java
+++ b/src/main/java/topazladder/net/hall/FleetClient.java
@@ -12,35 +12,38 @@
 import topazladder.hall.Saying.Command;
 
 /**
- * An operator's side: one command to one member over the link between members, and its answer. Waits; not for the
- * program.
+ * Sends an operator's command to one member, over the same protocol as between members, and waits for the result. It
+ * blocks, so a running instance must not use it.
  */
 public final class FleetClient {
-    private static final int WAIT_SECONDS = 8;
+    private static final int TIMEOUT_SECONDS = 8;
 
     private FleetClient() {}
 
     /**
-     * @return what became of it; not done where the member did not answer, which says nothing of whether it was done
+     * Sends one command.
+     *
+     * @return its result; not done where the member did not answer in time, in which case the command may have been run
+     *     all the same
      */
     public static Saying.Told ask(Address member, byte[] key, Command command) throws InterruptedException {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
-        CompletableFuture<Saying.Told> answer = new CompletableFuture<>();
+        CompletableFuture<Saying.Told> result = new CompletableFuture<>();
         try {
             vertx.runOnContext(v -> {
-                HallLinks links = new HallLinks(vertx, new Greetings.Who(Greetings.OPERATOR, System.nanoTime()),
-                        () -> List.of(key),
-                        (from, what) -> {
-                            if (what instanceof Saying.Told t) {
-                                answer.complete(t);
+                OutboundLinks links = new OutboundLinks(vertx,
+                        new GreetingCodec.Identity(GreetingCodec.OPERATOR, System.nanoTime()), () -> List.of(key),
+                        (from, message) -> {
+                            if (message instanceof Saying.Told told) {
+                                result.complete(told);
                             }
                         }, new LinkTraffic());
-                links.say(member, new Saying.Order(1, command));
+                links.send(member, new Saying.Order(1, command));
             });
-            return answer.get(WAIT_SECONDS, TimeUnit.SECONDS);
+            return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            return new Saying.Told(1, false, "no answer of " + member.host() + ":" + member.port()
-                    + "; is it there, and is the key its own?");
+            return new Saying.Told(1, false, "no answer from " + member.host() + ":" + member.port() + " within "
+                    + TIMEOUT_SECONDS + " s; check that a member listens there and that --key-file has its key");
         } catch (ExecutionException e) {
             throw new IllegalStateException(e);
         } finally {
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -15,6 +15,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.BiConsumer;
+import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
@@ -62,253 +64,291 @@
 import topazladder.service.Scheduler;
 
 /**
- * A member of a hall on sockets: who is there and what it holds on the event loop, its vote on a thread of its own.
- * Requests know nothing of it: with the group gone, the instance serves as it would without.
+ * A member of a cluster on real sockets. Membership and leases run on the event loop; the voter, if this member votes,
+ * runs on a thread of its own. Requests do not depend on it: without the consensus group the instance serves as it
+ * would without a cluster.
  */
 public final class HallNode implements InstanceExtension {
     private static final Logger LOG = LoggerFactory.getLogger(HallNode.class);
-    private static final long WELL_MS = 200;
-    private static final long LOOK_MS = 250;
-    private static final double AGAIN_AFTER = 2;
-    /** Members that are told at once of what was found; each that learns something new tells as many. */
-    private static final int TELLS = 6;
-    /** Seconds for which an operator's command waits for the leader. */
-    private static final double COMMAND_WAIT = 5;
-    private static final int MOST_COMMANDS = 64;
-    private static final int MOST_ASKERS = 1024;
-    /** Before the name of a server below, where a command is about one. */
-    private static final String BELOW = "below ";
+    private static final long HEALTH_INTERVAL_MS = 200;
+    private static final long OBSERVATION_INTERVAL_MS = 250;
+    private static final double STORE_REOPEN_DELAY_SECONDS = 2;
+    /** Time for the last messages to leave, and for the voter to close its store, before the process goes on to end. */
+    private static final long CLOSE_TIMEOUT_MS = 300;
+    private static final int INDIRECT_PROBES = 3;
+    private static final double GONE_MEMBER_MEMORY_SECONDS = 3600;
+    /** Members to which a new probe result is sent; each of them passes it on to as many. */
+    private static final int PROBE_RESULT_FANOUT = 6;
+    /** A result under the same fencing token is new only where it is later than the last one by more than this. */
+    private static final double PROBE_RESULT_MARGIN_SECONDS = 0.1;
+    /** How long a forwarded operator's command waits for the leader's response. */
+    private static final double COMMAND_TIMEOUT_SECONDS = 5;
+    private static final int MAX_FORWARDED_COMMANDS = 64;
+    private static final int MAX_POLLER_ADDRESSES = 1024;
+    /** Stands before the name of a dependency endpoint in the text of an operator's command. */
+    private static final String DEPENDENCY_PREFIX = "below ";
 
     private final Vertx vertx;
     private final Context loop;
     private final ClusterSettings settings;
     private final Supplier<Phase> phase;
     private final Counters counters;
-    private final DependencyCircuitBreaker reach;
-    private final DoubleConsumer drain;
-    private final Supplier<ThroughputMeter.Totals> counted;
+    private final DependencyCircuitBreaker circuitBreaker;
+    private final DoubleConsumer onShutdownApproved;
+    private final Supplier<ThroughputMeter.Totals> throughputTotals;
     private final ThroughputMeter meter;
     private final String name;
-    private final HallClock clock;
+    private final LeaseClock clock;
     private final MemberNode member;
     private final LinkTraffic traffic = new LinkTraffic();
-    private final HallLinks links;
-    private final HallDoor door;
-    private final Map<String, LeasedTask> works = new LinkedHashMap<>();
-    private final Map<Long, HallDoor.Back> commands = new HashMap<>(); // bounded, each for a few seconds
+    private final OutboundLinks outboundLinks;
+    private final InboundLinks inboundLinks;
+    private final Map<String, LeasedTask> tasks = new LinkedHashMap<>(); // by lease
+    private final Map<Long, InboundLinks.ReplyChannel> forwardedCommands = new HashMap<>(); // each until its timeout
     /**
-     * Where they hear who have asked and may not be known otherwise yet: a hall that joins asks before it is told of.
+     * Addresses of members that have polled this one, by name. A member may poll before its address has come here by
+     * gossip: while a whole cluster starts, polls are faster.
      */
-    private final Map<String, String> askers = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<String, String> pollerAddresses = new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-            return size() > MOST_ASKERS;
+            return size() > MAX_POLLER_ADDRESSES;
         }
     };
-    private final SplittableRandom chance;
-    private final GroupThread thread;
-    private final HallTerms hall;
-    private final Use use; // null where the index has one address
-    private ConductorNode conductor; // null where no duty conducts
-    private VoterNode voter; // of the group's thread alone; null until its folder is open
+    private final SplittableRandom random;
+    private final ConsensusThread consensusThread; // null where this member does not vote
+    private final HallTerms memberSettings;
+    private final Use dependencyPool; // null where the dependency has one address
+    private ConductorNode rolloutController; // null where no lease is for the rollout controller
+    private VoterNode voter; // used on the consensus thread only; null until its store is open
     private Map<String, Address> routes;
-    private long lastCommand;
-    private long lastFoundToken;
-    private double lastFoundAt = Double.NEGATIVE_INFINITY;
-    private boolean lastFoundWell;
-    private final List<Long> timers = new ArrayList<>(); // those that repeat until it is closed
+    private long lastForwardedNumber;
+    private long lastProbeToken;
+    private double lastProbeAt = Double.NEGATIVE_INFINITY;
+    private boolean lastProbeReachable;
+    private final List<Long> periodicTimers = new ArrayList<>();
     private boolean leaving;
 
     /**
-     * @param keys by which members know each other
+     * Creates a member that does nothing before {@link #open}.
+     *
+     * @param keys by which members authenticate each other, the one to sign with first
      * @param phase of the instance
-     * @param drain has the instance drain and end as the hall has agreed, that many seconds after it said so
-     * @param counted what it has served so far
-     * @param queue the link to a queue by its broker and name, for the duty to consume it
-     * @param index where the service below is now
+     * @param onShutdownApproved shuts the instance down once the group has approved it; takes the seconds for which the
+     *     instance is reported as not ready before it drains
+     * @param throughputTotals what the instance has served since its start
+     * @param queueConsumer makes the task that consumes a broker's queue
+     * @param dependencyAddress where the dependency is now
      */
-    public HallNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, Supplier<Phase> phase, Counters counters,
-            Supplier<List<byte[]>> keys, DoubleConsumer drain, Supplier<ThroughputMeter.Totals> counted,
-            Function<ClusterSettings.Consume, LeasedTask> queue, Supplier<Address> index,
-            DependencyCircuitBreaker reach) {
+    public HallNode(Vertx vertx, ServiceSettings serviceSettings, ExtensionSettings extensionSettings,
+            Supplier<Phase> phase, Counters counters, Supplier<List<byte[]>> keys, DoubleConsumer onShutdownApproved,
+            Supplier<ThroughputMeter.Totals> throughputTotals,
+            Function<ClusterSettings.Consume, LeasedTask> queueConsumer, Supplier<Address> dependencyAddress,
+            DependencyCircuitBreaker circuitBreaker) {
         this.vertx = vertx;
         this.phase = phase;
         this.counters = counters;
-        this.reach = reach;
-        this.drain = drain;
-        this.counted = counted;
+        this.circuitBreaker = circuitBreaker;
+        this.onShutdownApproved = onShutdownApproved;
+        this.throughputTotals = throughputTotals;
         loop = vertx.getOrCreateContext();
-        settings = own.cluster();
+        settings = extensionSettings.cluster();
         meter = new ThroughputMeter(settings.version());
         routes = settings.routes();
-        name = terms.name();
-        // Grows from process to process of the name; a time of day that was set back costs until it is made up for.
-        long life = System.currentTimeMillis() << 16 | ProcessHandle.current().pid() & 0xffff;
-        chance = new SplittableRandom(terms.seed() ^ life);
-        clock = new HallClock(HallNode::monotonic, () -> System.currentTimeMillis() / 1e3, settings.clockRate());
-        MemberIdentity here = new MemberIdentity(name, life);
-        Scheduler clockTimers = (seconds, what) -> vertx.setTimer(Math.max(1,
-                (long) Math.ceil(seconds / settings.clockRate() * 1000)), id -> what.run());
-        hall = terms(name, own);
-        member = new MemberNode(hall, new LeaseHolder(here), clockTimers, clock, chance.split(), new World());
-        links = new HallLinks(vertx, new Greetings.Who(name, life), keys, (from, what) -> {}, traffic);
-        door = new HallDoor(vertx, this::heard, () -> counters.add(Count.MEMBERS_REJECTED), traffic);
-        for (ClusterSettings.Lease d : settings.leases()) {
-            works.put(d.name(), work(d, here, queue, index));
-        }
-        use = settings.dependencyPool() == null ? null
-                : new Use(new Use.Terms(settings.dependencyPool().servers().stream()
-                        .map(ClusterSettings.DependencyPool.Server::name).toList(),
-                        settings.dependencyPool().maxLocallyEjectedShare()), chance.split());
-        member.below(use);
-        if (hall.votes()) {
+        name = serviceSettings.name();
+        // Grows from one process of the name to the next. After the wall clock was set back, a restarted member is
+        // taken for an old process until the clock has caught up.
+        long incarnation = System.currentTimeMillis() << 16 | ProcessHandle.current().pid() & 0xffff;
+        random = new SplittableRandom(serviceSettings.seed() ^ incarnation);
+        clock = new LeaseClock(HallNode::monotonicSeconds, () -> System.currentTimeMillis() / 1e3,
+                settings.clockRate());
+        MemberIdentity identity = new MemberIdentity(name, incarnation);
+        Scheduler clockTimers = (seconds, task) -> vertx.setTimer(Math.max(1,
+                (long) Math.ceil(seconds / settings.clockRate() * 1000)), id -> task.run());
+        memberSettings = memberSettings(name, extensionSettings);
+        member = new MemberNode(memberSettings, new LeaseHolder(identity), clockTimers, clock, random.split(),
+                new MemberWorld());
+        outboundLinks = new OutboundLinks(vertx, new GreetingCodec.Identity(name, incarnation), keys,
+                (from, message) -> {}, traffic);
+        inboundLinks =
+                new InboundLinks(vertx, this::received, () -> counters.add(Count.MEMBERS_REJECTED), traffic);
+        for (ClusterSettings.Lease lease : settings.leases()) {
+            tasks.put(lease.name(), task(lease, identity, queueConsumer, dependencyAddress));
+        }
+        dependencyPool = dependencyPool();
+        member.below(dependencyPool);
+        if (memberSettings.isVoter()) {
             if (settings.dataFolder() == null) {
-                throw new InvalidSettingsException("hall.folder is missing, and this member votes");
+                throw new InvalidSettingsException(
+                        "hall.folder is missing; hall.voters names " + name + ", and a voter keeps its store there");
             }
-            thread = new GroupThread(name, settings.clockRate());
+            consensusThread = new ConsensusThread(name, settings.clockRate());
         } else {
-            thread = null;
+            consensusThread = null;
         }
     }
 
-    /** The least of the heap that was held since the last time it was nearly full tells what lives; this is near. */
-    private static double megabytes() {
-        Runtime r = Runtime.getRuntime();
-        return (r.totalMemory() - r.freeMemory()) / 1048576.0;
+    private Use dependencyPool() {
+        ClusterSettings.DependencyPool pool = settings.dependencyPool();
+        return pool == null ? null
+                : new Use(new Use.Terms(pool.servers().stream().map(ClusterSettings.DependencyPool.Server::name)
+                        .toList(), pool.maxLocallyEjectedShare()), random.split());
     }
 
-    static double monotonic() {
+    /**
+     * Used heap. It includes garbage; what is live is closest to the least value since the heap was last nearly full.
+     */
+    private static double usedHeapMegabytes() {
+        Runtime runtime = Runtime.getRuntime();
+        return (runtime.totalMemory() - runtime.freeMemory()) / 1048576.0;
+    }
+
+    static double monotonicSeconds() {
         return System.nanoTime() / 1e9;
     }
 
-    static HallTerms terms(String name, ExtensionSettings own) {
-        ClusterSettings s = own.cluster();
-        return new HallTerms(name, text(s.advertisedAddress()), own.zone(),
-                s.seeds().stream().map(HallNode::text).toList(),
-                s.voters(), s.heartbeatSeconds(),
-                s.leases().stream().map(d -> new LeaseSettings(d.name(), d.durationSeconds(),
-                        d.maxConsecutiveLosses())).toList(),
-                !s.ineligibleForLeases(), new Membership.Terms(s.probePeriodSeconds(), 3, 3600),
-                s.disruptionBudgets(), HallMessages.SCHEMA);
+    private static HallTerms memberSettings(String name, ExtensionSettings extensionSettings) {
+        ClusterSettings cluster = extensionSettings.cluster();
+        return new HallTerms(name, hostPort(cluster.advertisedAddress()), extensionSettings.zone(),
+                cluster.seeds().stream().map(HallNode::hostPort).toList(),
+                cluster.voters(), cluster.heartbeatSeconds(),
+                cluster.leases().stream().map(lease -> new LeaseSettings(lease.name(), lease.durationSeconds(),
+                        lease.maxConsecutiveLosses())).toList(),
+                !cluster.ineligibleForLeases(),
+                new Membership.Terms(cluster.probePeriodSeconds(), INDIRECT_PROBES, GONE_MEMBER_MEMORY_SECONDS),
+                cluster.disruptionBudgets(), HallMessages.SCHEMA);
     }
 
-    private static String text(Address a) {
-        return a.host() + ":" + a.port();
+    private static String hostPort(Address address) {
+        return address.host() + ":" + address.port();
     }
 
-    /** On the group's thread. A folder that can't be opened costs a vote, and no request: it is tried again. */
+    /**
+     * On the consensus thread. A store that can't be opened costs this member its vote, but no request fails by it, and
+     * it is tried again.
+     */
     private void openVoter() {
         try {
             voter = voter(new SqliteVoterStore(settings.dataFolder()));
             voter.open();
         } catch (IOException | RuntimeException | LinkageError e) {
-            // The last where the store's own library can't be loaded, as from a disk that fails.
+            // A LinkageError comes where SQLite's native library can't be loaded, such as from a disk that fails.
             voter = null;
-            LOG.error("{} does not vote for now: {}", name, e.toString());
-            thread.schedule(AGAIN_AFTER, this::openVoter);
+            LOG.error("voter store not opened member={} folder={} retry_s={} error={}", name, settings.dataFolder(),
+                    STORE_REOPEN_DELAY_SECONDS, e.toString());
+            consensusThread.schedule(STORE_REOPEN_DELAY_SECONDS, this::openVoter);
         }
     }
 
     private VoterNode voter(SqliteVoterStore store) {
-        DoubleSupplier groupClock = () -> monotonic() * settings.clockRate();
-        return new VoterNode(hall, store, thread, groupClock, chance.split(), new VoterNode.World() {
-            @Override
-            public void say(String to, Saying what) {
-                loop.runOnContext(v -> HallNode.this.say(to, null, member.located(what)));
-            }
-
-            @Override
-            public void failed(Throwable why) {
-                LOG.error("{} does not vote for now: {}", name, why.toString());
-                loop.runOnContext(v -> counters.add(Count.REPLICAS_FAILED));
-            }
-        });
+        DoubleSupplier consensusClock = () -> monotonicSeconds() * settings.clockRate();
+        return new VoterNode(memberSettings, store, consensusThread, consensusClock, random.split(),
+                new VoterNode.World() {
+                    @Override
+                    public void say(String to, Saying message) {
+                        loop.runOnContext(v -> send(to, null, member.located(message)));
+                    }
+
+                    @Override
+                    public void failed(Throwable cause) {
+                        LOG.error("voter failed member={} error={}", name, cause.toString());
+                        loop.runOnContext(v -> counters.add(Count.REPLICAS_FAILED));
+                    }
+                });
     }
 
-    private LeasedTask work(ClusterSettings.Lease d, MemberIdentity here,
-            Function<ClusterSettings.Consume, LeasedTask> queue,
-            Supplier<Address> index) {
-        if (d.task()instanceof ClusterSettings.Touch t) {
-            return new TouchWork(vertx, d.name(), here.toString(), t);
-        } else if (d.task()instanceof ClusterSettings.Probe p) {
-            return new ProbeWork(vertx, index, p, (well, token) -> found(new Saying.Found("index", well, 0, token)));
-        }
-        if (d.task() instanceof ClusterSettings.ConductRollouts) {
-            conductor = new ConductorNode(here, d.name(), (s, what) -> vertx.setTimer(Math.max(1, Math.round(s * 1000)),
-                    id -> what.run()), clock, System::currentTimeMillis, member, by -> new Conductor(name, by));
-            return new ConductWork(conductor);
-        }
-        return queue.apply((ClusterSettings.Consume) d.task());
+    private LeasedTask task(ClusterSettings.Lease lease, MemberIdentity identity,
+            Function<ClusterSettings.Consume, LeasedTask> queueConsumer, Supplier<Address> dependencyAddress) {
+        if (lease.task() instanceof ClusterSettings.Touch touch) {
+            return new TouchTask(vertx, lease.name(), identity.toString(), touch);
+        } else if (lease.task() instanceof ClusterSettings.Probe probe) {
+            return new ProbeTask(vertx, dependencyAddress, probe,
+                    (reachable, token) -> probeResult(new Saying.Found("index", reachable, 0, token)));
+        }
+        if (lease.task() instanceof ClusterSettings.ConductRollouts) {
+            rolloutController = new ConductorNode(identity, lease.name(),
+                    (seconds, task) -> vertx.setTimer(Math.max(1, Math.round(seconds * 1000)), id -> task.run()),
+                    clock, System::currentTimeMillis, member, by -> new Conductor(name, by));
+            return new RolloutControllerTask(rolloutController);
+        }
+        return queueConsumer.apply((ClusterSettings.Consume) lease.task());
     }
 
-    /** On the group's thread. */
-    private void withVoter(java.util.function.Consumer<VoterNode> what) {
+    /** On the consensus thread; does nothing while the voter's store is not open. */
+    private void withVoter(Consumer<VoterNode> action) {
         if (voter != null) {
-            what.accept(voter);
+            action.accept(voter);
         }
     }
 
-    /** What is decided here; of the event loop alone. */
+    /** Membership and leases; to be used on the event loop only. */
     public MemberNode member() {
         return member;
     }
 
-    /** The servers of the index to choose from; null where the settings name none. */
+    /** Chooses among the dependency's endpoints; null where the settings name none. */
     public DependencyEndpointChoice choice() {
-        return use == null ? null : new PoolChoice(settings.dependencyPool(), use, clock, member::noticed);
+        return dependencyPool == null ? null
+                : new PoolEndpointChoice(settings.dependencyPool(), dependencyPool, clock, member::noticed);
     }
 
-    /** What the links between members have cost this one. */
+    /** Traffic of this member's links to the others since its start. */
     public LinkTraffic.Totals traffic() {
         return traffic.totals();
     }
 
-    /** In words, for whoever looks into one that is not answered. */
+    /** This member's leader, polls and links in words, for diagnosing polls that are not answered. */
     public String told() {
-        return name + " at " + hall.address() + ": leader " + member.leader() + ", there " + member.there().size()
-                + ", " + member.holder().describeRequests() + ", links " + links;
+        return "member=" + name + " address=" + memberSettings.address() + " leader=" + member.leader() + " present="
+                + member.presentMembers().size() + " polls: " + member.leaseHolder().describeRequests() + " links:"
+                + outboundLinks;
     }
 
-    // ---- Part
+    // ---- lifecycle
 
     @Override
     public void open() {
         member.open();
-        repeat(WELL_MS, () -> member.well(phase.get() == Phase.SERVING && !leaving));
-        repeat(LOOK_MS, () -> member.serving(meter.measure(monotonic(), counted.get(), megabytes())));
-        if (thread != null) {
-            thread.execute(this::openVoter);
-            repeat(LOOK_MS, () -> {
-                Map<DisruptionTarget, DisruptionController.Observation> looks = member.looks();
-                thread.execute(() -> withVoter(v -> v.seen(looks)));
+        repeat(HEALTH_INTERVAL_MS, () -> member.well(phase.get() == Phase.SERVING && !leaving));
+        repeat(OBSERVATION_INTERVAL_MS, () -> member
+                .serving(meter.measure(monotonicSeconds(), throughputTotals.get(), usedHeapMegabytes())));
+        if (consensusThread != null) {
+            consensusThread.execute(this::openVoter);
+            repeat(OBSERVATION_INTERVAL_MS, () -> {
+                Map<DisruptionTarget, DisruptionController.Observation> observations = member.looks();
+                consensusThread.execute(() -> withVoter(v -> v.seen(observations)));
             });
         }
     }
 
-    private void repeat(long everyMs, Runnable what) {
-        timers.add(vertx.setPeriodic(1, everyMs, id -> what.run()));
+    private void repeat(long intervalMs, Runnable action) {
+        periodicTimers.add(vertx.setPeriodic(1, intervalMs, id -> action.run()));
     }
 
     @Override
-    public void reload(ExtensionSettings other) {
-        if (other.cluster() == null) {
-            LOG.warn("the hall can't be left without a restart");
+    public void reload(ExtensionSettings reloaded) {
+        if (reloaded.cluster() == null) {
+            logNeedsRestart("hall");
             return;
         }
-        routes = other.cluster().routes();
-        if (!other.cluster().leases().equals(settings.leases())) {
-            LOG.warn("other duties need a restart of this member");
+        routes = reloaded.cluster().routes();
+        if (!reloaded.cluster().leases().equals(settings.leases())) {
+            logNeedsRestart("hall.duties");
         }
-        HallTerms next = terms(name, other);
-        member.replace(next);
-        if (thread == null && next.votes()) {
-            LOG.warn("this member votes once it was restarted");
+        HallTerms newSettings = memberSettings(name, reloaded);
+        member.replace(newSettings);
+        if (consensusThread == null && newSettings.isVoter()) {
+            logNeedsRestart("hall.voters");
         }
-        if (thread != null) {
-            thread.execute(() -> withVoter(v -> v.replace(next)));
+        if (consensusThread != null) {
+            consensusThread.execute(() -> withVoter(v -> v.replace(newSettings)));
         }
     }
 
+    private void logNeedsRestart(String setting) {
+        LOG.warn("settings change not fully applied reason=needs-restart member={} setting={}", name, setting);
+    }
+
     @Override
     public void startShutdown() {
         leaving = true;
@@ -321,348 +361,376 @@
     }
 
     /**
-     * Ends without a word to anybody, as a crash does; for harnesses that run many members in one process. Not for
-     * one that votes.
+     * Closes all links at once and tells nobody, as a crash would; for test harnesses that run many members in one
+     * process. Not for a member that votes.
      */
     public void abort() {
-        timers.forEach(vertx::cancelTimer);
-        links.close();
-        door.close();
+        periodicTimers.forEach(vertx::cancelTimer);
+        outboundLinks.close();
+        inboundLinks.close();
         member.close();
     }
 
     @Override
-    public void close(Runnable done) {
-        timers.forEach(vertx::cancelTimer);
+    public void close(Runnable onClosed) {
+        periodicTimers.forEach(vertx::cancelTimer);
         member.close();
         Runnable end = () -> {
-            links.close();
-            door.close();
-            done.run();
+            outboundLinks.close();
+            inboundLinks.close();
+            onClosed.run();
         };
-        if (thread == null) {
+        if (consensusThread == null) {
             end.run();
             return;
         }
-        // The last words need a moment on the wire, and a disk that hangs must not hold the exit up.
-        boolean[] once = new boolean[1];
-        Runnable ended = () -> loop.runOnContext(v -> {
-            if (!once[0]) {
-                once[0] = true;
-                thread.end();
+        // Bounded in time: a disk that hangs must not keep the process from ending.
+        boolean[] ended = new boolean[1];
+        Runnable endOnce = () -> loop.runOnContext(v -> {
+            if (!ended[0]) {
+                ended[0] = true;
+                consensusThread.end();
                 end.run();
             }
         });
-        thread.execute(() -> {
+        consensusThread.execute(() -> {
             if (voter == null) {
-                ended.run();
+                endOnce.run();
             } else {
-                voter.close(ended);
+                voter.close(endOnce);
             }
         });
-        vertx.setTimer(300, id -> ended.run());
+        vertx.setTimer(CLOSE_TIMEOUT_MS, id -> endOnce.run());
     }
 
-    /** A connection on which a member greeted rightly. */
+    /** Takes over a connection on which a member, or an operator's client, has sent an authenticated greeting. */
     public void take(NetSocket socket, PeerFrames.Seal seal, byte[] greeting, PeerFrames.Reader reader)
             throws MalformedMessageException {
         counters.add(Count.MEMBERS_CONNECTED);
-        door.take(socket, seal, greeting, reader);
+        inboundLinks.accept(socket, seal, greeting, reader);
     }
 
-    // ---- what is said
+    // ---- messages
 
-    private void say(String to, String address, Saying what) {
+    private void send(String to, String knownAddress, Saying message) {
         if (name.equals(to)) {
-            loop.runOnContext(v -> heard(name, what, null));
+            loop.runOnContext(v -> received(name, message, null));
             return;
         }
-        Address at = routes.get(to);
-        if (at == null) {
-            Standing s = to.isEmpty() ? null : member.membership().other(to);
-            String text = s != null ? s.address() : address != null ? address : askers.get(to);
+        Address address = routes.get(to);
+        if (address == null) {
+            Standing standing = to.isEmpty() ? null : member.membership().other(to);
+            String text = standing != null ? standing.address()
+                    : knownAddress != null ? knownAddress : pollerAddresses.get(to);
             if (text == null) {
-                return; // not known yet: who is there is found out by other means
+                return; // dropped: the address comes by gossip, and the sender repeats what matters
             }
             try {
-                at = Address.of("address", text);
+                address = Address.of("address", text);
             } catch (InvalidSettingsException e) {
                 return;
             }
         }
         counters.add(Count.MEMBER_MESSAGES_SENT);
-        links.say(at, what);
+        outboundLinks.send(address, message);
     }
 
-    private void heard(String from, Saying what, HallDoor.Back back) {
+    private void received(String from, Saying message, InboundLinks.ReplyChannel replyChannel) {
         counters.add(Count.MEMBER_MESSAGES_RECEIVED);
-        if (what instanceof Saying.Asking a && !a.address().isEmpty()) {
-            askers.put(from, a.address());
-        }
-        if (what instanceof Saying.Consensus || what instanceof Saying.Asking || what instanceof Saying.AsksToVote
-                || what instanceof Saying.TakenIn || what instanceof Saying.Going || what instanceof Saying.Leaving
-                || what instanceof Saying.Conduct) {
-            if (thread != null) {
-                thread.execute(() -> withVoter(v -> v.heard(from, what)));
-            } else if (what instanceof Saying.Asking) {
-                say(from, null, member.elsewhere());
+        if (message instanceof Saying.Asking poll && !poll.address().isEmpty()) {
+            pollerAddresses.put(from, poll.address());
+        }
+        if (isForVoter(message)) {
+            if (consensusThread != null) {
+                consensusThread.execute(() -> withVoter(v -> v.heard(from, message)));
+            } else if (message instanceof Saying.Asking) {
+                send(from, null, member.elsewhere());
             }
-        } else if (what instanceof Saying.Order o) {
-            order(from, o, back);
-        } else if (what instanceof Saying.Told t) {
-            HallDoor.Back waiting = commands.remove(t.number());
-            if (waiting != null) {
-                waiting.tell(t);
+        } else if (message instanceof Saying.Order request) {
+            handleCommand(from, request, replyChannel);
+        } else if (message instanceof Saying.Told response) {
+            InboundLinks.ReplyChannel operator = forwardedCommands.remove(response.number());
+            if (operator != null) {
+                operator.reply(response);
             }
-        } else if (what instanceof Saying.Found f) {
-            found(f);
+        } else if (message instanceof Saying.Found result) {
+            probeResult(result);
         } else {
-            member.heard(from, what);
+            member.heard(from, message);
         }
     }
 
-    /** Told on to a few where it is news here, so that it reaches all without one telling each. */
-    private void found(Saying.Found f) {
+    private static boolean isForVoter(Saying message) {
+        return message instanceof Saying.Consensus || message instanceof Saying.Asking
+                || message instanceof Saying.AsksToVote || message instanceof Saying.TakenIn
+                || message instanceof Saying.Going || message instanceof Saying.Leaving
+                || message instanceof Saying.Conduct;
+    }
+
+    /** Passes a new result on to a few members, so that it reaches all without one member sending to each. */
+    private void probeResult(Saying.Found result) {
         double now = clock.getAsDouble();
-        double at = now - f.age();
-        boolean news = f.token() > lastFoundToken || f.token() == lastFoundToken && at > lastFoundAt + 0.1;
-        if (!news) {
+        double probedAt = now - result.age();
+        boolean isNew = result.token() > lastProbeToken
+                || result.token() == lastProbeToken && probedAt > lastProbeAt + PROBE_RESULT_MARGIN_SECONDS;
+        if (!isNew) {
             return;
         }
-        if (f.well() != lastFoundWell || lastFoundAt == Double.NEGATIVE_INFINITY) {
-            LOG.info("{}: {} is {} by token {}", name, f.subject(), f.well() ? "reached" : "not reached", f.token());
+        if (result.well() != lastProbeReachable || lastProbeAt == Double.NEGATIVE_INFINITY) {
+            LOG.info("dependency reachability changed member={} dependency={} reachable={} token={}", name,
+                    result.subject(), result.well(), result.token());
         }
-        lastFoundToken = f.token();
-        lastFoundAt = at;
-        lastFoundWell = f.well();
-        if (reach != null) {
-            reach.onProbeResult(now, f.well(), f.age(), f.token());
+        lastProbeToken = result.token();
+        lastProbeAt = probedAt;
+        lastProbeReachable = result.well();
+        if (circuitBreaker != null) {
+            circuitBreaker.onProbeResult(now, result.well(), result.age(), result.token());
         }
-        List<String> others = new ArrayList<>(member.there());
+        List<String> others = new ArrayList<>(member.presentMembers());
         others.remove(name);
-        for (int i = 0; i < TELLS && !others.isEmpty(); i++) {
-            say(others.remove(chance.nextInt(others.size())), null, f);
+        for (int i = 0; i < PROBE_RESULT_FANOUT && !others.isEmpty(); i++) {
+            send(others.remove(random.nextInt(others.size())), null, result);
         }
     }
 
-    // ---- operators
+    // ---- operators' commands
 
-    private void order(String from, Saying.Order o, HallDoor.Back back) {
-        HallDoor.Back answer = Greetings.OPERATOR.equals(from) ? back : what -> say(from, null, what);
-        if (o.command().kind() == Command.Kind.STATUS) {
-            status(json -> answer.tell(new Saying.Told(o.number(), true, json.encode())));
+    private void handleCommand(String from, Saying.Order request, InboundLinks.ReplyChannel replyChannel) {
+        InboundLinks.ReplyChannel sender =
+                GreetingCodec.OPERATOR.equals(from) ? replyChannel : response -> send(from, null, response);
+        if (request.command().kind() == Command.Kind.STATUS) {
+            status(json -> sender.reply(new Saying.Told(request.number(), true, json.encode())));
             return;
         }
-        if (thread == null) {
-            forward(o, answer, member.leader());
+        if (consensusThread == null) {
+            forward(request, sender, member.leader());
             return;
         }
-        thread.execute(() -> {
+        consensusThread.execute(() -> {
             ClusterReplica replica = voter == null ? null : voter.replica();
             if (replica == null || !replica.leading()) {
                 VoterEndpoint leader = replica == null ? null : replica.leader();
-                loop.runOnContext(v -> forward(o, answer, leader == null ? member.leader() : leader.name()));
+                loop.runOnContext(v -> forward(request, sender, leader == null ? member.leader() : leader.name()));
                 return;
             }
-            lead(replica, o, text -> loop.runOnContext(v -> answer.tell(text)));
+            runAtLeader(replica, request.command(), (done, text) -> loop
+                    .runOnContext(v -> sender.reply(new Saying.Told(request.number(), done, text))));
         });
     }
 
-    /** On the group's thread, at the leader. */
-    private void lead(ClusterReplica replica, Saying.Order o, java.util.function.Consumer<Saying.Told> then) {
-        Command c = o.command();
-        if (c.kind() == Command.Kind.DUTIES) {
-            then.accept(new Saying.Told(o.number(), true, duties(replica).encode()));
-            return;
-        }
-        if (c.kind() == Command.Kind.OUTS) {
-            then.accept(new Saying.Told(o.number(), true, outs(replica).put("below", new JsonObject(new LinkedHashMap<>(
-                    voter.verdicts().looks()))).encode()));
-            return;
-        }
-        if (c.kind().ordinal() >= Command.Kind.RELEASE_START.ordinal()) {
-            new ReleaseOrders(replica, voter.doing()).take(c, System.currentTimeMillis(),
-                    (done, text) -> then.accept(new Saying.Told(o.number(), done, text)));
-            return;
+    /**
+     * On the leader's consensus thread.
+     *
+     * @param then receives whether the command was carried out, and the text of the response
+     */
+    private void runAtLeader(ClusterReplica replica, Command command, BiConsumer<Boolean, String> then) {
+        switch (command.kind()) {
+            case DUTIES -> then.accept(true, leases(replica).encode());
+            case OUTS -> then.accept(true, disruptions(replica).put("below",
+                    new JsonObject(new LinkedHashMap<>(voter.verdicts().looks()))).encode());
+            case RELEASE_START, RELEASE_STATUS, RELEASE_HALT, RELEASE_RESUME, RELEASE_BACK -> new RolloutCommands(
+                    replica, voter.controllerActivity()).run(command, System.currentTimeMillis(), then);
+            case DRAIN, UNDRAIN, GIVE_UP, HOLD_DRAINS, GO_ON -> runDisruptionCommand(replica, command, then);
+            case HAND_OVER -> runLeaseCommand(replica, new LeaseCommand.Transfer(command.duty(), command.text()),
+                    then);
+            case HALT -> runLeaseCommand(replica, new LeaseCommand.Suspend(command.duty(),
+                    command.text().isEmpty() ? "by an operator" : command.text()), then);
+            case RESUME -> runLeaseCommand(replica, new LeaseCommand.Resume(command.duty()), then);
+            default -> throw new IllegalStateException("the leader does not run commands of kind " + command.kind());
         }
-        if (c.kind().ordinal() > Command.Kind.OUTS.ordinal()) {
-            boolean below = c.text().startsWith(BELOW);
-            DisruptionTarget s =
-                    below ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, c.text().substring(BELOW.length()),
-                            "")
-                            : replica.disruptions().instance(c.text());
-            Disruption out = replica.state().disruptions().get(s);
-            boolean isOut = below && out != null && out.usesBudget();
-            DisruptionCommand op = switch (c.kind()) {
-                case DRAIN -> isOut ? new DisruptionCommand.KeepOut(s, "operator", "an operator")
-                        : new DisruptionCommand.Request(s, Disruption.Reason.OPERATOR, "operator", "an operator");
-                case UNDRAIN -> isOut ? new DisruptionCommand.Rejoin(s)
-                        : new DisruptionCommand.Withdraw(s, out == null ? "" : out.requestId());
-                case GIVE_UP -> new DisruptionCommand.GiveUp(s, "an operator");
-                case HOLD_DRAINS -> new DisruptionCommand.SuspendGrants(
-                        c.text().isEmpty() ? "by an operator" : c.text());
-                default -> new DisruptionCommand.SuspendGrants(null);
-            };
-            if (op instanceof DisruptionCommand.Request && !replica.state().disruptions().capacities().containsKey(s)) {
-                then.accept(new Saying.Told(o.number(), false, "there is no "
-                        + (below ? c.text() + ", or nobody has called it yet" : "member " + c.text())));
-                return;
-            }
-            replica.disruptions().propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
-                    outcome.isApplied() ? "done" : outcome.rejection())));
+    }
+
+    private static void runLeaseCommand(ClusterReplica replica, LeaseCommand command,
+            BiConsumer<Boolean, String> then) {
+        replica.leases().propose(command, outcome -> then.accept(outcome.isApplied(),
+                outcome.isApplied() ? "done" : outcome.rejection()));
+    }
+
+    private static void runDisruptionCommand(ClusterReplica replica, Command command,
+            BiConsumer<Boolean, String> then) {
+        boolean isDependency = command.text().startsWith(DEPENDENCY_PREFIX);
+        DisruptionTarget target = isDependency
+                ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY,
+                        command.text().substring(DEPENDENCY_PREFIX.length()), "")
+                : replica.disruptions().instance(command.text());
+        DisruptionCommand proposal = disruptionCommand(replica, command, target, isDependency);
+        if (proposal instanceof DisruptionCommand.Request
+                && !replica.state().disruptions().capacities().containsKey(target)) {
+            then.accept(false, isDependency
+                    ? "the leader knows no dependency endpoint " + target.name() + ", or no instance has called it yet"
+                    : "the leader knows no member " + target.name());
             return;
         }
-        LeaseCommand op = switch (c.kind()) {
-            case HAND_OVER -> new LeaseCommand.Transfer(c.duty(), c.text());
-            case HALT -> new LeaseCommand.Suspend(c.duty(), c.text().isEmpty() ? "by an operator" : c.text());
-            case RESUME -> new LeaseCommand.Resume(c.duty());
-            default -> throw new IllegalStateException("no command to the leader: " + c.kind());
+        replica.disruptions().propose(proposal, outcome -> then.accept(outcome.isApplied(),
+                outcome.isApplied() ? "done" : outcome.rejection()));
+    }
+
+    /** The texts in these commands are stored in the log. */
+    private static DisruptionCommand disruptionCommand(ClusterReplica replica, Command command,
+            DisruptionTarget target, boolean isDependency) {
+        Disruption disruption = replica.state().disruptions().get(target);
+        boolean isEjected = isDependency && disruption != null && disruption.usesBudget();
+        return switch (command.kind()) {
+            case DRAIN -> isEjected ? new DisruptionCommand.KeepOut(target, "operator", "an operator")
+                    : new DisruptionCommand.Request(target, Disruption.Reason.OPERATOR, "operator", "an operator");
+            case UNDRAIN -> isEjected ? new DisruptionCommand.Rejoin(target)
+                    : new DisruptionCommand.Withdraw(target, disruption == null ? "" : disruption.requestId());
+            case GIVE_UP -> new DisruptionCommand.GiveUp(target, "an operator");
+            case HOLD_DRAINS -> new DisruptionCommand.SuspendGrants(
+                    command.text().isEmpty() ? "by an operator" : command.text());
+            default -> new DisruptionCommand.SuspendGrants(null);
         };
-        replica.leases().propose(op, outcome -> then.accept(new Saying.Told(o.number(), outcome.isApplied(),
-                outcome.isApplied() ? "done" : outcome.rejection())));
     }
 
-    private static JsonObject outs(ClusterReplica replica) {
-        JsonArray all = new JsonArray();
-        for (Disruption o : replica.state().disruptions().disruptions()) {
-            all.add(new JsonObject().put("name", o.target().toString()).put("zone", o.target().zone())
-                    .put("why", o.reason().name()).put("phase", o.phase().name()).put("token", o.token())
-                    .put("asked", o.requestOrder()).put("by", o.requestedBy())
-                    .put("waits",
-                            o.phase() == Disruption.Phase.ASKED
-                                    ? replica.disruptions().controller().blockedReasons().get(o.target()) : null));
+    private static JsonObject disruptions(ClusterReplica replica) {
+        JsonArray disruptions = new JsonArray();
+        for (Disruption d : replica.state().disruptions().disruptions()) {
+            boolean waits = d.phase() == Disruption.Phase.ASKED;
+            disruptions.add(new JsonObject().put("name", d.target().toString()).put("zone", d.target().zone())
+                    .put("why", d.reason().name()).put("phase", d.phase().name()).put("token", d.token())
+                    .put("asked", d.requestOrder()).put("by", d.requestedBy())
+                    .put("waits", waits
+                            ? replica.disruptions().controller().blockedReasons().get(d.target()) : null));
         }
         JsonArray budgets = new JsonArray();
         for (DisruptionBudget b : replica.state().disruptions().budgets()) {
             budgets.add(new JsonObject().put("name", b.name()).put("most", b.maxUnavailable())
-                    .put("share", b.maxCapacityShare())
-                    .put("zone", b.zone())
+                    .put("share", b.maxCapacityShare()).put("zone", b.zone())
                     .put("out", replica.state().disruptions().targetsUsingBudget().stream().filter(b::covers).count()));
         }
         return new JsonObject().put("leader", replica.here().name())
                 .put("halted", replica.state().disruptions().suspendedReason())
-                .put("outs", all).put("budgets", budgets);
+                .put("outs", disruptions).put("budgets", budgets);
     }
 
-    private static JsonObject duties(ClusterReplica replica) {
-        JsonArray all = new JsonArray();
-        for (LeaseState s : replica.state().leases().leases()) {
-            all.add(new JsonObject().put("name", s.settings().name()).put("token", s.fencingToken())
-                    .put("holder", s.holder() == null ? null : s.holder().name())
-                    .put("lease", s.settings().durationSeconds()).put("halted", s.suspendedReason())
-                    .put("wanted", s.preferredMember())
-                    .put("losses", s.losses().size()));
+    private static JsonObject leases(ClusterReplica replica) {
+        JsonArray leases = new JsonArray();
+        for (LeaseState lease : replica.state().leases().leases()) {
+            leases.add(new JsonObject().put("name", lease.settings().name()).put("token", lease.fencingToken())
+                    .put("holder", lease.holder() == null ? null : lease.holder().name())
+                    .put("lease", lease.settings().durationSeconds()).put("halted", lease.suspendedReason())
+                    .put("wanted", lease.preferredMember())
+                    .put("losses", lease.losses().size()));
         }
-        return new JsonObject().put("leader", replica.here().name()).put("term", replica.term()).put("duties", all);
+        return new JsonObject().put("leader", replica.here().name()).put("term", replica.term()).put("duties", leases);
     }
 
-    /**
-     * To the leader, and its answer back; whoever knows no leader says so, and so does nobody in a minority do
-     * anything.
-     */
-    private void forward(Saying.Order o, HallDoor.Back answer, String leader) {
-        if (leader == null || leader.equals(name) || commands.size() >= MOST_COMMANDS) {
-            answer.tell(new Saying.Told(o.number(), false, "no leader is known here; nothing was done"));
+    /** Forwards a command to the leader, and the response back. Without a known leader the command is refused. */
+    private void forward(Saying.Order request, InboundLinks.ReplyChannel sender, String leader) {
+        if (leader == null || leader.equals(name) || forwardedCommands.size() >= MAX_FORWARDED_COMMANDS) {
+            sender.reply(new Saying.Told(request.number(), false, "member " + name + " knows no other member as leader"
+                    + ", or has " + MAX_FORWARDED_COMMANDS + " commands to forward; nothing was done, try again"));
             return;
         }
-        long number = ++lastCommand;
-        commands.put(number, told -> answer.tell(told instanceof Saying.Told t
-                ? new Saying.Told(o.number(), t.done(), t.text()) : told));
-        say(leader, null, new Saying.Order(number, o.command()));
-        vertx.setTimer(Math.round(COMMAND_WAIT * 1000), id -> {
-            HallDoor.Back waiting = commands.remove(number);
-            if (waiting != null) {
-                waiting.tell(new Saying.Told(number, false, "the leader " + leader
-                        + " did not answer; nobody knows whether it was done"));
+        long number = ++lastForwardedNumber;
+        forwardedCommands.put(number, message -> sender.reply(message instanceof Saying.Told response
+                ? new Saying.Told(request.number(), response.done(), response.text()) : message));
+        send(leader, null, new Saying.Order(number, request.command()));
+        vertx.setTimer(Math.round(COMMAND_TIMEOUT_SECONDS * 1000), id -> {
+            InboundLinks.ReplyChannel operator = forwardedCommands.remove(number);
+            if (operator != null) {
+                operator.reply(new Saying.Told(number, false, "the leader " + leader + " did not answer within "
+                        + COMMAND_TIMEOUT_SECONDS + " s; it is not known whether the command was carried out"));
             }
         });
     }
 
-    private void status(java.util.function.Consumer<JsonObject> then) {
+    private void status(Consumer<JsonObject> then) {
         JsonArray members = new JsonArray();
-        for (Standing s : member.membership().others()) {
-            members.add(new JsonObject().put("name", s.name()).put("state", s.state().name()).put("steady", s.steady())
-                    .put("address", s.address()).put("hall", s.hall()));
-        }
-        Standing self = member.membership().self();
-        members.add(new JsonObject().put("name", name).put("state", self.state().name()).put("steady", self.steady())
-                .put("address", self.address()).put("hall", self.hall()));
-        JsonObject holds = new JsonObject();
-        member.holder().describeLeases(clock.getAsDouble()).forEach(holds::put);
+        for (Standing standing : member.membership().others()) {
+            members.add(memberStatus(standing));
+        }
+        members.add(memberStatus(member.membership().self()));
+        JsonObject held = new JsonObject();
+        member.leaseHolder().describeLeases(clock.getAsDouble()).forEach(held::put);
         JsonObject json = new JsonObject().put("member", name).put("phase", phase.get().name())
-                .put("unwell", member.membership().health()).put("members", members).put("holds", holds)
+                .put("unwell", member.membership().health()).put("members", members).put("holds", held)
                 .put("traffic", traffic.totals().json());
-        if (use != null) {
-            json.put("below", new JsonObject(new LinkedHashMap<>(use.told(clock.getAsDouble()))));
+        if (dependencyPool != null) {
+            json.put("below", new JsonObject(new LinkedHashMap<>(dependencyPool.told(clock.getAsDouble()))));
         }
-        if (thread == null) {
+        if (consensusThread == null) {
             then.accept(json.put("leader", member.leader()));
             return;
         }
-        thread.execute(() -> {
-            ClusterReplica replica = voter == null ? null : voter.replica();
-            JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
-            if (replica != null) {
-                JsonArray voting = new JsonArray();
-                replica.voting().forEach(e -> voting.add(e.toString()));
-                group.put("here", replica.here().toString()).put("voters", voting).put("term", replica.term())
-                        .put("leading", replica.leading()).put("committed", replica.commitIndex())
-                        .put("leader", replica.leader() == null ? null : replica.leader().name());
-            }
+        consensusThread.execute(() -> {
+            JsonObject group = groupStatus();
             loop.runOnContext(v -> then.accept(json.put("group", group)));
         });
     }
 
-    private final class World implements MemberNode.World {
+    private static JsonObject memberStatus(Standing standing) {
+        return new JsonObject().put("name", standing.name()).put("state", standing.state().name())
+                .put("steady", standing.steady()).put("address", standing.address()).put("hall", standing.hall());
+    }
+
+    /** On the consensus thread. */
+    private JsonObject groupStatus() {
+        JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
+        ClusterReplica replica = voter == null ? null : voter.replica();
+        if (replica != null) {
+            JsonArray voters = new JsonArray();
+            replica.voting().forEach(endpoint -> voters.add(endpoint.toString()));
+            group.put("here", replica.here().toString()).put("voters", voters).put("term", replica.term())
+                    .put("leading", replica.leading()).put("committed", replica.commitIndex())
+                    .put("leader", replica.leader() == null ? null : replica.leader().name());
+        }
+        return group;
+    }
+
+    /** Carries out on this process's sockets and tasks what the member decides. */
+    private final class MemberWorld implements MemberNode.World {
         @Override
-        public void say(String to, String address, Saying what) {
-            HallNode.this.say(to, address, what);
+        public void say(String to, String address, Saying message) {
+            send(to, address, message);
         }
 
         @Override
-        public void start(String duty, long token) {
+        public void start(String leaseName, long token) {
             counters.add(Count.LEASES_ACQUIRED);
-            LeasedTask work = works.get(duty);
-            if (work == null) {
-                member.stopped(duty, token, "this member's settings have no such duty");
+            LeasedTask task = tasks.get(leaseName);
+            if (task == null) {
+                member.stopped(leaseName, token, "this member's settings have no such duty"); // sent to the leader
                 return;
             }
-            work.start(token, () -> member.token(duty).stream().boxed().filter(t -> t == token)
-                    .mapToLong(Long::longValue).findFirst(), why -> member.stopped(duty, token, why));
+            task.start(token, () -> member.token(leaseName).stream().boxed().filter(t -> t == token)
+                    .mapToLong(Long::longValue).findFirst(), failure -> member.stopped(leaseName, token, failure));
         }
 
         @Override
-        public void stop(String duty, long token, double within) {
+        public void stop(String leaseName, long token, double withinSeconds) {
             counters.add(Count.LEASES_RELEASED);
-            works.get(duty).stop(within, () -> loop.runOnContext(v -> member.stopped(duty, token, null)));
+            tasks.get(leaseName).stop(withinSeconds,
+                    () -> loop.runOnContext(v -> member.stopped(leaseName, token, null)));
         }
 
         @Override
         public void drain(long token, String version) {
             if (version.isEmpty() || settings.nextVersionFile() == null) {
-                drain.accept(settings.shutdownNoticeSeconds());
+                onShutdownApproved.accept(settings.shutdownNoticeSeconds());
                 return;
             }
-            // Written before it goes, whole or not at all: whoever starts it again reads it then.
+            // Written atomically before the shutdown starts: whoever restarts the instance reads it.
             vertx.executeBlocking(() -> {
-                Path half =
+                Path temporary =
                         settings.nextVersionFile().resolveSibling(settings.nextVersionFile().getFileName() + ".new");
-                Files.writeString(half, version + "\n");
-                return Files.move(half, settings.nextVersionFile(), StandardCopyOption.ATOMIC_MOVE,
+                Files.writeString(temporary, version + "\n");
+                return Files.move(temporary, settings.nextVersionFile(), StandardCopyOption.ATOMIC_MOVE,
                         StandardCopyOption.REPLACE_EXISTING);
-            }).onFailure(e -> LOG.error("{} can't be told to come back as {}: {}", name, version, e.toString()))
-                    .onComplete(done -> drain.accept(settings.shutdownNoticeSeconds()));
+            }).onFailure(e -> LOG.error("next version not written member={} version={} file={} error={}", name, version,
+                    settings.nextVersionFile(), e.toString()))
+                    .onComplete(written -> onShutdownApproved.accept(settings.shutdownNoticeSeconds()));
         }
 
         @Override
-        public void conducted(Saying.Conducted what) {
-            if (conductor != null) {
-                conductor.shown(what);
+        public void conducted(Saying.Conducted response) {
+            if (rolloutController != null) {
+                rolloutController.shown(response);
             }
         }
 
         @Override
-        public void changed(Standing now, Standing before) {
+        public void standingChanged(Standing now, Standing before) {
             if (now.state() == Standing.State.SUSPECTED) {
                 counters.add(Count.MEMBERS_SUSPECTED);
             } else if (now.state() == Standing.State.GONE) {
--- /dev/null
+++ b/src/main/java/topazladder/net/hall/PoolEndpointChoice.java
@@ -0,0 +1,60 @@
+package topazladder.net.hall;
+
+import java.util.List;
+import java.util.function.DoubleSupplier;
+import topazladder.below.How;
+import topazladder.below.Use;
+import topazladder.config.ClusterSettings.DependencyPool;
+import topazladder.config.ServiceSettings.Address;
+import topazladder.net.DependencyEndpointChoice;
+
+/**
+ * Chooses among the dependency endpoints that the settings name, less those that the cluster or this instance has
+ * ejected, and feeds the outcomes of calls back into outlier detection.
+ */
+final class PoolEndpointChoice implements DependencyEndpointChoice {
+    private final List<Address> addresses;
+    private final Use pool;
+    private final DoubleSupplier clock;
+    private final Runnable onCallEnded;
+
+    /** @param onCallEnded is run after the outcome of each call was recorded */
+    PoolEndpointChoice(DependencyPool settings, Use pool, DoubleSupplier clock, Runnable onCallEnded) {
+        addresses = settings.servers().stream().map(DependencyPool.Server::address).toList();
+        this.pool = pool;
+        this.clock = clock;
+        this.onCallEnded = onCallEnded;
+    }
+
+    @Override
+    public int pick(int excluded) {
+        return pool.pick(clock.getAsDouble(), excluded);
+    }
+
+    @Override
+    public Address address(int endpoint) {
+        return addresses.get(endpoint);
+    }
+
+    @Override
+    public boolean isInUse(int endpoint) {
+        Use.State state = pool.state(pool.terms().servers().get(endpoint));
+        return state != Use.State.OUT && state != Use.State.OWN_OUT;
+    }
+
+    @Override
+    public void callEnded(int endpoint, How how) {
+        pool.ended(clock.getAsDouble(), endpoint, how);
+        onCallEnded.run();
+    }
+
+    @Override
+    public void callAbandoned(int endpoint) {
+        pool.dropped(endpoint);
+    }
+
+    @Override
+    public boolean isRetryPermitted() {
+        return pool.mayRepeat();
+    }
+}
--- /dev/null
+++ b/src/main/java/topazladder/net/hall/RolloutControllerTask.java
@@ -0,0 +1,22 @@
+package topazladder.net.hall;
+
+import java.util.OptionalLong;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import topazladder.hall.ConductorNode;
+import topazladder.lease.LeasedTask;
+
+/** Runs the rollout controller while this member holds its lease. */
+record RolloutControllerTask(ConductorNode controller) implements LeasedTask {
+
+    @Override
+    public void start(long fencingToken, Supplier<OptionalLong> permission, Consumer<String> onFailure) {
+        controller.start(fencingToken, permission);
+    }
+
+    @Override
+    public void stop(double withinSeconds, Runnable onStopped) {
+        controller.stop();
+        onStopped.run();
+    }
+}
--- a/src/test/java/topazladder/hall/MemberNodeTest.java
+++ b/src/test/java/topazladder/hall/MemberNodeTest.java
@@ -12,41 +12,45 @@
 import topazladder.membership.Membership;
 import topazladder.membership.Standing;
 
-/** A member by itself, with a clock in hand and what it says written down. */
+/** One member with a manual clock, whose messages are recorded. */
 class MemberNodeTest {
-    private record Said(String to, String address, Saying what) {
+    private record Sent(String to, String address, Saying message) {
+
+        boolean isPoll() {
+            return message instanceof Saying.Asking;
+        }
     }
 
-    private final List<Said> said = new ArrayList<>();
+    private final List<Sent> sent = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
     private double now = 1;
     private final MemberNode member = new MemberNode(new HallTerms("c1", "127.0.0.1:9", "", List.of("127.0.0.1:1"),
             List.of("n0", "n1", "n2"), 0.15, List.of(), false, new Membership.Terms(2, 3, 3600), List.of(), 3),
-            new LeaseHolder(new MemberIdentity("c1", 7)), (in, what) -> timers.add(what), () -> now,
+            new LeaseHolder(new MemberIdentity("c1", 7)), (delaySeconds, task) -> timers.add(task), () -> now,
             new SplittableRandom(1),
             new MemberNode.World() {
                 @Override
-                public void say(String to, String address, Saying what) {
-                    said.add(new Said(to, address, what));
+                public void say(String to, String address, Saying message) {
+                    sent.add(new Sent(to, address, message));
                 }
 
                 @Override
-                public void start(String duty, long token) {
-                    throw new AssertionError("it holds none");
+                public void start(String leaseName, long token) {
+                    throw new AssertionError("the member holds no lease, but starts " + leaseName);
                 }
 
                 @Override
-                public void stop(String duty, long token, double within) {
-                    throw new AssertionError("it holds none");
+                public void stop(String leaseName, long token, double withinSeconds) {
+                    throw new AssertionError("the member holds no lease, but stops " + leaseName);
                 }
             });
 
-    private void knows(String name, String address) {
+    private void learnOf(String name, String address) {
         member.heard(name, new Saying.Membership(new Gossip.Ping(1, List.of(new Standing(name, address, "", 1, 0,
                 Standing.State.ALIVE, true, "")))));
     }
 
-    private void pass(double seconds) {
+    private void advance(double seconds) {
         for (double end = now + seconds; now < end; now += 0.1) {
             List<Runnable> due = List.copyOf(timers);
             timers.clear();
@@ -54,61 +58,65 @@
         }
     }
 
-    /** Of 500 members on sockets one or two asked nobody for minutes: the leader was told to them by its name alone. */
+    /**
+     * In a cluster of 500 members one or two reached no voter for minutes: they were told the leader by name alone, and
+     * gossip had not brought its address yet.
+     */
     @Test
-    void aLeaderThatItWasNotToldOfIsAskedWhereTheVoterSaysThatItHears() {
+    void pollsALeaderUnknownToGossipAtTheAddressInTheHint() {
         member.open();
-        knows("n1", "127.0.0.1:1");
+        learnOf("n1", "127.0.0.1:1");
         member.well(true);
-        pass(5);
-        said.clear();
+        advance(5);
+        sent.clear();
         member.heard("n1", new Saying.LeaderIs("n0", "127.0.0.1:4"));
-        pass(1);
-        assertThat(said).filteredOn(s -> s.what() instanceof Saying.Asking).isNotEmpty()
+        advance(1);
+        assertThat(sent).filteredOn(Sent::isPoll).isNotEmpty()
                 .allMatch(s -> s.to().equals("n0") && "127.0.0.1:4".equals(s.address()));
     }
 
-    /** Seen as "leader null, there 189, 55 asks, 16 open" of one of 500: no voter's address was known to it. */
+    /**
+     * In a cluster of 500 members one saw 189 members, knew no voter's address, and lost all its polls (55 sent, 16
+     * open). It has to poll a seed instead, which hints at the leader.
+     */
     @Test
-    void oneThatKnowsNoVotersAddressAsksWhoeverTheSettingsName() {
+    void pollsASeedWhereNoVotersAddressIsKnown() {
         member.open();
-        knows("c2", "127.0.0.1:22");
+        learnOf("c2", "127.0.0.1:22");
         member.well(true);
-        said.clear();
-        pass(5);
-        assertThat(said).filteredOn(s -> s.what() instanceof Saying.Asking).isNotEmpty()
+        sent.clear();
+        advance(5);
+        assertThat(sent).filteredOn(Sent::isPoll).isNotEmpty()
                 .allMatch(s -> s.to().isEmpty() && "127.0.0.1:1".equals(s.address()));
-        // That one does not vote, and passes on whom it asks itself.
-        said.clear();
+        // The seed does not vote, and answers with a hint.
+        sent.clear();
         member.heard("c3", new Saying.LeaderIs("n0", "127.0.0.1:4"));
-        pass(3);
-        assertThat(said).filteredOn(s -> s.what() instanceof Saying.Asking).extracting(Said::address)
-                .contains("127.0.0.1:4");
+        advance(3);
+        assertThat(sent).filteredOn(Sent::isPoll).extracting(Sent::address).contains("127.0.0.1:4");
         member.heard("n0", new Saying.Nudge());
         assertThat(member.elsewhere()).isEqualTo(new Saying.LeaderIs("n0", "127.0.0.1:4"));
     }
 
     @Test
-    void whereAVotersWordLeadsNowhereAnotherVoterIsAsked() {
+    void triesTheOtherVotersWhereTheHintedLeaderNeverAnswers() {
         member.open();
         for (int i = 0; i < 3; i++) {
-            knows("n" + i, "127.0.0.1:" + i);
+            learnOf("n" + i, "127.0.0.1:" + i);
         }
         member.well(true);
-        pass(3);
-        said.clear();
-        // All say that one leads who never answers; still each of them is asked again.
+        advance(3);
+        sent.clear();
+        // Every hint names n9, which does not answer.
         for (int i = 0; i < 20; i++) {
             member.heard("n0", new Saying.LeaderIs("n9", "127.0.0.1:99"));
-            pass(2);
+            advance(2);
         }
-        assertThat(said.stream().filter(s -> s.what() instanceof Saying.Asking).map(Said::to).distinct())
-                .contains("n0", "n1", "n2", "n9");
+        assertThat(sent.stream().filter(Sent::isPoll).map(Sent::to).distinct()).contains("n0", "n1", "n2", "n9");
     }
 
     @Test
-    void aVoterSaysWhereTheLeaderHearsThatItNames() {
-        knows("n2", "127.0.0.1:22");
+    void addsTheLeadersAddressToAHintWhereItIsKnown() {
+        learnOf("n2", "127.0.0.1:22");
         assertThat(member.located(new Saying.LeaderIs("n2"))).isEqualTo(new Saying.LeaderIs("n2", "127.0.0.1:22"));
         assertThat(member.located(new Saying.LeaderIs("n0"))).isEqualTo(new Saying.LeaderIs("n0"));
         assertThat(member.located(new Saying.Nudge())).isEqualTo(new Saying.Nudge());
--- a/src/test/java/topazladder/rig/HallRigIT.java
+++ b/src/test/java/topazladder/rig/HallRigIT.java
@@ -133,7 +133,7 @@
             rig.beginLoad();
             Thread.sleep(1000);
             rig.index(false);
-            while (rig.lines("index is not reached by token") < 4) {
+            while (rig.lines("dependency=index reachable=false token=") < 4) {
                 Thread.sleep(50);
             }
             // By now each has had its own refusals, and waits for the prober's word.
@@ -149,7 +149,8 @@
                 Thread.sleep(50);
             }
             assertThat(OnLoop.get(rig.vertx(), () -> spoke.get(0))).as("the first that came made a call").isFalse();
-            assertThat(rig.lines("index is reached by token")).as("members that were told").isGreaterThanOrEqualTo(4);
+            assertThat(rig.lines("dependency=index reachable=true token=")).as("members that were told")
+                    .isGreaterThanOrEqualTo(4);
         }
     }
 
