--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -167,7 +167,7 @@
                 (long) Math.ceil(seconds / settings.clockRate() * 1000)), id -> task.run());
         memberSettings = memberSettings(name, extensionSettings);
         member = new MemberNode(memberSettings, new LeaseHolder(identity), clockTimers, clock, random.split(),
-                new MemberWorld());
+                new MemberEnvironment());
         outboundLinks = new OutboundLinks(vertx, new GreetingCodec.Identity(name, incarnation), keys,
                 (from, message) -> {}, traffic);
         inboundLinks =
@@ -246,7 +246,7 @@
                 new VoterNode.World() {
                     @Override
                     public void say(String to, Saying message) {
-                        loop.runOnContext(v -> send(to, null, member.located(message)));
+                        loop.runOnContext(v -> HallNode.this.send(to, null, member.located(message)));
                     }
 
                     @Override
@@ -679,10 +679,10 @@
     }
 
     /** Carries out on this process's sockets and tasks what the member decides. */
-    private final class MemberWorld implements MemberNode.World {
+    private final class MemberEnvironment implements MemberNode.World {
         @Override
         public void say(String to, String address, Saying message) {
-            send(to, address, message);
+            HallNode.this.send(to, address, message);
         }
 
         @Override
