--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -259,9 +259,9 @@
 
     private LeasedTask task(ClusterSettings.Lease lease, MemberIdentity identity,
             Function<ClusterSettings.Consume, LeasedTask> queueConsumer, Supplier<Address> dependencyAddress) {
-        if (lease.task() instanceof ClusterSettings.Touch touch) {
+        if (lease.task()instanceof ClusterSettings.Touch touch) {
             return new TouchTask(vertx, lease.name(), identity.toString(), touch);
-        } else if (lease.task() instanceof ClusterSettings.Probe probe) {
+        } else if (lease.task()instanceof ClusterSettings.Probe probe) {
             return new ProbeTask(vertx, dependencyAddress, probe,
                     (reachable, token) -> probeResult(new Saying.Found("index", reachable, 0, token)));
         }
