--- a/src/main/java/topazladder/hall/MemberNode.java
+++ b/src/main/java/topazladder/hall/MemberNode.java
@@ -154,7 +154,8 @@
     /** Repeats the notice until the member closes. Best effort: unheard, the member is detected as lost later. */
     private void sendLeaveNotice() {
         if (!shutdownApproved && !closed && leaderLocator.target() != null) {
-            sendToLeader(new Saying.Leaving(here(), "a signal"));
+            environment.say(leaderLocator.target(), addressOf(leaderLocator.target()),
+                    new Saying.Leaving(here(), "a signal"));
             timers.schedule(LEAVE_NOTICE_INTERVAL_SECONDS, this::sendLeaveNotice);
         }
     }
@@ -195,7 +196,15 @@
             lastResponseAt = now;
             applyLeaseSteps(leaseHolder.handleResponse(now, a.answer()));
         } else if (message instanceof Saying.LeaderIs hint) {
-            followLeaderHint(now, from, hint);
+            // Two voters that each name the other as leader must not be polled in turn as fast as the link allows.
+            if (!hint.address().isEmpty()) {
+                lastLocatedHint = hint;
+            }
+            if (leaderLocator.leaderHinted(from, hint.name())
+                    && now - lastHintFollowedAt > EARLY_POLL_INTERVAL_SECONDS) {
+                lastHintFollowedAt = now;
+                applyLeaseSteps(leaseHolder.wakeUp(now));
+            }
         } else if (message instanceof Saying.MayGo m && !leaving && !shutdownApproved) {
             environment.say(from, addressOf(from), new Saying.Going(here(), m.token()));
         } else if (message instanceof Saying.Go g && !leaving && !shutdownApproved) {
@@ -216,18 +225,6 @@
         scheduleTick();
     }
 
-    private void followLeaderHint(double now, String from, Saying.LeaderIs hint) {
-        if (!hint.address().isEmpty()) {
-            lastLocatedHint = hint;
-        }
-        // Two voters that each name the other as leader must not be polled in turn as fast as the link allows.
-        if (leaderLocator.leaderHinted(from, hint.name())
-                && now - lastHintFollowedAt > EARLY_POLL_INTERVAL_SECONDS) {
-            lastHintFollowedAt = now;
-            applyLeaseSteps(leaseHolder.wakeUp(now));
-        }
-    }
-
     private void updateEligibility() {
         double now = clock.getAsDouble();
         boolean steady = healthy && now - healthChangedAt >= STEADY_AFTER_SECONDS
@@ -276,7 +273,20 @@
         }
         for (LeaseHolder.Step step : steps) {
             if (step instanceof LeaseHolder.Step.Send s) {
-                poll(s);
+                if (s.otherVoter()) {
+                    leaderLocator.tryNextVoter();
+                }
+                String target = leaderLocator.target();
+                Saying request =
+                        new Saying.Asking(s.request(), settings.address(), settings.messageSchema(), loadReport,
+                                dependencyPool == null ? List.of() : dependencyPool.reports(clock.getAsDouble()));
+                if (addressOf(target) == null && !settings.seeds().isEmpty()) {
+                    // Where the first messages to the voters were lost, a large cluster spreads their addresses only
+                    // slowly; any seed passes on a hint of who leads.
+                    environment.say("", settings.seeds().get(seedPolls++ % settings.seeds().size()), request);
+                } else {
+                    environment.say(target, addressOf(target), request);
+                }
             } else if (step instanceof LeaseHolder.Step.Start s) {
                 LOG.info("lease acquired holder={} lease={} token={}", here(), s.leaseName(), s.fencingToken());
                 environment.start(s.leaseName(), s.fencingToken());
@@ -288,22 +298,6 @@
         }
     }
 
-    private void poll(LeaseHolder.Step.Send step) {
-        if (step.otherVoter()) {
-            leaderLocator.tryNextVoter();
-        }
-        String target = leaderLocator.target();
-        Saying request = new Saying.Asking(step.request(), settings.address(), settings.messageSchema(), loadReport,
-                dependencyPool == null ? List.of() : dependencyPool.reports(clock.getAsDouble()));
-        if (addressOf(target) == null && !settings.seeds().isEmpty()) {
-            // Where the first messages to the voters were lost, a large cluster spreads their addresses only slowly;
-            // any seed passes on a hint of who leads.
-            environment.say("", settings.seeds().get(seedPolls++ % settings.seeds().size()), request);
-        } else {
-            environment.say(target, addressOf(target), request);
-        }
-    }
-
     /** Who leads the group as far as this member was told; null where nobody has answered yet. */
     public String leader() {
         return leaderLocator.leader();
@@ -347,7 +341,12 @@
     public Map<DisruptionTarget, DisruptionController.Observation> looks() {
         Map<DisruptionTarget, DisruptionController.Observation> observations = new HashMap<>();
         for (Standing other : membership.others()) {
-            observations.put(target(other), new DisruptionController.Observation(health(other), other.life()));
+            observations.put(target(other), new DisruptionController.Observation(
+                    !other.there() ? DisruptionController.Health.GONE
+                            : other.state() == Standing.State.SUSPECTED ? DisruptionController.Health.SUSPECTED
+                                    : other.steady() ? DisruptionController.Health.STEADY
+                                            : DisruptionController.Health.UNSTEADY,
+                    other.life()));
         }
         Standing self = membership.self();
         observations.put(target(self), new DisruptionController.Observation(
@@ -356,25 +355,14 @@
         return observations;
     }
 
-    private static DisruptionController.Health health(Standing other) {
-        if (!other.there()) {
-            return DisruptionController.Health.GONE;
-        } else if (other.state() == Standing.State.SUSPECTED) {
-            return DisruptionController.Health.SUSPECTED;
-        }
-        return other.steady() ? DisruptionController.Health.STEADY : DisruptionController.Health.UNSTEADY;
-    }
-
     private static DisruptionTarget target(Standing member) {
         return new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, member.name(), member.hall());
     }
 
     private String addressOf(String name) {
         Standing member = membership.other(name);
-        if (member != null) {
-            return member.address();
-        }
-        return lastLocatedHint != null && lastLocatedHint.name().equals(name) ? lastLocatedHint.address() : null;
+        return member != null ? member.address()
+                : lastLocatedHint != null && lastLocatedHint.name().equals(name) ? lastLocatedHint.address() : null;
     }
 
     /** The response to a member that has polled this one although it does not vote. */
@@ -387,11 +375,9 @@
      * alone. Any other message is returned as it is.
      */
     public Saying located(Saying message) {
-        if (!(message instanceof Saying.LeaderIs hint) || !hint.address().isEmpty()) {
-            return message;
-        }
-        String address = addressOf(hint.name());
-        return address == null ? message : new Saying.LeaderIs(hint.name(), address);
+        String address = message instanceof Saying.LeaderIs hint && hint.address().isEmpty() ? addressOf(hint.name())
+                : null;
+        return address == null ? message : new Saying.LeaderIs(((Saying.LeaderIs) message).name(), address);
     }
 
     /** Names of all members that are alive or suspected, this one first. */
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -101,13 +101,8 @@
                                 LOST_AFTER_HEARTBEATS * settings.heartbeatSeconds())
                         : disruptionController,
                 this.verdicts);
-        replicaSettings = replicaSettings(settings);
-    }
-
-    /** The heartbeat is that of the start: a change of it needs a restart. */
-    private ClusterReplica.Settings replicaSettings(HallTerms latest) {
-        return new ClusterReplica.Settings(latest.voters(), settings.heartbeatSeconds(), latest.leases(),
-                latest.budgets());
+        replicaSettings = new ClusterReplica.Settings(settings.voters(), settings.heartbeatSeconds(), settings.leases(),
+                settings.budgets());
     }
 
     public Phase phase() {
@@ -143,47 +138,45 @@
         if (replica != null) {
             replica.close(() -> {});
         }
-        replica = new ClusterReplica(store, replicaSettings, timers, clock, random, new ReplicaEnvironment(), domains);
+        replica = new ClusterReplica(store, replicaSettings, timers, clock, random,
+                new ClusterReplica.Environment() {
+                    @Override
+                    public void send(VoterEndpoint to, RaftMessage message) {
+                        environment.say(to.name(), new Saying.Consensus(message));
+                    }
+
+                    @Override
+                    public void reply(MemberIdentity to, LeaseResponse response) {
+                        environment.say(to.name(), new Saying.Answering(response));
+                        if (verdicts.watches(to.name())) {
+                            environment.say(to.name(),
+                                    new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to.name())));
+                        }
+                    }
+
+                    @Override
+                    public void wakeUp(MemberIdentity to) {
+                        environment.say(to.name(), new Saying.Nudge());
+                    }
+
+                    @Override
+                    public void mayGo(String member, long token) {
+                        environment.say(member, new Saying.MayGo(token));
+                    }
+
+                    @Override
+                    public void go(String member, long token, String version) {
+                        environment.say(member, new Saying.Go(token, version));
+                    }
+
+                    @Override
+                    public void failed(Throwable cause) {
+                        VoterNode.this.failed(cause);
+                    }
+                }, domains);
         replica.start();
     }
 
-    /** Turns what the replica sends into messages between members. */
-    private final class ReplicaEnvironment implements ClusterReplica.Environment {
-        @Override
-        public void send(VoterEndpoint to, RaftMessage message) {
-            environment.say(to.name(), new Saying.Consensus(message));
-        }
-
-        @Override
-        public void reply(MemberIdentity to, LeaseResponse response) {
-            environment.say(to.name(), new Saying.Answering(response));
-            if (verdicts.watches(to.name())) {
-                environment.say(to.name(),
-                        new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to.name())));
-            }
-        }
-
-        @Override
-        public void wakeUp(MemberIdentity to) {
-            environment.say(to.name(), new Saying.Nudge());
-        }
-
-        @Override
-        public void mayGo(String member, long token) {
-            environment.say(member, new Saying.MayGo(token));
-        }
-
-        @Override
-        public void go(String member, long token, String version) {
-            environment.say(member, new Saying.Go(token, version));
-        }
-
-        @Override
-        public void failed(Throwable cause) {
-            VoterNode.this.failed(cause);
-        }
-    }
-
     /**
      * Opens the replica again after a delay. What was flushed is still valid, as nothing was acknowledged before it was
      * flushed, so the new replica may start from it.
@@ -206,9 +199,14 @@
         });
     }
 
-    /** Takes the voters, leases and budgets of settings that were read anew. */
+    /**
+     * Takes the voters, leases and budgets of settings that were read anew. The heartbeat stays that of the start: a
+     * change of it needs a restart.
+     */
     public void replace(HallTerms newSettings) {
-        replicaSettings = replicaSettings(newSettings);
+        replicaSettings =
+                new ClusterReplica.Settings(newSettings.voters(), settings.heartbeatSeconds(), newSettings.leases(),
+                        newSettings.budgets());
         if (replica != null) {
             replica.replaceSettings(replicaSettings);
         }
@@ -258,18 +256,14 @@
         } else if (message instanceof Saying.Leaving l) {
             replica.disruptions().leaving(l.from(), l.by());
         } else if (message instanceof Saying.AsksToVote v) {
-            handleJoinRequest(from, v.who());
-        }
-    }
-
-    private void handleJoinRequest(String from, VoterEndpoint endpoint) {
-        // Any voter may confirm that the endpoint was added, since the leader that added it may be gone by now.
-        if (replica.voting().contains(endpoint)) {
-            VoterStore.Founding founding = store.founding();
-            environment.say(from,
-                    new Saying.TakenIn(endpoint, founding.initialVoters(), founding.groupGeneration()));
-        } else {
-            replica.joinRequested(endpoint);
+            // Any voter may confirm that the endpoint was added, since the leader that added it may be gone by now.
+            if (replica.voting().contains(v.who())) {
+                VoterStore.Founding founding = store.founding();
+                environment.say(from,
+                        new Saying.TakenIn(v.who(), founding.initialVoters(), founding.groupGeneration()));
+            } else {
+                replica.joinRequested(v.who());
+            }
         }
     }
 
--- a/src/main/java/topazladder/net/hall/ConsensusThread.java
+++ b/src/main/java/topazladder/net/hall/ConsensusThread.java
@@ -14,8 +14,6 @@
 final class ConsensusThread implements Scheduler {
     private static final Logger LOG = LoggerFactory.getLogger(ConsensusThread.class);
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Performance measurements find the thread by this prefix. */
-    private static final String NAME_PREFIX = "group-";
 
     private final ScheduledThreadPoolExecutor executor;
     private final double clockRate;
@@ -29,7 +27,7 @@
     ConsensusThread(String memberName, double clockRate) {
         this.clockRate = clockRate;
         executor = new ScheduledThreadPoolExecutor(1, loop -> {
-            Thread created = new Thread(loop, NAME_PREFIX + memberName);
+            Thread created = new Thread(loop, "group-" + memberName);
             created.setDaemon(true);
             return created;
         });
--- a/src/main/java/topazladder/net/hall/Founding.java
+++ b/src/main/java/topazladder/net/hall/Founding.java
@@ -25,12 +25,10 @@
      * @return what was done, in words
      */
     public static String found(String name, ClusterSettings settings, long formed) {
-        if (!settings.voters().contains(name)) {
-            throw new InvalidSettingsException(
-                    "hall.voters should name " + name + ", whose store is to be created: " + settings.voters());
-        }
-        if (settings.dataFolder() == null) {
-            throw new InvalidSettingsException("hall.folder is missing; the voter " + name + " keeps its store there");
+        if (!settings.voters().contains(name) || settings.dataFolder() == null) {
+            throw new InvalidSettingsException("no voter store can be created for " + name
+                    + ": hall.voters should name it, and hall.folder should be given; hall.voters="
+                    + settings.voters() + " hall.folder=" + settings.dataFolder());
         }
         try (SqliteVoterStore store = new SqliteVoterStore(settings.dataFolder())) {
             VoterStore.Founding existing = store.founding();
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -15,8 +15,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import java.util.function.BiConsumer;
-import java.util.function.Consumer;
 import java.util.function.DoubleConsumer;
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
@@ -175,7 +173,10 @@
         for (ClusterSettings.Lease lease : settings.leases()) {
             tasks.put(lease.name(), task(lease, identity, queueConsumer, dependencyAddress));
         }
-        dependencyPool = dependencyPool();
+        dependencyPool = settings.dependencyPool() == null ? null
+                : new Use(new Use.Terms(settings.dependencyPool().servers().stream()
+                        .map(ClusterSettings.DependencyPool.Server::name).toList(),
+                        settings.dependencyPool().maxLocallyEjectedShare()), random.split());
         member.below(dependencyPool);
         if (memberSettings.isVoter()) {
             if (settings.dataFolder() == null) {
@@ -188,13 +189,6 @@
         }
     }
 
-    private Use dependencyPool() {
-        ClusterSettings.DependencyPool pool = settings.dependencyPool();
-        return pool == null ? null
-                : new Use(new Use.Terms(pool.servers().stream().map(ClusterSettings.DependencyPool.Server::name)
-                        .toList(), pool.maxLocallyEjectedShare()), random.split());
-    }
-
     /**
      * Used heap. It includes garbage; what is live is closest to the least value since the heap was last nearly full.
      */
@@ -207,7 +201,7 @@
         return System.nanoTime() / 1e9;
     }
 
-    private static HallTerms memberSettings(String name, ExtensionSettings extensionSettings) {
+    static HallTerms memberSettings(String name, ExtensionSettings extensionSettings) {
         ClusterSettings cluster = extensionSettings.cluster();
         return new HallTerms(name, hostPort(cluster.advertisedAddress()), extensionSettings.zone(),
                 cluster.seeds().stream().map(HallNode::hostPort).toList(),
@@ -275,7 +269,7 @@
     }
 
     /** On the consensus thread; does nothing while the voter's store is not open. */
-    private void withVoter(Consumer<VoterNode> action) {
+    private void withVoter(java.util.function.Consumer<VoterNode> action) {
         if (voter != null) {
             action.accept(voter);
         }
@@ -328,27 +322,23 @@
     @Override
     public void reload(ExtensionSettings reloaded) {
         if (reloaded.cluster() == null) {
-            logNeedsRestart("hall");
+            LOG.warn("settings change not fully applied reason=needs-restart member={} setting=hall", name);
             return;
         }
         routes = reloaded.cluster().routes();
         if (!reloaded.cluster().leases().equals(settings.leases())) {
-            logNeedsRestart("hall.duties");
+            LOG.warn("settings change not fully applied reason=needs-restart member={} setting=hall.duties", name);
         }
         HallTerms newSettings = memberSettings(name, reloaded);
         member.replace(newSettings);
         if (consensusThread == null && newSettings.isVoter()) {
-            logNeedsRestart("hall.voters");
+            LOG.warn("settings change not fully applied reason=needs-restart member={} setting=hall.voters", name);
         }
         if (consensusThread != null) {
             consensusThread.execute(() -> withVoter(v -> v.replace(newSettings)));
         }
     }
 
-    private void logNeedsRestart(String setting) {
-        LOG.warn("settings change not fully applied reason=needs-restart member={} setting={}", name, setting);
-    }
-
     @Override
     public void startShutdown() {
         leaving = true;
@@ -440,7 +430,10 @@
         if (message instanceof Saying.Asking poll && !poll.address().isEmpty()) {
             pollerAddresses.put(from, poll.address());
         }
-        if (isForVoter(message)) {
+        if (message instanceof Saying.Consensus || message instanceof Saying.Asking
+                || message instanceof Saying.AsksToVote || message instanceof Saying.TakenIn
+                || message instanceof Saying.Going || message instanceof Saying.Leaving
+                || message instanceof Saying.Conduct) {
             if (consensusThread != null) {
                 consensusThread.execute(() -> withVoter(v -> v.heard(from, message)));
             } else if (message instanceof Saying.Asking) {
@@ -460,13 +453,6 @@
         }
     }
 
-    private static boolean isForVoter(Saying message) {
-        return message instanceof Saying.Consensus || message instanceof Saying.Asking
-                || message instanceof Saying.AsksToVote || message instanceof Saying.TakenIn
-                || message instanceof Saying.Going || message instanceof Saying.Leaving
-                || message instanceof Saying.Conduct;
-    }
-
     /** Passes a new result on to a few members, so that it reaches all without one member sending to each. */
     private void probeResult(Saying.Found result) {
         double now = clock.getAsDouble();
@@ -513,83 +499,79 @@
                 loop.runOnContext(v -> forward(request, sender, leader == null ? member.leader() : leader.name()));
                 return;
             }
-            runAtLeader(replica, request.command(), (done, text) -> loop
-                    .runOnContext(v -> sender.reply(new Saying.Told(request.number(), done, text))));
+            runAtLeader(replica, request, response -> loop.runOnContext(v -> sender.reply(response)));
         });
     }
 
     /**
-     * On the leader's consensus thread.
+     * On the leader's consensus thread. The texts in the commands that it proposes are stored in the log.
      *
-     * @param then receives whether the command was carried out, and the text of the response
+     * @param then receives the response
      */
-    private void runAtLeader(ClusterReplica replica, Command command, BiConsumer<Boolean, String> then) {
-        switch (command.kind()) {
-            case DUTIES -> then.accept(true, leases(replica).encode());
-            case OUTS -> then.accept(true, disruptions(replica).put("below",
-                    new JsonObject(new LinkedHashMap<>(voter.verdicts().looks()))).encode());
-            case RELEASE_START, RELEASE_STATUS, RELEASE_HALT, RELEASE_RESUME, RELEASE_BACK -> new RolloutCommands(
-                    replica, voter.controllerActivity()).run(command, System.currentTimeMillis(), then);
-            case DRAIN, UNDRAIN, GIVE_UP, HOLD_DRAINS, GO_ON -> runDisruptionCommand(replica, command, then);
-            case HAND_OVER -> runLeaseCommand(replica, new LeaseCommand.Transfer(command.duty(), command.text()),
-                    then);
-            case HALT -> runLeaseCommand(replica, new LeaseCommand.Suspend(command.duty(),
-                    command.text().isEmpty() ? "by an operator" : command.text()), then);
-            case RESUME -> runLeaseCommand(replica, new LeaseCommand.Resume(command.duty()), then);
-            default -> throw new IllegalStateException("the leader does not run commands of kind " + command.kind());
+    private void runAtLeader(ClusterReplica replica, Saying.Order request,
+            java.util.function.Consumer<Saying.Told> then) {
+        Command command = request.command();
+        if (command.kind() == Command.Kind.DUTIES) {
+            then.accept(new Saying.Told(request.number(), true, leases(replica).encode()));
+            return;
         }
-    }
-
-    private static void runLeaseCommand(ClusterReplica replica, LeaseCommand command,
-            BiConsumer<Boolean, String> then) {
-        replica.leases().propose(command, outcome -> then.accept(outcome.isApplied(),
-                outcome.isApplied() ? "done" : outcome.rejection()));
-    }
-
-    private static void runDisruptionCommand(ClusterReplica replica, Command command,
-            BiConsumer<Boolean, String> then) {
-        boolean isDependency = command.text().startsWith(DEPENDENCY_PREFIX);
-        DisruptionTarget target = isDependency
-                ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY,
-                        command.text().substring(DEPENDENCY_PREFIX.length()), "")
-                : replica.disruptions().instance(command.text());
-        DisruptionCommand proposal = disruptionCommand(replica, command, target, isDependency);
-        if (proposal instanceof DisruptionCommand.Request
-                && !replica.state().disruptions().capacities().containsKey(target)) {
-            then.accept(false, isDependency
-                    ? "the leader knows no dependency endpoint " + target.name() + ", or no instance has called it yet"
-                    : "the leader knows no member " + target.name());
+        if (command.kind() == Command.Kind.OUTS) {
+            then.accept(new Saying.Told(request.number(), true, disruptions(replica).put("below",
+                    new JsonObject(new LinkedHashMap<>(voter.verdicts().looks()))).encode()));
             return;
         }
-        replica.disruptions().propose(proposal, outcome -> then.accept(outcome.isApplied(),
-                outcome.isApplied() ? "done" : outcome.rejection()));
-    }
-
-    /** The texts in these commands are stored in the log. */
-    private static DisruptionCommand disruptionCommand(ClusterReplica replica, Command command,
-            DisruptionTarget target, boolean isDependency) {
-        Disruption disruption = replica.state().disruptions().get(target);
-        boolean isEjected = isDependency && disruption != null && disruption.usesBudget();
-        return switch (command.kind()) {
-            case DRAIN -> isEjected ? new DisruptionCommand.KeepOut(target, "operator", "an operator")
-                    : new DisruptionCommand.Request(target, Disruption.Reason.OPERATOR, "operator", "an operator");
-            case UNDRAIN -> isEjected ? new DisruptionCommand.Rejoin(target)
-                    : new DisruptionCommand.Withdraw(target, disruption == null ? "" : disruption.requestId());
-            case GIVE_UP -> new DisruptionCommand.GiveUp(target, "an operator");
-            case HOLD_DRAINS -> new DisruptionCommand.SuspendGrants(
+        if (command.kind().ordinal() >= Command.Kind.RELEASE_START.ordinal()) {
+            new RolloutCommands(replica, voter.controllerActivity()).run(command, System.currentTimeMillis(),
+                    (done, text) -> then.accept(new Saying.Told(request.number(), done, text)));
+            return;
+        }
+        if (command.kind().ordinal() > Command.Kind.OUTS.ordinal()) {
+            boolean isDependency = command.text().startsWith(DEPENDENCY_PREFIX);
+            DisruptionTarget target = isDependency
+                    ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY,
+                            command.text().substring(DEPENDENCY_PREFIX.length()), "")
+                    : replica.disruptions().instance(command.text());
+            Disruption disruption = replica.state().disruptions().get(target);
+            boolean isEjected = isDependency && disruption != null && disruption.usesBudget();
+            DisruptionCommand proposal = switch (command.kind()) {
+                case DRAIN -> isEjected ? new DisruptionCommand.KeepOut(target, "operator", "an operator")
+                        : new DisruptionCommand.Request(target, Disruption.Reason.OPERATOR, "operator", "an operator");
+                case UNDRAIN -> isEjected ? new DisruptionCommand.Rejoin(target)
+                        : new DisruptionCommand.Withdraw(target, disruption == null ? "" : disruption.requestId());
+                case GIVE_UP -> new DisruptionCommand.GiveUp(target, "an operator");
+                case HOLD_DRAINS -> new DisruptionCommand.SuspendGrants(
+                        command.text().isEmpty() ? "by an operator" : command.text());
+                default -> new DisruptionCommand.SuspendGrants(null);
+            };
+            if (proposal instanceof DisruptionCommand.Request
+                    && !replica.state().disruptions().capacities().containsKey(target)) {
+                then.accept(new Saying.Told(request.number(), false, "the leader knows no " + (isDependency
+                        ? "dependency endpoint " + command.text() + ", or no instance has called it yet"
+                        : "member " + command.text())));
+                return;
+            }
+            replica.disruptions().propose(proposal, outcome -> then.accept(new Saying.Told(request.number(),
+                    outcome.isApplied(), outcome.isApplied() ? "done" : outcome.rejection())));
+            return;
+        }
+        LeaseCommand proposal = switch (command.kind()) {
+            case HAND_OVER -> new LeaseCommand.Transfer(command.duty(), command.text());
+            case HALT -> new LeaseCommand.Suspend(command.duty(),
                     command.text().isEmpty() ? "by an operator" : command.text());
-            default -> new DisruptionCommand.SuspendGrants(null);
+            case RESUME -> new LeaseCommand.Resume(command.duty());
+            default -> throw new IllegalStateException("the leader does not run commands of kind " + command.kind());
         };
+        replica.leases().propose(proposal, outcome -> then.accept(new Saying.Told(request.number(),
+                outcome.isApplied(), outcome.isApplied() ? "done" : outcome.rejection())));
     }
 
     private static JsonObject disruptions(ClusterReplica replica) {
         JsonArray disruptions = new JsonArray();
         for (Disruption d : replica.state().disruptions().disruptions()) {
-            boolean waits = d.phase() == Disruption.Phase.ASKED;
             disruptions.add(new JsonObject().put("name", d.target().toString()).put("zone", d.target().zone())
                     .put("why", d.reason().name()).put("phase", d.phase().name()).put("token", d.token())
                     .put("asked", d.requestOrder()).put("by", d.requestedBy())
-                    .put("waits", waits
+                    .put("waits", d.phase() == Disruption.Phase.ASKED
                             ? replica.disruptions().controller().blockedReasons().get(d.target()) : null));
         }
         JsonArray budgets = new JsonArray();
@@ -635,12 +617,16 @@
         });
     }
 
-    private void status(Consumer<JsonObject> then) {
+    private void status(java.util.function.Consumer<JsonObject> then) {
         JsonArray members = new JsonArray();
         for (Standing standing : member.membership().others()) {
-            members.add(memberStatus(standing));
+            members.add(new JsonObject().put("name", standing.name()).put("state", standing.state().name())
+                    .put("steady", standing.steady()).put("address", standing.address())
+                    .put("hall", standing.hall()));
         }
-        members.add(memberStatus(member.membership().self()));
+        Standing self = member.membership().self();
+        members.add(new JsonObject().put("name", name).put("state", self.state().name()).put("steady", self.steady())
+                .put("address", self.address()).put("hall", self.hall()));
         JsonObject held = new JsonObject();
         member.leaseHolder().describeLeases(clock.getAsDouble()).forEach(held::put);
         JsonObject json = new JsonObject().put("member", name).put("phase", phase.get().name())
@@ -654,30 +640,19 @@
             return;
         }
         consensusThread.execute(() -> {
-            JsonObject group = groupStatus();
+            ClusterReplica replica = voter == null ? null : voter.replica();
+            JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
+            if (replica != null) {
+                JsonArray voters = new JsonArray();
+                replica.voting().forEach(endpoint -> voters.add(endpoint.toString()));
+                group.put("here", replica.here().toString()).put("voters", voters).put("term", replica.term())
+                        .put("leading", replica.leading()).put("committed", replica.commitIndex())
+                        .put("leader", replica.leader() == null ? null : replica.leader().name());
+            }
             loop.runOnContext(v -> then.accept(json.put("group", group)));
         });
     }
 
-    private static JsonObject memberStatus(Standing standing) {
-        return new JsonObject().put("name", standing.name()).put("state", standing.state().name())
-                .put("steady", standing.steady()).put("address", standing.address()).put("hall", standing.hall());
-    }
-
-    /** On the consensus thread. */
-    private JsonObject groupStatus() {
-        JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
-        ClusterReplica replica = voter == null ? null : voter.replica();
-        if (replica != null) {
-            JsonArray voters = new JsonArray();
-            replica.voting().forEach(endpoint -> voters.add(endpoint.toString()));
-            group.put("here", replica.here().toString()).put("voters", voters).put("term", replica.term())
-                    .put("leading", replica.leading()).put("committed", replica.commitIndex())
-                    .put("leader", replica.leader() == null ? null : replica.leader().name());
-        }
-        return group;
-    }
-
     /** Carries out on this process's sockets and tasks what the member decides. */
     private final class MemberEnvironment implements MemberNode.World {
         @Override
--- a/src/main/java/topazladder/net/hall/InboundLinks.java
+++ b/src/main/java/topazladder/net/hall/InboundLinks.java
@@ -5,6 +5,7 @@
 import io.vertx.core.net.NetSocket;
 import java.io.ByteArrayOutputStream;
 import java.util.Arrays;
+import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.Set;
 import topazladder.hall.Saying;
@@ -20,7 +21,7 @@
  * carries the next sequence number and a MAC over it, so that none is replayed, left out or reordered. A connection
  * that breaks this is closed; its client may open another.
  */
-final class InboundLinks {
+public final class InboundLinks {
     /** Beyond this number of connections the one that has been silent for longest is closed. */
     static final int MAX_CONNECTIONS = 96;
     /** Largest message, in bytes, that may come in several frames. */
@@ -32,14 +33,14 @@
     private static final int MAX_REMAINING_FRAMES = 255;
 
     /** Receives the messages. */
-    interface Listener {
+    public interface Listener {
 
         /** @param replyChannel to the sender, on the same connection */
         void received(String from, Saying message, ReplyChannel replyChannel);
     }
 
     /** Sends to a client that has no address of its own. Messages sent after the connection has ended are lost. */
-    interface ReplyChannel {
+    public interface ReplyChannel {
 
         void reply(Saying message);
     }
@@ -65,7 +66,7 @@
      *
      * @param reader holds what was received behind the greeting
      */
-    void accept(NetSocket socket, Seal seal, byte[] greeting, PeerFrames.Reader reader)
+    public void accept(NetSocket socket, Seal seal, byte[] greeting, PeerFrames.Reader reader)
             throws MalformedMessageException {
         String from = GreetingCodec.identity(greeting).name();
         Session session = new Session(socket, seal, from, reader,
@@ -92,7 +93,8 @@
     /** Closes idle connections, and acknowledges what came on the others. */
     private void sweep() {
         long now = System.nanoTime();
-        for (Session session : Set.copyOf(sessions)) {
+        for (Iterator<Session> i = Set.copyOf(sessions).iterator(); i.hasNext();) {
+            Session session = i.next();
             if (now - session.lastReceivedAt > IDLE_TIMEOUT_MS * 1_000_000) {
                 session.end();
             } else {
@@ -149,8 +151,8 @@
         }
 
         private void handle(Frame frame) throws MalformedMessageException {
-            boolean isMessage = frame.type() == Type.SAY || frame.type() == Type.SAY_PART;
-            if (frame.number() != nextSequence || !seal.holds(frame) || !isMessage) {
+            if (frame.number() != nextSequence || !seal.holds(frame) || frame.type() != Type.SAY
+                    && frame.type() != Type.SAY_PART) {
                 throw new MalformedMessageException("frame of type " + frame.type() + " with sequence number "
                         + frame.number() + " from " + from + "; it should be a message with sequence number "
                         + nextSequence + " and a valid MAC");
@@ -194,9 +196,8 @@
             for (int at = 0; at < bytes.length || at == 0; at += PeerFrames.LONGEST) {
                 int to = Math.min(bytes.length, at + PeerFrames.LONGEST);
                 int remainingFrames = (bytes.length - to + PeerFrames.LONGEST - 1) / PeerFrames.LONGEST;
-                int number = (++lastReplySequence << REMAINING_FRAMES_BITS)
-                        | Math.min(MAX_REMAINING_FRAMES, remainingFrames);
-                write(seal.frame(Type.TOLD, number, Arrays.copyOfRange(bytes, at, to)));
+                write(seal.frame(Type.TOLD, (++lastReplySequence << REMAINING_FRAMES_BITS)
+                        | Math.min(MAX_REMAINING_FRAMES, remainingFrames), Arrays.copyOfRange(bytes, at, to)));
             }
         }
 
--- a/src/main/java/topazladder/net/hall/LeaseClock.java
+++ b/src/main/java/topazladder/net/hall/LeaseClock.java
@@ -42,8 +42,8 @@
         double wallClockNow = wallClock.getAsDouble();
         double elapsed = monotonicNow - lastMonotonic;
         double wallClockElapsed = wallClockNow - lastWallClock;
-        boolean wallClockLeads = wallClockElapsed > elapsed + MIN_WALL_CLOCK_LEAD_SECONDS;
-        now += Math.max(elapsed, wallClockLeads ? wallClockElapsed : 0) * rate;
+        now += Math.max(elapsed,
+                wallClockElapsed > elapsed + MIN_WALL_CLOCK_LEAD_SECONDS ? wallClockElapsed : 0) * rate;
         lastMonotonic = monotonicNow;
         lastWallClock = wallClockNow;
         return now;
--- a/src/main/java/topazladder/net/hall/OutboundLinks.java
+++ b/src/main/java/topazladder/net/hall/OutboundLinks.java
@@ -175,8 +175,8 @@
                 write(seal.frame(Type.SAY_PART, ++lastSent, Arrays.copyOfRange(message, at, at + PeerFrames.LONGEST)));
                 at += PeerFrames.LONGEST;
             }
-            byte[] rest = at == 0 ? message : Arrays.copyOfRange(message, at, message.length);
-            write(seal.frame(Type.SAY, ++lastSent, rest));
+            write(seal.frame(Type.SAY, ++lastSent,
+                    at == 0 ? message : Arrays.copyOfRange(message, at, message.length)));
         }
 
         private void write(byte[] frame) {
@@ -198,7 +198,17 @@
         private void handle(Frame frame) throws MalformedMessageException {
             traffic.received(PeerFrames.sizeOnWire(frame.payload().length));
             if (serverNonce == null) {
-                handleHello(frame);
+                if (frame.type() != Type.HELLO || frame.payload().length != PeerFrames.NONCE) {
+                    throw new MalformedMessageException("frame of type " + frame.type() + " with "
+                            + frame.payload().length + " bytes from " + to.host() + ":" + to.port() + "; it should be "
+                            + Type.HELLO + " with " + PeerFrames.NONCE);
+                }
+                serverNonce = frame.payload();
+                seal = new Seal(keys.get().get(0), serverNonce, nonce);
+                write(seal.frame(Type.MEMBER, 0, GreetingCodec.encode(nonce, identity)));
+                traffic.connectionMade();
+                queue.forEach(this::writeMessage);
+                queue.clear();
                 return;
             }
             if (!seal.holds(frame)) {
@@ -206,57 +216,39 @@
                         + to.port() + " with a wrong MAC; it has another key, or was changed on the way");
             }
             switch (frame.type()) {
-                case HEARD -> handleAcknowledgement(frame.number());
-                case TOLD -> handleReply(frame);
+                case HEARD -> {
+                    if (frame.number() < lastAcknowledged || frame.number() > lastSent) {
+                        throw new MalformedMessageException(
+                                "acknowledgement of frame " + frame.number() + "; it should be from "
+                                        + lastAcknowledged + " to " + lastSent);
+                    }
+                    lastAcknowledged = frame.number();
+                    unacknowledgedSince = System.nanoTime();
+                }
+                case TOLD -> {
+                    if (frame.number() >>> REMAINING_FRAMES_BITS != nextReplySequence++
+                            || replyParts.size() > InboundLinks.MAX_MESSAGE_BYTES / PeerFrames.LONGEST) {
+                        throw new MalformedMessageException("reply frame "
+                                + (frame.number() >>> REMAINING_FRAMES_BITS) + " after " + replyParts.size()
+                                + " parts; it should be " + (nextReplySequence - 1) + " of a reply of at most "
+                                + InboundLinks.MAX_MESSAGE_BYTES + " bytes");
+                    }
+                    replyParts.add(frame.payload());
+                    if ((frame.number() & REMAINING_FRAMES_MASK) == 0) {
+                        Buffer whole = Buffer.buffer();
+                        replyParts.forEach(whole::appendBytes);
+                        replyParts.clear();
+                        Saying message = HallMessages.saying(whole.getBytes());
+                        if (message != null) {
+                            onReply.accept(to, message);
+                        }
+                    }
+                }
                 default -> throw new MalformedMessageException("frame of type " + frame.type()
                         + " from the server of a link; it should be " + Type.HEARD + " or " + Type.TOLD);
             }
         }
 
-        private void handleHello(Frame frame) throws MalformedMessageException {
-            if (frame.type() != Type.HELLO || frame.payload().length != PeerFrames.NONCE) {
-                throw new MalformedMessageException("frame of type " + frame.type() + " with "
-                        + frame.payload().length + " bytes from " + to.host() + ":" + to.port() + "; it should be "
-                        + Type.HELLO + " with " + PeerFrames.NONCE);
-            }
-            serverNonce = frame.payload();
-            seal = new Seal(keys.get().get(0), serverNonce, nonce);
-            write(seal.frame(Type.MEMBER, 0, GreetingCodec.encode(nonce, identity)));
-            traffic.connectionMade();
-            queue.forEach(this::writeMessage);
-            queue.clear();
-        }
-
-        private void handleAcknowledgement(int sequence) throws MalformedMessageException {
-            if (sequence < lastAcknowledged || sequence > lastSent) {
-                throw new MalformedMessageException("acknowledgement of frame " + sequence + "; it should be from "
-                        + lastAcknowledged + " to " + lastSent);
-            }
-            lastAcknowledged = sequence;
-            unacknowledgedSince = System.nanoTime();
-        }
-
-        private void handleReply(Frame frame) throws MalformedMessageException {
-            int sequence = frame.number() >>> REMAINING_FRAMES_BITS;
-            int expected = nextReplySequence++;
-            if (sequence != expected
-                    || replyParts.size() > InboundLinks.MAX_MESSAGE_BYTES / PeerFrames.LONGEST) {
-                throw new MalformedMessageException("reply frame " + sequence + " after " + replyParts.size()
-                        + " parts; it should be " + expected + " of a reply of at most "
-                        + InboundLinks.MAX_MESSAGE_BYTES + " bytes");
-            }
-            replyParts.add(frame.payload());
-            if ((frame.number() & REMAINING_FRAMES_MASK) == 0) {
-                Buffer whole = Buffer.buffer();
-                replyParts.forEach(whole::appendBytes);
-                replyParts.clear();
-                Saying message = HallMessages.saying(whole.getBytes());
-                if (message != null) {
-                    onReply.accept(to, message);
-                }
-            }
-        }
-
         void end() {
             links.remove(to, this);
             if (socket != null) {
--- a/src/main/java/topazladder/net/hall/RolloutCommands.java
+++ b/src/main/java/topazladder/net/hall/RolloutCommands.java
@@ -2,7 +2,6 @@
 
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import java.util.Locale;
 import java.util.function.BiConsumer;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.RolloutPlanFile;
@@ -99,9 +98,8 @@
             return "the leader does not see the instance";
         } else if (seen.waits() != null) {
             return seen.waits();
-        } else if (seen.out() != null) {
-            return seen.out().phase().name().toLowerCase(Locale.ROOT);
         }
-        return place.stage() == Place.Stage.LEFT ? "its turn" : "the instance is not steady";
+        return seen.out() != null ? seen.out().phase().name().toLowerCase(java.util.Locale.ROOT)
+                : place.stage() == Place.Stage.LEFT ? "its turn" : "the instance is not steady";
     }
 }
--- a/src/main/java/topazladder/net/hall/TouchTask.java
+++ b/src/main/java/topazladder/net/hall/TouchTask.java
@@ -17,8 +17,8 @@
  * from a holder that has lost the lease and does not know it.
  */
 final class TouchTask implements LeasedTask {
+    /** Also the delay after which a connect that failed is tried again. */
     private static final int CONNECT_TIMEOUT_MS = 500;
-    private static final int RECONNECT_DELAY_MS = 500;
 
     private final Vertx vertx;
     private final String leaseName;
@@ -61,7 +61,7 @@
                     connect(started);
                 }
             });
-        }, e -> vertx.setTimer(RECONNECT_DELAY_MS, id -> {
+        }, e -> vertx.setTimer(CONNECT_TIMEOUT_MS, id -> {
             if (started == generation) {
                 connect(started);
             }
--- a/src/test/java/topazladder/hall/MemberNodeTest.java
+++ b/src/test/java/topazladder/hall/MemberNodeTest.java
@@ -15,10 +15,6 @@
 /** One member with a manual clock, whose messages are recorded. */
 class MemberNodeTest {
     private record Sent(String to, String address, Saying message) {
-
-        boolean isPoll() {
-            return message instanceof Saying.Asking;
-        }
     }
 
     private final List<Sent> sent = new ArrayList<>();
@@ -71,7 +67,7 @@
         sent.clear();
         member.heard("n1", new Saying.LeaderIs("n0", "127.0.0.1:4"));
         advance(1);
-        assertThat(sent).filteredOn(Sent::isPoll).isNotEmpty()
+        assertThat(sent).filteredOn(s -> s.message() instanceof Saying.Asking).isNotEmpty()
                 .allMatch(s -> s.to().equals("n0") && "127.0.0.1:4".equals(s.address()));
     }
 
@@ -86,13 +82,14 @@
         member.well(true);
         sent.clear();
         advance(5);
-        assertThat(sent).filteredOn(Sent::isPoll).isNotEmpty()
+        assertThat(sent).filteredOn(s -> s.message() instanceof Saying.Asking).isNotEmpty()
                 .allMatch(s -> s.to().isEmpty() && "127.0.0.1:1".equals(s.address()));
         // The seed does not vote, and answers with a hint.
         sent.clear();
         member.heard("c3", new Saying.LeaderIs("n0", "127.0.0.1:4"));
         advance(3);
-        assertThat(sent).filteredOn(Sent::isPoll).extracting(Sent::address).contains("127.0.0.1:4");
+        assertThat(sent).filteredOn(s -> s.message() instanceof Saying.Asking).extracting(Sent::address)
+                .contains("127.0.0.1:4");
         member.heard("n0", new Saying.Nudge());
         assertThat(member.elsewhere()).isEqualTo(new Saying.LeaderIs("n0", "127.0.0.1:4"));
     }
@@ -111,7 +108,8 @@
             member.heard("n0", new Saying.LeaderIs("n9", "127.0.0.1:99"));
             advance(2);
         }
-        assertThat(sent.stream().filter(Sent::isPoll).map(Sent::to).distinct()).contains("n0", "n1", "n2", "n9");
+        assertThat(sent.stream().filter(s -> s.message() instanceof Saying.Asking).map(Sent::to).distinct())
+                .contains("n0", "n1", "n2", "n9");
     }
 
     @Test
--- a/src/test/java/topazladder/net/hall/LeaseClockTest.java
+++ b/src/test/java/topazladder/net/hall/LeaseClockTest.java
@@ -2,12 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.assertj.core.data.Offset;
 import org.junit.jupiter.api.Test;
 
 class LeaseClockTest {
-    private static final Offset<Double> ROUNDING = Offset.offset(1e-9);
-
     private double monotonic = 100;
     private double wallClock = 1e9;
 
@@ -21,7 +18,7 @@
     void countsTheTimeThatTheComputerSlept() {
         LeaseClock clock = new LeaseClock(() -> monotonic, () -> wallClock, 1);
         double before = clock.getAsDouble();
-        assertThat(elapsed(clock, before, 2, 2.1)).isCloseTo(2, ROUNDING);
+        assertThat(elapsed(clock, before, 2, 2.1)).isCloseTo(2, org.assertj.core.data.Offset.offset(1e-9));
         before = clock.getAsDouble();
         assertThat(elapsed(clock, before, 0.01, 3600)).isGreaterThan(3599);
     }
@@ -30,13 +27,13 @@
     void ignoresAWallClockThatIsSetBack() {
         LeaseClock clock = new LeaseClock(() -> monotonic, () -> wallClock, 1);
         double before = clock.getAsDouble();
-        assertThat(elapsed(clock, before, 1, -3600)).isCloseTo(1, ROUNDING);
+        assertThat(elapsed(clock, before, 1, -3600)).isCloseTo(1, org.assertj.core.data.Offset.offset(1e-9));
     }
 
     @Test
     void runsAtItsRate() {
         LeaseClock clock = new LeaseClock(() -> monotonic, () -> wallClock, 0.95);
         double before = clock.getAsDouble();
-        assertThat(elapsed(clock, before, 10, 10)).isCloseTo(9.5, ROUNDING);
+        assertThat(elapsed(clock, before, 10, 10)).isCloseTo(9.5, org.assertj.core.data.Offset.offset(1e-9));
     }
 }
