--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/HallNode.java
@@ -546,8 +546,8 @@
             if (proposal instanceof DisruptionCommand.Request
                     && !replica.state().disruptions().capacities().containsKey(target)) {
                 then.accept(new Saying.Told(request.number(), false, "the leader knows no " + (isDependency
-                        ? "dependency endpoint " + command.text() + ", or no instance has called it yet"
-                        : "member " + command.text())));
+                        ? "dependency endpoint " + target.name() + ", or no instance has called it yet"
+                        : "member " + target.name())));
                 return;
             }
             replica.disruptions().propose(proposal, outcome -> then.accept(new Saying.Told(request.number(),
--- a/src/test/java/topazladder/net/hall/LeaseClockTest.java
+++ b/src/test/java/topazladder/net/hall/LeaseClockTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** The lease clock follows whichever of its two clocks advanced further, and never runs backwards. */
 class LeaseClockTest {
     private double monotonic = 100;
     private double wallClock = 1e9;
