--- a/src/main/java/topazladder/knowledge/Knowledge.java
+++ b/src/main/java/topazladder/knowledge/Knowledge.java
@@ -84,6 +84,7 @@
         List<Fact> byWeight = new ArrayList<>(facts.values());
         Comparator<Fact> heaviest = Comparator.comparingDouble((Fact fact) -> -fact.weightAt(now));
         byWeight.sort(heaviest.thenComparing(fact -> fact.key().toString()));
+        PMap<Key, Fact> kept = facts;
         Set<Key> dropped = new HashSet<>();
         for (Fact fact : byWeight) {
             String origin = processOf(fact);
@@ -99,7 +100,8 @@
         Set<String> keptOrigins = new HashSet<>(origins.subList(0, Math.min(MAX_ORIGINS, origins.size())));
         facts.values().stream().filter(fact -> !keptOrigins.contains(processOf(fact)))
                 .forEach(fact -> dropped.add(fact.key()));
-        return dropped.isEmpty() ? this : new Knowledge(facts.minusAll(dropped));
+        kept = kept.minusAll(dropped);
+        return dropped.isEmpty() ? this : new Knowledge(kept);
     }
 
     private static String processOf(Fact fact) {
--- a/src/main/java/topazladder/release/Conductor.java
+++ b/src/main/java/topazladder/release/Conductor.java
@@ -275,9 +275,9 @@
             if (now - awaySince.getOrDefault(place.name(), now) > rollout.plan().patience()) {
                 return place.name() + " is not back after " + Math.round(rollout.plan().patience()) + " s";
             }
-            int ended = endedProcesses.getOrDefault(place.name(), 0);
-            if (ended > MAX_ENDED_PROCESSES) {
-                return place.name() + " does not stay up: " + ended + " of its processes have ended during its update";
+            if (endedProcesses.getOrDefault(place.name(), 0) > MAX_ENDED_PROCESSES) {
+                return place.name() + " does not stay up: " + endedProcesses.get(place.name())
+                        + " of its processes have ended during its update";
             }
             if (place.stage() == Stage.LEFT && place.attempt() >= rollout.plan().tries()
                     && view.member(place.name()) != null && view.member(place.name()).out() == null
--- a/src/main/java/topazladder/release/Judge.java
+++ b/src/main/java/topazladder/release/Judge.java
@@ -92,7 +92,6 @@
     private final Series failed = new Series();
     private final Series memory = new Series();
     private final Map<String, Series> servedByInstanceOnA = new HashMap<>();
-    private int instancesOnB;
     private String failureReason = "";
 
     /** Creates an analysis without samples. */
@@ -114,16 +113,15 @@
         memory.add(mean(b, Look::megabytes) / Math.max(1, mean(a, Look::megabytes)) - 1);
         List<String> zones = b.stream().map(Look::zone).filter(zone -> !zone.isEmpty()).distinct().toList();
         for (String zone : zones) {
-            List<Look> aInZone = inZone(a, zone);
+            List<Look> aInZone = a.stream().filter(sample -> sample.zone().equals(zone)).toList();
             payoff.computeIfAbsent(zone, z -> new Series())
-                    .add(mean(inZone(b, zone), Look::share) - mean(aInZone.isEmpty() ? a : aInZone, Look::share));
+                    .add(mean(b.stream().filter(sample -> sample.zone().equals(zone)).toList(), Look::share)
+                            - mean(aInZone.isEmpty() ? a : aInZone, Look::share));
         }
         instancesOnB = b.size();
     }
 
-    private static List<Look> inZone(List<Look> samples, String zone) {
-        return samples.stream().filter(sample -> sample.zone().equals(zone)).toList();
-    }
+    private int instancesOnB;
 
     private static double mean(List<Look> samples, ToDoubleFunction<Look> value) {
         return samples.stream().mapToDouble(value).average().orElse(0);
--- a/src/main/java/topazladder/release/ReleaseLedger.java
+++ b/src/main/java/topazladder/release/ReleaseLedger.java
@@ -1,7 +1,6 @@
 package topazladder.release;
 
 import java.util.List;
-import java.util.function.Supplier;
 import topazladder.disruption.Disruption;
 import topazladder.disruption.DisruptionCommand;
 import topazladder.disruption.DisruptionStateMachine;
@@ -66,7 +65,9 @@
 
     private String rejection(ReleaseOp command) {
         if (command instanceof ReleaseOp.Start start) {
-            return rejectionOfStart(start);
+            return rollout != null && !rollout.over()
+                    ? "a rollout is under way: " + rollout.plan().name() + ", " + rollout.phase()
+                    : start.places().isEmpty() ? "the rollout covers no instance" : null;
         }
         if (rollout == null) {
             return "there is no rollout";
@@ -78,20 +79,19 @@
             return isOther(resume.id()) || rollout.phase() != Phase.HALTED
                     ? "rollout " + resume.id() + " is not halted" : null;
         } else if (command instanceof ReleaseOp.Back back) {
-            return rejectionOfRollback(back);
+            return isOther(back.id()) ? "rollout " + back.id() + " is not the last one"
+                    : rollout.back() ? "the rollout is rolled back already"
+                            : rollout.plan().oneWay() ? "the plan says that there is no way back (one_way: true)"
+                                    : null;
         } else if (command instanceof ReleaseOp.Ask ask) {
             return rejectionOfStep(ask.id(), ask.started(), () -> refused(ask));
         } else if (command instanceof ReleaseOp.Missed missed) {
-            return rejectionOfStep(missed.id(), missed.started(), () -> {
-                Place place = rollout.place(missed.place());
-                return place == null || !hasReturned(place) ? missed.place() + " is not back" : null;
-            });
+            return rejectionOfStep(missed.id(), missed.started(), () -> rollout.place(missed.place()) == null
+                    || !hasReturned(rollout.place(missed.place())) ? missed.place() + " is not back" : null);
         } else if (command instanceof ReleaseOp.Moved moved) {
-            return rejectionOfStep(moved.id(), moved.started(), () -> {
-                Place place = rollout.place(moved.place());
-                return place == null || place.stage() == Stage.MOVED
-                        ? moved.place() + " is updated already, or not part of the rollout" : null;
-            });
+            return rejectionOfStep(moved.id(), moved.started(), () -> rollout.place(moved.place()) == null
+                    || rollout.place(moved.place()).stage() == Stage.MOVED
+                            ? moved.place() + " is updated already, or not part of the rollout" : null);
         } else if (command instanceof ReleaseOp.Next next) {
             return rejectionOfStep(next.id(), next.started(), () -> next.wave() != rollout.wave() + 1
                     ? "the rollout is in wave " + rollout.wave() + ", which wave " + next.wave() + " does not follow"
@@ -107,24 +107,17 @@
         return null;
     }
 
-    private String rejectionOfStart(ReleaseOp.Start start) {
-        if (rollout != null && !rollout.over()) {
-            return "a rollout is under way: " + rollout.plan().name() + ", " + rollout.phase();
-        }
-        return start.places().isEmpty() ? "the rollout covers no instance" : null;
+    private String leaseHolder(ReleaseOp.By by) {
+        LeaseState lease = leases.get(by.duty());
+        return lease == null || !lease.isHeld() ? "" : lease.holder().name();
     }
 
-    private String rejectionOfRollback(ReleaseOp.Back back) {
-        if (isOther(back.id())) {
-            return "rollout " + back.id() + " is not the last one";
-        } else if (rollout.back()) {
-            return "the rollout is rolled back already";
-        }
-        return rollout.plan().oneWay() ? "the plan says that there is no way back (one_way: true)" : null;
+    private boolean isOther(long id) {
+        return id != rollout.id();
     }
 
     /** Rejects a step of another rollout or of an earlier direction, then any while the rollout does not run. */
-    private String rejectionOfStep(long id, int started, Supplier<String> furtherChecks) {
+    private String rejectionOfStep(long id, int started, java.util.function.Supplier<String> furtherChecks) {
         return isOther(id) || started != rollout.started() ? "the step is of another rollout, or of another direction"
                 : rollout.phase() != Phase.RUNNING ? "the rollout is " + rollout.phase() : furtherChecks.get();
     }
@@ -147,15 +140,6 @@
                         ? "another voter is being updated" : null;
     }
 
-    private String leaseHolder(ReleaseOp.By by) {
-        LeaseState lease = leases.get(by.duty());
-        return lease == null || !lease.isHeld() ? "" : lease.holder().name();
-    }
-
-    private boolean isOther(long id) {
-        return id != rollout.id();
-    }
-
     // ---- changes; the texts of the events are part of the replicated state and stay
 
     private void execute(ReleaseOp command) {
@@ -211,7 +195,7 @@
     }
 
     /** Whether the disruption that was requested for that instance has ended, so that it may be requested again. */
-    private boolean hasReturned(Place place) {
+    public boolean hasReturned(Place place) {
         Disruption disruption = disruptions.get(disruptionTarget(place));
         return place.stage() == Stage.ASKED
                 && (disruption == null || !disruption.requestId().equals(rollout.requestId(place)));
--- a/src/test/java/topazladder/knowledge/KnowledgeTest.java
+++ b/src/test/java/topazladder/knowledge/KnowledgeTest.java
@@ -65,9 +65,9 @@
             @ForAll @DoubleRange(max = 5000) double later) {
         List<LearnedEstimate> older = a.estimatesFor(HERE, now + later);
         for (LearnedEstimate estimate : older) {
-            TransferPolicy policy = TransferPolicy.of(estimate.kind());
-            assertThat(estimate.weight()).isLessThanOrEqualTo(policy.maxWeight());
-            assertThat(estimate.weight()).isGreaterThanOrEqualTo(Math.min(1, policy.minWeight()));
+            assertThat(estimate.weight()).isLessThanOrEqualTo(TransferPolicy.of(estimate.kind()).maxWeight());
+            assertThat(estimate.weight()).isGreaterThanOrEqualTo(
+                    Math.min(1, TransferPolicy.of(estimate.kind()).minWeight()));
             LearnedEstimate before = a.estimatesFor(HERE, now).stream()
                     .filter(e -> e.kind() == estimate.kind() && e.subject().equals(estimate.subject()))
                     .findFirst().orElseThrow();
--- a/src/test/java/topazladder/peering/PeeringTest.java
+++ b/src/test/java/topazladder/peering/PeeringTest.java
@@ -25,16 +25,14 @@
 class PeeringTest {
     private static final Bounds BOUNDS = new Bounds(0.15, 2, 6);
 
-    private enum Result { NONE, LEARNED, POSTPONED, FAILED }
-
     /** How a peer answers: after how many seconds, and with which result. */
-    private record Answer(double after, Result result, double retryAfter) {
+    private record Answer(double after, String result, double retryAfter) {
     }
 
-    private static final Answer HANGS = new Answer(99, Result.NONE, 0);
-    private static final Answer DEAD = new Answer(0.001, Result.FAILED, 0);
-    private static final Answer COLD = new Answer(0.002, Result.POSTPONED, 0);
-    private static final Answer GOOD = new Answer(0.01, Result.LEARNED, 0);
+    private static final Answer HANGS = new Answer(99, "none", 0);
+    private static final Answer DEAD = new Answer(0.001, "failed", 0);
+    private static final Answer COLD = new Answer(0.002, "postponed", 0);
+    private static final Answer GOOD = new Answer(0.01, "learned", 0);
 
     /** Simulates askers and peers on a virtual clock until all are done, and records who asked whom. */
     private static final class Simulation {
@@ -70,10 +68,10 @@
                     asked.add(name + ">" + ask.peer().name());
                     Answer answer = answers.apply(name, ask.peer());
                     at(now + answer.after(), () -> carryOut(name, asking, switch (answer.result()) {
-                        case LEARNED -> asking.learned(now, ask.number());
-                        case POSTPONED -> asking.later(now, ask.number(), answer.retryAfter());
-                        case FAILED -> asking.failed(now, ask.number());
-                        case NONE -> List.<Step>of();
+                        case "learned" -> asking.learned(now, ask.number());
+                        case "postponed" -> asking.later(now, ask.number(), answer.retryAfter());
+                        case "failed" -> asking.failed(now, ask.number());
+                        default -> List.of();
                     }));
                 } else if (step instanceof Wake wake) {
                     int wakeNumber = wakes.merge(asking, 1, Integer::sum);
@@ -168,7 +166,7 @@
                 shareTimes.add(simulation[0].now);
                 return GOOD;
             }
-            return new Answer(0.002, Result.POSTPONED, turn.comeBackIn());
+            return new Answer(0.002, "postponed", turn.comeBackIn());
         });
         List<Asking> all = IntStream.range(0, 100).mapToObj(i -> simulation[0].start("c" + i, peers(1))).toList();
         simulation[0].run();
--- a/src/test/java/topazladder/release/ConductorTest.java
+++ b/src/test/java/topazladder/release/ConductorTest.java
@@ -154,9 +154,9 @@
     void aMemberIsAddedOnceAndOnlyByTheLeaseHolder() {
         ReleaseOp.By by = new ReleaseOp.By("release", 1, 0);
         ReleaseOp.AddPlace add = new ReleaseOp.AddPlace(by, 1, 1, "n9", "east", true);
-        ReleaseOp.By notLatest = new ReleaseOp.By("release", 7, 0);
-        assertThat(stateMachine.apply(new ReleaseOp.AddPlace(notLatest, 1, 1, "n9", "", true)).done())
-                .as("under a fencing token that is not the latest").isFalse();
+        assertThat(stateMachine.apply(
+                new ReleaseOp.AddPlace(new ReleaseOp.By("release", 7, 0), 1, 1, "n9", "", true)).done())
+                        .as("under a fencing token that is not the latest").isFalse();
         assertThat(stateMachine.apply(new ReleaseOp.AddPlace(by, 1, 9, "n9", "", true)).done())
                 .as("of another direction of the rollout").isFalse();
         assertThat(stateMachine.apply(add).done()).isTrue();
@@ -209,8 +209,8 @@
     @Test
     void anInstanceThatDoesNotReturnHaltsTheRolloutAndKeepsUsingItsBudget() {
         steps(2);
-        long token = disruptions.get(instance("n4")).token();
-        disruptions.apply(new DisruptionCommand.Leaving(instance("n4"), token, 1, ""));
+        disruptions.apply(new DisruptionCommand.Leaving(instance("n4"),
+                disruptions.get(instance("n4")).token(), 1, ""));
         health.put("n4", Health.GONE);
         steps(29);
         assertThat(stateMachine.release().phase()).isEqualTo(Phase.RUNNING);
@@ -294,12 +294,13 @@
 
     @Test
     void aSecondRolloutIsRejectedAndSoIsARollbackOfAPlanThatIsOneWay() {
-        List<Place> places = stateMachine.release().places();
-        assertThat(stateMachine.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), PLAN, places)).why())
-                .contains("under way");
-        Plan oneWay = new Plan("b", "A", "B", PLAN.waves(), PLAN.judge(), 30, 2, 1, true);
+        assertThat(stateMachine.apply(
+                new ReleaseOp.Start(ReleaseOp.By.operator(0), PLAN, stateMachine.release().places())).why())
+                        .contains("under way");
         ReleaseLedger ofOneWay = new ReleaseLedger(leases, new DisruptionStateMachine());
-        ofOneWay.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), oneWay, places));
+        ofOneWay.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0),
+                new Plan("b", "A", "B", PLAN.waves(), PLAN.judge(), 30, 2, 1, true),
+                stateMachine.release().places()));
         assertThat(ofOneWay.apply(new ReleaseOp.Back(ReleaseOp.By.operator(0), 1)).why()).contains("no way back");
     }
 }
--- a/src/test/java/topazladder/release/JudgeTest.java
+++ b/src/test/java/topazladder/release/JudgeTest.java
@@ -34,9 +34,9 @@
             for (int i = 0; i < offsets.length; i++) {
                 boolean isOnB = i < instancesOnB;
                 boolean isWorse = isOnB && (zone.isEmpty() || zone.equals("zone-" + i % 2));
-                double served = 0.9 + offsets[i] + drift + random.nextDouble(-0.02, 0.02)
-                        - (isWorse ? servedLoss : 0);
-                samples.add(new Judge.Look("n" + i, "zone-" + i % 2, isOnB, served, isWorse ? failed : 0,
+                samples.add(new Judge.Look("n" + i, "zone-" + i % 2, isOnB,
+                        0.9 + offsets[i] + drift + random.nextDouble(-0.02, 0.02) - (isWorse ? servedLoss : 0),
+                        isWorse ? failed : 0,
                         60 + random.nextDouble(-5, 5) + (isWorse ? leak * n : 0)));
             }
             analysis.addSamples(samples);
