--- a/src/main/java/topazladder/admission/AdmissionSettings.java
+++ b/src/main/java/topazladder/admission/AdmissionSettings.java
@@ -94,13 +94,12 @@
     /**
      * Validates the numbers and copies the list.
      *
-     * @throws IllegalArgumentException if a number is out of range; the message names the setting, its value and the
-     *     valid range
+     * @throws IllegalArgumentException if a number is out of range; the message begins with the name of the setting
      */
     public AdmissionSettings {
         requestClasses = List.copyOf(requestClasses);
         if (!(cores > 0)) {
-            throw new IllegalArgumentException("setting out of range: cores=" + cores + ", expected a number above 0");
+            throw new IllegalArgumentException("cores should be above 0: " + cores);
         }
         requireNotNegative("memoryKilobytes", memoryKilobytes);
         requireNotNegative("runMemoryFactor", runMemoryFactor);
@@ -122,8 +121,7 @@
 
     private static void requireNotNegative(String name, double value) {
         if (!(value >= 0)) {
-            throw new IllegalArgumentException(
-                    "setting out of range: " + name + "=" + value + ", expected 0 or a positive number");
+            throw new IllegalArgumentException(name + " should not be negative: " + value);
         }
     }
 
--- a/src/main/java/topazladder/admission/DependencyCallLimit.java
+++ b/src/main/java/topazladder/admission/DependencyCallLimit.java
@@ -124,8 +124,8 @@
         if (targetInFlight == Double.POSITIVE_INFINITY) {
             return true;
         }
-        double elapsedSeconds = context.now() - spentUpdatedAt;
-        spentCallSeconds = Math.max(0, spentCallSeconds + (outstandingCalls - targetInFlight) * elapsedSeconds);
+        spentCallSeconds = Math.max(0,
+                spentCallSeconds + (outstandingCalls - targetInFlight) * (context.now() - spentUpdatedAt));
         spentUpdatedAt = context.now();
         double burst = targetInFlight * context.settings().dependencyQuotaSpanSeconds()
                 * (skippable ? SKIPPABLE_BURST_SHARE_OF_SPAN : BURST_SHARE_OF_SPAN);
--- a/src/main/java/topazladder/admission/RetryAdvice.java
+++ b/src/main/java/topazladder/admission/RetryAdvice.java
@@ -53,10 +53,14 @@
 
     private double queueDrainSeconds() {
         double rate = drain.isDraining() ? 0 : statistics.completionRate();
-        return rate <= 0 ? context.shortestObjectiveSeconds()
+        return rate <= 0 ? secondsAtUnknownRate()
                 : Math.max(0, queue.size() - statistics.queueTarget()) / rate;
     }
 
+    private double secondsAtUnknownRate() {
+        return context.shortestObjectiveSeconds();
+    }
+
     private boolean isFleetOverloaded(TrackedRequest request) {
         return !drain.isDraining() && (request.request.retry()
                 || context.random().nextDouble() < PROBABILITY_PER_RETRY_SHARE * statistics.retryShare());
--- a/src/main/java/topazladder/wire/SimulatedServer.java
+++ b/src/main/java/topazladder/wire/SimulatedServer.java
@@ -80,15 +80,13 @@
 
     private void validate(ArrivalRecord arrival) {
         String source = " server=" + number + " request=" + arrival.id();
-        int classes = settings.requestClasses().size();
-        if (arrival.requestClass() >= classes) {
+        if (arrival.requestClass() >= settings.requestClasses().size()) {
             throw new MalformedWireException("unknown request class:" + source + " class=" + arrival.requestClass()
-                    + ", expected an index below " + classes);
+                    + ", expected an index below " + settings.requestClasses().size());
         }
-        int tenants = settings.tenants().size();
-        if (tenants > 0 && arrival.tenant() >= tenants) {
+        if (!settings.tenants().isEmpty() && arrival.tenant() >= settings.tenants().size()) {
             throw new MalformedWireException("unknown tenant:" + source + " tenant=" + arrival.tenant()
-                    + ", expected an index below " + tenants);
+                    + ", expected an index below " + settings.tenants().size());
         }
         if (!arrival.isValid()) {
             throw new MalformedWireException("request field out of range:" + source + " rank=" + arrival.rank()
