--- a/src/main/java/topazladder/admission/AdmissionController.java
+++ b/src/main/java/topazladder/admission/AdmissionController.java
@@ -50,7 +50,7 @@
 
     /** Creates a controller at time 0; call {@link #start} before reporting any other event. */
     public AdmissionController(RandomGenerator random, AdmissionSettings settings) {
-        RequestEndings terminator = new Terminator();
+        RequestTerminator terminator = new Terminator();
         context = new AdmissionContext(random, settings);
         statistics = new WorkloadStatistics(context);
         drain = new DrainSchedule(context, statistics);
@@ -274,7 +274,7 @@
     }
 
     /** Gives the stages access to {@code giveUp} and {@code close} without making them public. */
-    private final class Terminator implements RequestEndings {
+    private final class Terminator implements RequestTerminator {
         @Override
         public void giveUp(TrackedRequest request, GiveUpReason reason) {
             AdmissionController.this.giveUp(request, reason);
--- a/src/main/java/topazladder/admission/AdmissionLevel.java
+++ b/src/main/java/topazladder/admission/AdmissionLevel.java
@@ -32,7 +32,7 @@
     private final WorkloadStatistics statistics;
     private final RequestQueue queue;
     private final ConcurrencyLimiter concurrencyLimiter;
-    private final RequestEndings terminator;
+    private final RequestTerminator terminator;
     private final Stage next;
     private final RankHistogram ranks = new RankHistogram();
     private final DecayingRate admitted;
@@ -42,7 +42,7 @@
     private double nextUpdateAt = AdmissionContext.STARTUP_SECONDS;
 
     AdmissionLevel(AdmissionContext context, WorkloadStatistics statistics, RequestQueue queue,
-            ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator, Stage next) {
+            ConcurrencyLimiter concurrencyLimiter, RequestTerminator terminator, Stage next) {
         this.context = context;
         this.statistics = statistics;
         this.queue = queue;
--- a/src/main/java/topazladder/admission/AdmissionQueue.java
+++ b/src/main/java/topazladder/admission/AdmissionQueue.java
@@ -16,10 +16,10 @@
     private final DrainSchedule drain;
     private final RequestQueue queue;
     private final ConcurrencyLimiter concurrencyLimiter;
-    private final RequestEndings terminator;
+    private final RequestTerminator terminator;
 
     AdmissionQueue(AdmissionContext context, WorkloadStatistics statistics, DrainSchedule drain, RequestQueue queue,
-            ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator) {
+            ConcurrencyLimiter concurrencyLimiter, RequestTerminator terminator) {
         this.context = context;
         this.statistics = statistics;
         this.drain = drain;
--- a/src/main/java/topazladder/admission/DependencyLimiter.java
+++ b/src/main/java/topazladder/admission/DependencyLimiter.java
@@ -19,10 +19,10 @@
     private final DependencyCalls calls;
     private final DependencyCallLimit callLimit;
     private final ConcurrencyLimiter concurrencyLimiter;
-    private final RequestEndings terminator;
+    private final RequestTerminator terminator;
 
     DependencyLimiter(AdmissionContext context, MemoryBudget memory, DependencyCalls calls,
-            DependencyCallLimit callLimit, ConcurrencyLimiter concurrencyLimiter, RequestEndings terminator) {
+            DependencyCallLimit callLimit, ConcurrencyLimiter concurrencyLimiter, RequestTerminator terminator) {
         this.context = context;
         this.memory = memory;
         this.calls = calls;
--- a/src/main/java/topazladder/admission/DrainGate.java
+++ b/src/main/java/topazladder/admission/DrainGate.java
@@ -9,10 +9,10 @@
 final class DrainGate implements Stage {
     private final WorkloadStatistics statistics;
     private final DrainSchedule schedule;
-    private final RequestEndings terminator;
+    private final RequestTerminator terminator;
     private final Stage next;
 
-    DrainGate(WorkloadStatistics statistics, DrainSchedule schedule, RequestEndings terminator, Stage next) {
+    DrainGate(WorkloadStatistics statistics, DrainSchedule schedule, RequestTerminator terminator, Stage next) {
         this.statistics = statistics;
         this.schedule = schedule;
         this.terminator = terminator;
--- a/src/main/java/topazladder/admission/IdempotencyGuard.java
+++ b/src/main/java/topazladder/admission/IdempotencyGuard.java
@@ -24,11 +24,11 @@
     private final RememberedKeys keys;
     private final MemoryBudget memory;
     private final RetryAdvice retryAdvice;
-    private final RequestEndings terminator;
+    private final RequestTerminator terminator;
     private final Stage next;
 
     IdempotencyGuard(AdmissionContext context, RequestRegistry registry, RememberedKeys keys, MemoryBudget memory,
-            RetryAdvice retryAdvice, RequestEndings terminator, Stage next) {
+            RetryAdvice retryAdvice, RequestTerminator terminator, Stage next) {
         this.context = context;
         this.registry = registry;
         this.keys = keys;
--- a/src/main/java/topazladder/admission/MemoryGuard.java
+++ b/src/main/java/topazladder/admission/MemoryGuard.java
@@ -8,10 +8,10 @@
  */
 final class MemoryGuard implements Stage {
     private final MemoryBudget memory;
-    private final RequestEndings terminator;
+    private final RequestTerminator terminator;
     private final Stage next;
 
-    MemoryGuard(MemoryBudget memory, RequestEndings terminator, Stage next) {
+    MemoryGuard(MemoryBudget memory, RequestTerminator terminator, Stage next) {
         this.memory = memory;
         this.terminator = terminator;
         this.next = next;
--- a/src/main/java/topazladder/admission/RequestEndings.java
+++ b/src/main/java/topazladder/admission/RequestTerminator.java
@@ -3,7 +3,7 @@
 import topazladder.request.GiveUpReason;
 
 /** Lets stages end requests. */
-interface RequestEndings {
+interface RequestTerminator {
 
     /**
      * Answers the request without a result and stops the work on it. The request is rejected if it was not started or
--- a/src/main/java/topazladder/below/Word.java
+++ b/src/main/java/topazladder/below/EjectionDirective.java
@@ -4,9 +4,9 @@
  * What the leader tells one instance about one dependency endpoint. An endpoint without a directive is in use.
  *
  * @param token fencing token of the ejection that the group agreed on; 0 for a directive to this instance alone
- * @param age seconds since the endpoint entered this phase
+ * @param ageSeconds seconds since the endpoint entered this phase
  */
-public record Word(String server, Kind kind, long token, double age) {
+public record EjectionDirective(String endpoint, Kind kind, long token, double ageSeconds) {
 
     /** The order of the constants is part of the wire format. */
     public enum Kind {
@@ -18,6 +18,6 @@
          * This instance alone may eject it. The other instances find it healthy, so the fault likely lies in the
          * network path from here.
          */
-        AVOID
+        MAY_EJECT
     }
 }
--- a/src/main/java/topazladder/below/Look.java
+++ b/src/main/java/topazladder/below/EndpointHealth.java
@@ -1,7 +1,7 @@
 package topazladder.below;
 
 /** Health of a dependency endpoint, as one instance judges it by its own calls alone. */
-public enum Look {
+public enum EndpointHealth {
     /** Too few recent calls to tell. */
     UNTRIED,
     WELL,
--- a/src/main/java/topazladder/below/EndpointHealthTracker.java
+++ b/src/main/java/topazladder/below/EndpointHealthTracker.java
@@ -18,14 +18,14 @@
     private double tried;
     private double failed;
     private double decayedAt = Double.NaN;
-    private Look look = Look.UNTRIED;
+    private EndpointHealth look = EndpointHealth.UNTRIED;
 
-    void add(double now, How outcome) {
+    void add(double now, CallOutcome outcome) {
         decay(now);
         tried++;
         failed += outcome.isFailure() ? 1 : 0;
         successStreak = outcome.isFailure() ? 0 : successStreak + 1;
-        if (successStreak >= RECOVERY_STREAK && look == Look.ILL) {
+        if (successStreak >= RECOVERY_STREAK && look == EndpointHealth.ILL) {
             // The successes say more than the older failures, which would get the endpoint ejected again on its return.
             tried = RECOVERY_STREAK;
             failed = 0;
@@ -38,7 +38,7 @@
         tried = 0;
         failed = 0;
         successStreak = 0;
-        look = Look.UNTRIED;
+        look = EndpointHealth.UNTRIED;
     }
 
     private void decay(double now) {
@@ -54,21 +54,21 @@
         double failureRate = tried <= 0 ? 0 : failed / tried;
         if (tried < MIN_CALLS) {
             // Without this an endpoint that gets no calls any more would stay unhealthy for ever.
-            look = tried < MIN_CALLS / 4 ? Look.UNTRIED : look;
+            look = tried < MIN_CALLS / 4 ? EndpointHealth.UNTRIED : look;
         } else {
-            look = failureRate >= ILL_FAILURE_RATE ? Look.ILL
-                    : look != Look.ILL || failureRate < WELL_FAILURE_RATE ? Look.WELL : look;
+            look = failureRate >= ILL_FAILURE_RATE ? EndpointHealth.ILL
+                    : look != EndpointHealth.ILL || failureRate < WELL_FAILURE_RATE ? EndpointHealth.WELL : look;
         }
     }
 
-    Look look(double now) {
+    EndpointHealth look(double now) {
         decay(now);
         judge();
         return look;
     }
 
-    Report report(double now, String endpoint) {
-        Look current = look(now);
-        return new Report(endpoint, current, tried, failed);
+    EndpointReport report(double now, String endpoint) {
+        EndpointHealth current = look(now);
+        return new EndpointReport(endpoint, current, tried, failed);
     }
 }
--- a/src/main/java/topazladder/below/Use.java
+++ b/src/main/java/topazladder/below/EndpointSelector.java
@@ -17,7 +17,7 @@
  *
  * <p>No I/O; all calls come on one thread. Times are in seconds.
  */
-public class Use {
+public class EndpointSelector {
     /** Seconds without a directive of the leader after which this instance decides by itself. */
     static final double LEADER_LOST_SECONDS = 12;
     /** Retry budget: the part of a retry that each call earns, which bounds retries to a tenth of the calls. */
@@ -40,14 +40,14 @@
     /**
      * Settings.
      *
-     * @param servers names of the endpoints, in a fixed order
-     * @param alone largest share of the endpoints that one instance may eject by itself
+     * @param endpoints names of the endpoints, in a fixed order
+     * @param maxOwnEjectionShare largest share of the endpoints that one instance may eject by itself
      */
-    public record Terms(List<String> servers, double alone) {
+    public record Settings(List<String> endpoints, double maxOwnEjectionShare) {
 
         /** Endpoints that one instance may eject by itself. None of two: the other would have to take all the load. */
         int maxOwnEjections() {
-            return servers.size() < 3 ? 0 : Math.max(1, (int) (alone * servers.size()));
+            return endpoints.size() < 3 ? 0 : Math.max(1, (int) (maxOwnEjectionShare * endpoints.size()));
         }
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    private final Terms settings;
+    private final Settings settings;
     private final RandomGenerator random;
     private final List<Endpoint> endpoints = new ArrayList<>();
     private final Map<String, Endpoint> byName = new HashMap<>();
@@ -75,12 +75,12 @@
     private long term;
     private double aftermathUntil = Double.NEGATIVE_INFINITY;
     private double savedRetries = MAX_SAVED_RETRIES;
-    private Map<String, Look> reportedLooks = Map.of();
+    private Map<String, EndpointHealth> reportedLooks = Map.of();
 
-    public Use(Terms settings, RandomGenerator random) {
+    public EndpointSelector(Settings settings, RandomGenerator random) {
         this.settings = settings;
         this.random = random;
-        for (String name : settings.servers()) {
+        for (String name : settings.endpoints()) {
             Endpoint endpoint = new Endpoint(name);
             endpoints.add(endpoint);
             byName.put(name, endpoint);
@@ -91,7 +91,7 @@
 
     /**
      * Chooses the endpoint for a call: of two drawn at random by weight, the one with fewer calls in flight relative
-     * to its weight. The call counts as in flight until {@link #ended} or {@link #dropped}.
+     * to its weight. The call counts as in flight until {@link #callEnded} or {@link #callAbandoned}.
      *
      * @param excluded index of an endpoint that the call has already been to, or -1
      * @return the index of the endpoint, or -1 if none is available
@@ -132,7 +132,7 @@
     }
 
     /** Records the outcome of a call to the endpoint of that index. */
-    public void ended(double now, int index, How outcome) {
+    public void callEnded(double now, int index, CallOutcome outcome) {
         Endpoint endpoint = endpoints.get(index);
         endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
         endpoint.health.add(now, outcome);
@@ -141,7 +141,7 @@
     }
 
     /** Records that a call to the endpoint of that index was abandoned before it showed anything about it. */
-    public void dropped(int index) {
+    public void callAbandoned(int index) {
         endpoints.get(index).inFlight = Math.max(0, endpoints.get(index).inFlight - 1);
     }
 
@@ -151,7 +151,7 @@
      *
      * @return whether the call may go to another endpoint
      */
-    public boolean mayRepeat() {
+    public boolean tryAcquireRetry() {
         if (savedRetries < 1) {
             return false;
         }
@@ -164,12 +164,12 @@
         return switch (endpoint.state) {
             case IN_USE -> 1;
             case OUT, OWN_OUT -> 0;
-            case RETURNING, OWN_RETURNING -> ramp(now - endpoint.stateSince);
+            case RETURNING, OWN_RETURNING -> slowStartFraction(now - endpoint.stateSince);
         };
     }
 
     /** Share of its usual load that an endpoint gets after so many seconds of slow start. */
-    protected double ramp(double seconds) {
+    protected double slowStartFraction(double seconds) {
         return SlowStart.fraction(seconds);
     }
 
@@ -180,30 +180,30 @@
      *
      * @param leaderTerm term of the leader that sent them
      */
-    public void told(double now, long leaderTerm, List<Word> directives) {
+    public void applyDirectives(double now, long leaderTerm, List<EjectionDirective> directives) {
         if (leaderTerm < term) {
             return;
         }
         term = leaderTerm;
         leaderHeardAt = now;
-        Map<String, Word> agreed = new HashMap<>();
-        directives.stream().filter(d -> d.kind() != Word.Kind.AVOID).forEach(d -> agreed.put(d.server(), d));
-        ejectionPermitted = directives.stream().filter(d -> d.kind() == Word.Kind.AVOID).map(Word::server)
+        Map<String, EjectionDirective> agreed = new HashMap<>();
+        directives.stream().filter(d -> d.kind() != EjectionDirective.Kind.MAY_EJECT).forEach(d -> agreed.put(d.endpoint(), d));
+        ejectionPermitted = directives.stream().filter(d -> d.kind() == EjectionDirective.Kind.MAY_EJECT).map(EjectionDirective::endpoint)
                 .collect(Collectors.toSet());
         for (Endpoint endpoint : endpoints) {
-            Word directive = agreed.get(endpoint.name);
+            EjectionDirective directive = agreed.get(endpoint.name);
             if (directive == null) {
                 if (endpoint.state == State.OUT || endpoint.state == State.RETURNING) {
                     enter(endpoint, State.IN_USE, now);
                 }
-            } else if (directive.kind() == Word.Kind.OUT) {
+            } else if (directive.kind() == EjectionDirective.Kind.OUT) {
                 if (endpoint.state != State.OUT) {
-                    enter(endpoint, State.OUT, now - directive.age());
+                    enter(endpoint, State.OUT, now - directive.ageSeconds());
                 }
             } else if (endpoint.state != State.RETURNING || endpoint.token != directive.token()
-                    || now - directive.age() > endpoint.stateSince + 1) {
+                    || now - directive.ageSeconds() > endpoint.stateSince + 1) {
                 endpoint.health.reset();
-                enter(endpoint, State.RETURNING, now - directive.age());
+                enter(endpoint, State.RETURNING, now - directive.ageSeconds());
             }
             endpoint.token = directive == null ? 0 : directive.token();
         }
@@ -214,14 +214,14 @@
     private void updateStates(double now) {
         boolean mostUnhealthy = mostUnhealthy(now);
         if (mostUnhealthy) {
-            aftermathUntil = now + Verdicts.AFTERMATH_SECONDS;
+            aftermathUntil = now + OutlierDetector.AFTERMATH_SECONDS;
         }
         boolean inAftermath = now < aftermathUntil;
         for (Endpoint endpoint : endpoints) {
-            Look look = endpoint.health.look(now);
-            boolean mayEject = mayLeaveOut(ejectionPermitted.contains(endpoint.name), alone(now),
+            EndpointHealth look = endpoint.health.look(now);
+            boolean mayEject = mayEject(ejectionPermitted.contains(endpoint.name), isLeaderLost(now),
                     endpoints.stream().filter(e -> e != endpoint && e.state != State.IN_USE).count());
-            if (endpoint.state == State.IN_USE && look == Look.ILL && !inAftermath && mayEject) {
+            if (endpoint.state == State.IN_USE && look == EndpointHealth.ILL && !inAftermath && mayEject) {
                 enter(endpoint, State.OWN_OUT, now);
             } else if (endpoint.state == State.OWN_OUT
                     && (now - endpoint.stateSince >= EjectionBackoff.seconds(endpoint.failedReturns) || mostUnhealthy
@@ -229,7 +229,7 @@
                 // The backoff is over, or the permission: a leader is heard again, and decides what stays ejected.
                 endpoint.health.reset();
                 enter(endpoint, State.OWN_RETURNING, now);
-            } else if (endpoint.state == State.OWN_RETURNING && look == Look.ILL && !mostUnhealthy && mayEject) {
+            } else if (endpoint.state == State.OWN_RETURNING && look == EndpointHealth.ILL && !mostUnhealthy && mayEject) {
                 endpoint.failedReturns++;
                 enter(endpoint, State.OWN_OUT, now);
             } else if (endpoint.state == State.OWN_RETURNING
@@ -247,26 +247,26 @@
      * @param leaderLost whether this instance hears from no leader
      * @param othersEjected number of other endpoints that are not in full use
      */
-    protected boolean mayLeaveOut(boolean permitted, boolean leaderLost, long othersEjected) {
+    protected boolean mayEject(boolean permitted, boolean leaderLost, long othersEjected) {
         return permitted || leaderLost && othersEjected < settings.maxOwnEjections();
     }
 
     /** Whether no leader was heard for so long that this instance decides by itself. */
-    public boolean alone(double now) {
+    public boolean isLeaderLost(double now) {
         firstUsedAt = Double.isNaN(firstUsedAt) ? now : firstUsedAt; // a new instance has yet to hear from the leader
         return now - Math.max(firstUsedAt, leaderHeardAt) > LEADER_LOST_SECONDS;
     }
 
     private boolean mostUnhealthy(double now) {
         long unhealthy = endpoints.stream().filter(e -> e.state == State.OWN_OUT || e.state == State.OUT
-                || e.health.look(now) == Look.ILL).count();
+                || e.health.look(now) == EndpointHealth.ILL).count();
         long tried = endpoints.stream().filter(e -> e.state == State.OWN_OUT || e.state == State.OUT
-                || e.health.look(now) != Look.UNTRIED).count();
-        return tooMany(unhealthy, tried);
+                || e.health.look(now) != EndpointHealth.UNTRIED).count();
+        return isMajorityUnhealthy(unhealthy, tried);
     }
 
     /** Whether so many endpoints look unhealthy that this instance or its network path is the likelier cause. */
-    protected boolean tooMany(long unhealthy, long tried) {
+    protected boolean isMajorityUnhealthy(long unhealthy, long tried) {
         return 2 * unhealthy > tried;
     }
 
@@ -278,28 +278,28 @@
     // ---- reports
 
     /** This instance's view of all endpoints, for the leader. */
-    public List<Report> reports(double now) {
-        List<Report> reports = new ArrayList<>();
-        Map<String, Look> looks = new HashMap<>();
+    public List<EndpointReport> reports(double now) {
+        List<EndpointReport> reports = new ArrayList<>();
+        Map<String, EndpointHealth> looks = new HashMap<>();
         for (Endpoint endpoint : endpoints) {
-            Report observed = endpoint.health.report(now, endpoint.name);
+            EndpointReport observed = endpoint.health.report(now, endpoint.name);
             // An endpoint ejected here gets no calls and would soon be reported as untried, which hides the failure.
             reports.add(endpoint.state == State.OWN_OUT
-                    ? new Report(endpoint.name, Look.ILL, Math.max(observed.tried(), 1), observed.failed())
+                    ? new EndpointReport(endpoint.name, EndpointHealth.ILL, Math.max(observed.calls(), 1), observed.failures())
                     : observed);
-            looks.put(endpoint.name, reports.get(reports.size() - 1).look());
+            looks.put(endpoint.name, reports.get(reports.size() - 1).health());
         }
         reportedLooks = looks;
         return reports;
     }
 
     /** Whether an endpoint became unhealthy, or ceased to be, since the last {@link #reports}. */
-    public boolean news(double now) {
+    public boolean hasNews(double now) {
         updateStates(now);
         return endpoints.stream().anyMatch(endpoint -> {
-            Look current = endpoint.state == State.OWN_OUT ? Look.ILL : endpoint.health.look(now);
-            Look reported = reportedLooks.getOrDefault(endpoint.name, Look.UNTRIED);
-            return current == Look.ILL != (reported == Look.ILL);
+            EndpointHealth current = endpoint.state == State.OWN_OUT ? EndpointHealth.ILL : endpoint.health.look(now);
+            EndpointHealth reported = reportedLooks.getOrDefault(endpoint.name, EndpointHealth.UNTRIED);
+            return current == EndpointHealth.ILL != (reported == EndpointHealth.ILL);
         });
     }
 
@@ -307,12 +307,12 @@
         return byName.get(endpoint).state;
     }
 
-    public Terms terms() {
+    public Settings settings() {
         return settings;
     }
 
     /** State, health and calls in flight of each endpoint by name, for operators. */
-    public Map<String, String> told(double now) {
+    public Map<String, String> describe(double now) {
         Map<String, String> described = new TreeMap<>();
         endpoints.forEach(e -> described.put(e.name, e.state + " " + e.health.look(now) + " in hand " + e.inFlight));
         return described;
--- a/src/main/java/topazladder/below/Verdicts.java
+++ b/src/main/java/topazladder/below/OutlierDetector.java
@@ -30,7 +30,7 @@
  *
  * <p>All calls come on one thread; times are seconds by the leader's clock.
  */
-public class Verdicts {
+public class OutlierDetector {
     /** Seconds after which an instance's reports are dropped. */
     static final double REPORT_VALIDITY_SECONDS = 15;
     /** Observers that must find an endpoint unhealthy, if there are that many. */
@@ -44,15 +44,15 @@
     static final double AFTERMATH_SECONDS = 4;
     private static final String REQUESTER = "symptoms";
 
-    private static final Logger LOG = LoggerFactory.getLogger(Verdicts.class);
+    private static final Logger LOG = LoggerFactory.getLogger(OutlierDetector.class);
 
     /** The latest reports of one instance, by endpoint. */
-    private record InstanceReports(double receivedAt, Map<String, Report> byEndpoint) {
+    private record InstanceReports(double receivedAt, Map<String, EndpointReport> byEndpoint) {
 
         /** Whether the reports tell something about the endpoints, and not about the instance itself. */
         boolean isCredible() {
-            long tried = byEndpoint.values().stream().filter(r -> r.look() != Look.UNTRIED).count();
-            long unhealthy = byEndpoint.values().stream().filter(r -> r.look() == Look.ILL).count();
+            long tried = byEndpoint.values().stream().filter(r -> r.health() != EndpointHealth.UNTRIED).count();
+            long unhealthy = byEndpoint.values().stream().filter(r -> r.health() == EndpointHealth.ILL).count();
             // An instance that has tried one of several endpoints, and found it unhealthy, may find all of them so.
             return byEndpoint.size() < 2 || 2 * unhealthy <= tried;
         }
@@ -77,12 +77,12 @@
     private double aftermathUntil = Double.NEGATIVE_INFINITY;
     private long requestCount;
 
-    public Verdicts(DisruptionStateMachine stateMachine) {
+    public OutlierDetector(DisruptionStateMachine stateMachine) {
         this.stateMachine = stateMachine;
     }
 
     /** This voter leads from now on. */
-    public void lead(double now) {
+    public void becomeLeader(double now) {
         leading = true;
         reportsByInstance.clear();
         unhealthySince.clear();
@@ -96,27 +96,27 @@
     }
 
     /** This voter does not lead any more. */
-    public void resign() {
+    public void stepDown() {
         leading = false;
     }
 
     /** Takes the reports of one instance; empty if it calls no endpoints. */
-    public void says(double now, String instance, List<Report> reports) {
+    public void handleReports(double now, String instance, List<EndpointReport> reports) {
         if (!leading || reports.isEmpty()) {
             return;
         }
-        Map<String, Report> byEndpoint = new TreeMap<>();
-        reports.forEach(r -> byEndpoint.put(r.server(), r));
+        Map<String, EndpointReport> byEndpoint = new TreeMap<>();
+        reports.forEach(r -> byEndpoint.put(r.endpoint(), r));
         reportsByInstance.put(instance, new InstanceReports(now, byEndpoint));
     }
 
     /** Whether the instance has reported lately, and so needs the leader's directives. */
-    public boolean watches(String instance) {
+    public boolean hasReported(String instance) {
         return reportsByInstance.containsKey(instance);
     }
 
     /** A proposed command was applied, or its fate is unknown. */
-    public void over(DisruptionCommand command) {
+    public void commandCompleted(DisruptionCommand command) {
         commandsInFlight.values().removeIf(command::equals);
     }
 
@@ -132,7 +132,7 @@
         registerEndpoints(votes.keySet(), commands);
         Set<String> unhealthy = new HashSet<>();
         votes.forEach((endpoint, v) -> {
-            if (ill(v.unhealthy(), v.total(), reportsByInstance.size())) {
+            if (isUnhealthy(v.unhealthy(), v.total(), reportsByInstance.size())) {
                 unhealthy.add(endpoint);
                 unhealthySince.putIfAbsent(endpoint, now);
             } else {
@@ -146,8 +146,8 @@
                         && (d.phase() == Phase.GRANTED || d.phase() == Phase.GONE))
                 .forEach(d -> unhealthyOrEjected.add(d.target().name()));
         long notCredible = reportsByInstance.values().stream().filter(reports -> !reports.isCredible()).count();
-        boolean mostUnhealthy = tooMany(unhealthyOrEjected.size(), votes.size())
-                || tooMany((int) notCredible, reportsByInstance.size());
+        boolean mostUnhealthy = isMajorityUnhealthy(unhealthyOrEjected.size(), votes.size())
+                || isMajorityUnhealthy((int) notCredible, reportsByInstance.size());
         if (mostUnhealthy) {
             aftermathUntil = now + AFTERMATH_SECONDS;
         }
@@ -205,27 +205,27 @@
      * @param tried instances that have a judgement of it
      * @param observers instances that report
      */
-    protected boolean ill(int unhealthy, int tried, int observers) {
+    protected boolean isUnhealthy(int unhealthy, int tried, int observers) {
         return unhealthy > 0 && 2 * unhealthy > tried && unhealthy >= Math.min(MIN_OBSERVERS, observers);
     }
 
     /** Whether so many look unhealthy that the cause likely lies between instances and endpoints. */
-    protected boolean tooMany(int unhealthy, int total) {
+    protected boolean isMajorityUnhealthy(int unhealthy, int total) {
         return 2 * unhealthy > total;
     }
 
     /** Whether an instance's reports count; overridden to inject a defect. */
-    protected boolean believed(boolean credible) {
+    protected boolean isCredible(boolean credible) {
         return credible;
     }
 
     private Map<String, Votes> countVotes() {
         Map<String, Votes> votes = new TreeMap<>();
         for (InstanceReports reports : reportsByInstance.values()) {
-            boolean credible = believed(reports.isCredible());
+            boolean credible = isCredible(reports.isCredible());
             reports.byEndpoint().forEach((endpoint, r) -> {
-                int unhealthy = credible && r.look() == Look.ILL ? 1 : 0;
-                int healthy = credible && r.look() == Look.WELL ? 1 : 0;
+                int unhealthy = credible && r.health() == EndpointHealth.ILL ? 1 : 0;
+                int healthy = credible && r.health() == EndpointHealth.WELL ? 1 : 0;
                 votes.merge(endpoint, new Votes(unhealthy, healthy),
                         (a, b) -> new Votes(a.unhealthy() + b.unhealthy(), a.healthy() + b.healthy()));
             });
@@ -280,12 +280,12 @@
             if (!e.getValue().isCredible()) {
                 continue;
             }
-            for (Report r : e.getValue().byEndpoint().values()) {
+            for (EndpointReport r : e.getValue().byEndpoint().values()) {
                 double share = 1.0 / reportsByInstance.size();
-                if (r.look() == Look.ILL && !unhealthy.contains(r.server())
-                        && stateMachine.get(target(r.server())) == null && used + share <= remaining + 1e-9) {
+                if (r.health() == EndpointHealth.ILL && !unhealthy.contains(r.endpoint())
+                        && stateMachine.get(target(r.endpoint())) == null && used + share <= remaining + 1e-9) {
                     used += share;
-                    permittedEjections.computeIfAbsent(r.server(), name -> new TreeSet<>()).add(e.getKey());
+                    permittedEjections.computeIfAbsent(r.endpoint(), name -> new TreeSet<>()).add(e.getKey());
                 }
             }
         }
@@ -304,26 +304,26 @@
     }
 
     /** What the leader tells one instance: all ejections by the cluster, and the instance's own permissions. */
-    public List<Word> words(double now, String instance) {
-        List<Word> directives = new ArrayList<>();
+    public List<EjectionDirective> directives(double now, String instance) {
+        List<EjectionDirective> directives = new ArrayList<>();
         for (Disruption d : stateMachine.disruptions()) {
             if (d.target().kind() == DisruptionTarget.Kind.DEPENDENCY && d.usesBudget()) {
                 // A phase applied since the last tick is new; the age of the one before would skip the slow start.
                 double age = phases.get(d.target()) == d.phase() ? now - phaseSince.get(d.target()) : 0;
-                directives.add(new Word(d.target().name(), d.phase() == Phase.RETURNING ? Word.Kind.RETURNING
-                        : Word.Kind.OUT, d.token(), Math.max(0, age)));
+                directives.add(new EjectionDirective(d.target().name(), d.phase() == Phase.RETURNING ? EjectionDirective.Kind.RETURNING
+                        : EjectionDirective.Kind.OUT, d.token(), Math.max(0, age)));
             }
         }
         permittedEjections.forEach((endpoint, instances) -> {
             if (instances.contains(instance)) {
-                directives.add(new Word(endpoint, Word.Kind.AVOID, 0, 0));
+                directives.add(new EjectionDirective(endpoint, EjectionDirective.Kind.MAY_EJECT, 0, 0));
             }
         });
         return directives;
     }
 
     /** The instances' votes by endpoint, for operators. */
-    public Map<String, String> looks() {
+    public Map<String, String> describeVotes() {
         Map<String, String> described = new TreeMap<>();
         countVotes().forEach((endpoint, v) -> described.put(endpoint, v.unhealthy() + " ill, " + v.healthy()
                 + " well of " + reportsByInstance.size() + (permittedEjections.containsKey(endpoint)
--- a/src/main/java/topazladder/cli/FleetCommands.java
+++ b/src/main/java/topazladder/cli/FleetCommands.java
@@ -17,9 +17,9 @@
 import picocli.CommandLine.Spec;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command.Kind;
-import topazladder.net.hall.FleetClient;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command.Kind;
+import topazladder.net.hall.OperatorClient;
 
 /**
  * Operators' commands to a hall, by any of its members. Status 0 where it was done, 1 where it was not, 2 where it
@@ -73,7 +73,7 @@
         @Option(names = "--json", description = "As JSON.")
         private boolean json;
 
-        Saying.Told ask(Kind kind, String duty, String text) throws InterruptedException {
+        ClusterMessage.CommandResponse ask(Kind kind, String duty, String text) throws InterruptedException {
             byte[] bytes;
             try {
                 bytes = Files.readAllBytes(key);
@@ -84,18 +84,18 @@
             while (length > 0 && (bytes[length - 1] == '\n' || bytes[length - 1] == '\r')) {
                 length--;
             }
-            return FleetClient.ask(Address.of("--at", at), Arrays.copyOf(bytes, length),
-                    new Saying.Command(kind, duty, text));
+            return OperatorClient.send(Address.of("--at", at), Arrays.copyOf(bytes, length),
+                    new ClusterMessage.Command(kind, duty, text));
         }
 
-        int done(Saying.Told told) {
+        int done(ClusterMessage.CommandResponse told) {
             System.out.println(json ? new JsonObject().put("done", told.done()).put("text", told.text()).encode()
                     : told.text());
             return told.done() ? 0 : 1;
         }
 
         /** Prints the object, or the table made of it. */
-        int print(Saying.Told told, java.util.function.Function<JsonObject, String> table) {
+        int print(ClusterMessage.CommandResponse told, java.util.function.Function<JsonObject, String> table) {
             if (!told.done()) {
                 return done(told);
             }
--- a/src/main/java/topazladder/cli/GroupCommands.java
+++ b/src/main/java/topazladder/cli/GroupCommands.java
@@ -10,7 +10,7 @@
 import topazladder.config.ExtensionSettingsFile;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.ServiceSettings;
-import topazladder.net.hall.Founding;
+import topazladder.net.hall.VoterStoreCreator;
 
 /** What is done to a group by hand, on the machine of each of its voters. */
 @Command(name = "group", mixinStandardHelpOptions = true, subcommands = GroupCommands.Found.class,
@@ -43,7 +43,7 @@
             if (own.cluster() == null) {
                 throw new InvalidSettingsException("the settings have no hall");
             }
-            System.out.println(Founding.found(name != null ? name : ServiceSettings.read(System.getenv()).name(),
+            System.out.println(VoterStoreCreator.create(name != null ? name : ServiceSettings.read(System.getenv()).name(),
                     own.cluster(), formed));
             return 0;
         }
--- a/src/main/java/topazladder/cli/ReleaseCommands.java
+++ b/src/main/java/topazladder/cli/ReleaseCommands.java
@@ -17,8 +17,8 @@
 import topazladder.cli.FleetCommands.To;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.RolloutPlanFile;
-import topazladder.hall.Saying.Command.Kind;
-import topazladder.release.Plan;
+import topazladder.hall.ClusterMessage.Command.Kind;
+import topazladder.release.RolloutPlan;
 
 /** Operators' commands about releases. */
 @Command(name = "release", mixinStandardHelpOptions = true, description = "Takes a hall from one version to another.",
@@ -49,7 +49,7 @@
 
         @Override
         public Integer call() {
-            Plan p = RolloutPlanFile.of(read(plan));
+            RolloutPlan p = RolloutPlanFile.of(read(plan));
             System.out.println(p.name() + ": " + p.from() + " to " + p.to() + " in " + p.waves().size()
                     + " waves and the rest" + (p.oneWay() ? ", with no way back" : ""));
             return 0;
--- a/src/main/java/topazladder/config/RolloutPlanFile.java
+++ b/src/main/java/topazladder/config/RolloutPlanFile.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazladder.config.proto.ReleasePlan;
-import topazladder.release.Judge;
-import topazladder.release.Plan;
+import topazladder.release.CanaryAnalysis;
+import topazladder.release.RolloutPlan;
 
 /**
  * A rollout's plan as operators write it: {@code ReleasePlan} in protobuf text format, checked without any instance.
@@ -13,7 +13,7 @@
  * <ul>
  * <li>{@code name}: that of the version {@code to}; {@code patience}: 120; {@code tries}: 2; {@code most_out}: 1
  * <li>of each wave, {@code zone}: all zones; {@code most}: no limit; {@code share}: 1; {@code soak}: 60
- * <li>{@code judge}: {@link Judge.Terms#USUAL}
+ * <li>{@code judge}: {@link CanaryAnalysis.Settings#DEFAULTS}
  * </ul>
  */
 public final class RolloutPlanFile {
@@ -28,7 +28,7 @@
      *
      * @throws InvalidSettingsException names the first fault
      */
-    public static Plan of(String text) {
+    public static RolloutPlan of(String text) {
         ReleasePlan plan = SettingsChecks.parse("plan", text, ReleasePlan.class);
         String from = plan.getFrom().getName();
         String to = plan.getTo().getName();
@@ -41,7 +41,7 @@
                     "plan: waves should be 1 to " + MAX_WAVES + ": " + plan.getWavesCount());
         }
         checkSchemas(plan);
-        return new Plan(
+        return new RolloutPlan(
                 plan.getName().isBlank() ? to : plan.getName(),
                 from,
                 to,
@@ -53,11 +53,11 @@
                 plan.getOneWay());
     }
 
-    private static List<Plan.Wave> waves(ReleasePlan plan) {
-        List<Plan.Wave> waves = new ArrayList<>();
+    private static List<RolloutPlan.Wave> waves(ReleasePlan plan) {
+        List<RolloutPlan.Wave> waves = new ArrayList<>();
         for (ReleasePlan.Wave wave : plan.getWavesList()) {
             String key = "waves[" + waves.size() + "].";
-            waves.add(new Plan.Wave(
+            waves.add(new RolloutPlan.Wave(
                     wave.getZone(),
                     (int) inRange(key + "most", wave.hasMost() ? wave.getMost() : 0, 0, MAX_INSTANCES),
                     inRange(key + "share", wave.hasShare() ? wave.getShare() : 1, 0.001, 1),
@@ -66,13 +66,13 @@
         return List.copyOf(waves);
     }
 
-    private static Judge.Terms judge(ReleasePlan.Judge judge) {
-        Judge.Terms usual = Judge.Terms.USUAL;
-        return new Judge.Terms(
-                inRange("judge.payoff", judge.hasPayoff() ? judge.getPayoff() : usual.payoff(), 0.001, 1),
-                inRange("judge.broken_off", judge.hasBrokenOff() ? judge.getBrokenOff() : usual.failed(), 0.0001, 1),
-                inRange("judge.memory", judge.hasMemory() ? judge.getMemory() : usual.memory(), 1.01, 100),
-                inRange("judge.error", judge.hasError() ? judge.getError() : usual.error(), 1e-6, 0.2));
+    private static CanaryAnalysis.Thresholds judge(ReleasePlan.Judge judge) {
+        CanaryAnalysis.Thresholds usual = CanaryAnalysis.Thresholds.DEFAULT;
+        return new CanaryAnalysis.Thresholds(
+                inRange("judge.payoff", judge.hasPayoff() ? judge.getPayoff() : usual.maxServedShareDrop(), 0.001, 1),
+                inRange("judge.broken_off", judge.hasBrokenOff() ? judge.getBrokenOff() : usual.maxFailedShareRise(), 0.0001, 1),
+                inRange("judge.memory", judge.hasMemory() ? judge.getMemory() : usual.maxMemoryRatio(), 1.01, 100),
+                inRange("judge.error", judge.hasError() ? judge.getError() : usual.errorProbability(), 1e-6, 0.2));
     }
 
     /** Each version has to read what the other leaves behind, or a rollback would fail. */
--- a/src/main/java/topazladder/consensus/ConsensusReplica.java
+++ b/src/main/java/topazladder/consensus/ConsensusReplica.java
@@ -55,7 +55,7 @@
     private static final double HEARTBEATS_PER_TICK = 0.5;
 
     private final VoterStore store;
-    private final VoterEndpoint here;
+    private final VoterEndpoint localEndpoint;
     private final double tickSeconds;
     private final RaftTiming timing;
     private final Scheduler timers;
@@ -85,9 +85,9 @@
             Scheduler timers,
             DoubleSupplier clock, RandomGenerator random, Environment environment, StateMachineRegistry machines,
             TermStart.Codec termStarts) {
-        VoterStore.Founding founding = store.founding();
+        VoterStore.VoterIdentity founding = store.identity();
         this.store = store;
-        this.here = founding.here();
+        this.localEndpoint = founding.localEndpoint();
         this.wantedVoters = wantedVoters;
         this.tickSeconds = HEARTBEATS_PER_TICK * heartbeatSeconds;
         this.timing = new RaftTiming(heartbeatSeconds);
@@ -97,7 +97,7 @@
         this.environment = environment;
         this.machines = machines;
         this.termStarts = termStarts;
-        this.reconfiguration = new VoterReconfiguration(here, timing, clock);
+        this.reconfiguration = new VoterReconfiguration(localEndpoint, timing, clock);
         this.node = newNode(founding);
     }
 
@@ -106,7 +106,7 @@
         services.add(service);
     }
 
-    private RaftNode newNode(VoterStore.Founding founding) {
+    private RaftNode newNode(VoterStore.VoterIdentity founding) {
         FailStopStore failStopStore = new FailStopStore(store, () -> phase == Phase.FAILED, this::fail);
         RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder()
                 .setGroupId(GROUP_ID_PREFIX + founding.groupGeneration())
@@ -120,7 +120,7 @@
                 .setRaftNodeReportListener(latest -> report = latest);
         RestoredRaftState restored = store.restored();
         if (restored == null) {
-            builder.setLocalEndpoint(here).setInitialGroupMembers(List.copyOf(founding.initialVoters()));
+            builder.setLocalEndpoint(localEndpoint).setInitialGroupMembers(List.copyOf(founding.initialVoters()));
         } else {
             builder.setRestoredState(restored);
         }
@@ -198,11 +198,11 @@
     /** Restarts the raft node from the store, as a restart of the process would, if the leader is silent. */
     private void restartNodeIfLeaderSilent() {
         VoterEndpoint leader = leader();
-        boolean follower = leader != null && !leader.equals(here);
+        boolean follower = leader != null && !leader.equals(localEndpoint);
         if (!leaderSilence.tick(follower)) {
             return;
         }
-        LOG.info("raft node restarted reason=leader-silent endpoint={} leader={}", here, leader);
+        LOG.info("raft node restarted reason=leader-silent endpoint={} leader={}", localEndpoint, leader);
         stepDown("leader-silent");
         leaderSilence.reset();
         phase = Phase.RESTARTING_NODE;
@@ -212,18 +212,18 @@
                 phase = Phase.RUNNING;
                 machines.clear();
                 report = null;
-                node = newNode(store.founding());
+                node = newNode(store.identity());
                 startNode();
             }
         });
     }
 
     private void termStarted(TermStart start) {
-        if (start.nonce() != ownTermNonce || !start.leader().equals(here.toString())) {
+        if (start.nonce() != ownTermNonce || !start.leader().equals(localEndpoint.toString())) {
             stepDown("other-voter-leads");
             return;
         }
-        LOG.info("leader elected endpoint={} term={}", here, term());
+        LOG.info("leader elected endpoint={} term={}", localEndpoint, term());
         leading = true;
         services.forEach(service -> service.becomeLeader(clock.getAsDouble()));
         runLater(this::proposeSettings);
@@ -231,7 +231,7 @@
 
     private void stepDown(String reason) {
         if (leading) {
-            LOG.info("leader stepped down endpoint={} reason={}", here, reason);
+            LOG.info("leader stepped down endpoint={} reason={}", localEndpoint, reason);
             stepDownServices();
         }
     }
@@ -245,7 +245,7 @@
         if (!isOver()) {
             phase = Phase.FAILED;
             stepDownServices();
-            LOG.warn("replica failed endpoint={} error={}", here, cause.toString());
+            LOG.warn("replica failed endpoint={} error={}", localEndpoint, cause.toString());
             environment.failed(cause);
         }
     }
@@ -255,7 +255,7 @@
     }
 
     private boolean isLeaderOfTerm() {
-        return here.equals(node.getTerm().getLeaderEndpoint());
+        return localEndpoint.equals(node.getTerm().getLeaderEndpoint());
     }
 
     // ---- settings
@@ -269,7 +269,7 @@
     }
 
     private void proposeSettings() {
-        long groupGeneration = store.founding().groupGeneration();
+        long groupGeneration = store.identity().groupGeneration();
         for (LeaderService service : services) {
             service.settingsCommands(groupGeneration)
                     .forEach(command -> propose(command, completed -> {}));
@@ -323,8 +323,8 @@
     }
 
     /** This voter's identity. */
-    public VoterEndpoint here() {
-        return here;
+    public VoterEndpoint localEndpoint() {
+        return localEndpoint;
     }
 
     /** The leader as far as this voter knows; null if it knows none. */
@@ -375,7 +375,7 @@
         @Override
         public Object newTermCommand() {
             ownTermNonce = random.nextLong();
-            return termStarts.toCommand(new TermStart(here.toString(), ownTermNonce));
+            return termStarts.toCommand(new TermStart(localEndpoint.toString(), ownTermNonce));
         }
     }
 }
--- a/src/main/java/topazladder/consensus/InMemoryVoterStore.java
+++ b/src/main/java/topazladder/consensus/InMemoryVoterStore.java
@@ -14,7 +14,7 @@
  * to fail. Not final, so that subclasses can inject defects such as lost votes.
  */
 public class InMemoryVoterStore implements VoterStore {
-    private Founding founding;
+    private VoterIdentity founding;
     private PersistedRaftState flushed = new PersistedRaftState();
     private PersistedRaftState written = new PersistedRaftState();
     private long writes;
@@ -69,12 +69,12 @@
     }
 
     @Override
-    public Founding founding() {
+    public VoterIdentity identity() {
         return founding;
     }
 
     @Override
-    public void found(Founding newFounding) throws IOException {
+    public void initialize(VoterIdentity newFounding) throws IOException {
         countWrite();
         founding = newFounding;
         written = new PersistedRaftState();
--- a/src/main/java/topazladder/consensus/VoterEndpoint.java
+++ b/src/main/java/topazladder/consensus/VoterEndpoint.java
@@ -7,9 +7,9 @@
  * vote under its old identity again (Raft dissertation, section 3.8). Each data folder therefore has its own number.
  *
  * @param name name of the member
- * @param birth random number of the data folder; 0 for the group's initial voters
+ * @param folderId random number of the data folder; 0 for the group's initial voters
  */
-public record VoterEndpoint(String name, long birth) implements RaftEndpoint {
+public record VoterEndpoint(String name, long folderId) implements RaftEndpoint {
     private static final char SEPARATOR = ':';
 
     @Override
@@ -34,6 +34,6 @@
 
     @Override
     public String toString() {
-        return name + SEPARATOR + Long.toString(birth, Character.MAX_RADIX);
+        return name + SEPARATOR + Long.toString(folderId, Character.MAX_RADIX);
     }
 }
--- a/src/main/java/topazladder/emulator/PeerTrial.java
+++ b/src/main/java/topazladder/emulator/PeerTrial.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import topazladder.config.SettingsReader;
-import topazladder.knowledge.Fact;
-import topazladder.knowledge.Learning;
+import topazladder.knowledge.SharedEstimate;
+import topazladder.knowledge.EstimateExchange;
 import topazladder.knowledge.Origin;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.LearnedEstimate.Kind;
@@ -201,10 +201,10 @@
             default -> now;
         };
         double older = told == Told.HOUR_OLD ? 3600 : 0;
-        Learning learning = new Learning(here, () -> at, leftOut);
-        learning.hear(from.stream().map(l -> new Fact(l.kind(), l.subject(), there, l.value(), l.weight(),
-                at - l.age() - older, 1)).toList());
-        return learning.forTheModule();
+        EstimateExchange learning = new EstimateExchange(here, () -> at, leftOut);
+        learning.receive(from.stream().map(l -> new SharedEstimate(l.kind(), l.subject(), there, l.value(), l.weight(),
+                at - l.ageSeconds() - older, 1)).toList());
+        return learning.newEstimates();
     }
 
     private static LearnedEstimate troubled(LearnedEstimate l) {
@@ -212,6 +212,6 @@
             case RUN_TIME, CALLS_IN_FLIGHT -> 5;
             case COMPLETION_RATE -> 0.1;
         };
-        return new LearnedEstimate(l.kind(), l.subject(), l.value() * times, l.weight(), l.age());
+        return new LearnedEstimate(l.kind(), l.subject(), l.value() * times, l.weight(), l.ageSeconds());
     }
 }
--- a/src/main/java/topazladder/emulator/hall/HallWorld.java
+++ b/src/main/java/topazladder/emulator/hall/HallWorld.java
@@ -18,8 +18,8 @@
 import java.util.function.DoubleSupplier;
 import java.util.function.Function;
 import java.util.function.UnaryOperator;
-import topazladder.below.How;
-import topazladder.below.Use;
+import topazladder.below.CallOutcome;
+import topazladder.below.EndpointSelector;
 import topazladder.consensus.InMemoryVoterStore;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.consensus.VoterStore;
@@ -34,19 +34,19 @@
 import topazladder.faults.Links;
 import topazladder.faults.OutCount;
 import topazladder.faults.Schedule;
-import topazladder.hall.ConductorNode;
-import topazladder.hall.HallTerms;
-import topazladder.hall.MemberNode;
-import topazladder.hall.ReleaseStart;
-import topazladder.hall.Saying;
+import topazladder.hall.RolloutControllerNode;
+import topazladder.hall.MemberSettings;
+import topazladder.hall.ClusterMember;
+import topazladder.hall.RolloutStart;
+import topazladder.hall.ClusterMessage;
 import topazladder.hall.VoterNode;
 import topazladder.lease.LeaseSettings;
 import topazladder.lease.LeaseStateMachine;
 import topazladder.lease.MemberIdentity;
 import topazladder.membership.Membership;
-import topazladder.release.Plan;
-import topazladder.release.Release;
-import topazladder.release.ReleaseOp;
+import topazladder.release.RolloutPlan;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutCommand;
 import topazladder.replication.ClusterReplica;
 import topazladder.replication.ClusterState;
 import topazladder.service.Scheduler;
@@ -80,18 +80,18 @@
 
     /** How the hall is set up. */
     public record Setup(int members, int voters, int duties, double lease, double heartbeat,
-            Membership.Terms membership, List<DisruptionBudget> budgets, Roll roll, Servers below) {
+            Membership.Settings membership, List<DisruptionBudget> budgets, Roll roll, Servers below) {
 
-        public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Terms membership,
+        public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Settings membership,
                 List<DisruptionBudget> budgets, Roll roll) {
             this(members, voters, duties, lease, heartbeat, membership, budgets, roll, null);
         }
 
-        public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Terms membership) {
+        public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Settings membership) {
             this(members, voters, duties, lease, heartbeat, membership, List.of());
         }
 
-        public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Terms membership,
+        public Setup(int members, int voters, int duties, double lease, double heartbeat, Membership.Settings membership,
                 List<DisruptionBudget> budgets) {
             this(members, voters, duties, lease, heartbeat, membership, budgets, null);
         }
@@ -106,14 +106,14 @@
             SplittableRandom chance = new SplittableRandom(s.seed() ^ 0x5702);
             double heartbeat = chance.nextDouble(0.05, 0.12);
             return new Setup(s.processes(), s.voters(), 3, Math.max(0.6, 4 * heartbeat), heartbeat,
-                    new Membership.Terms(0.5, 3, 3600));
+                    new Membership.Settings(0.5, 3, 3600));
         }
 
         /** A lease of 0.6 to 6 s beside heartbeats of 0.05 to 0.5 s, drawn by the schedule's seed. */
         public static Setup of(Schedule s) {
             SplittableRandom chance = new SplittableRandom(s.seed() ^ 0x1ea5e);
             return new Setup(s.processes(), s.voters(), 3, chance.nextDouble(0.6, 6), chance.nextDouble(0.05, 0.5),
-                    new Membership.Terms(0.5, 3, 3600));
+                    new Membership.Settings(0.5, 3, 3600));
         }
     }
 
@@ -152,7 +152,7 @@
     private final Schedule schedule;
     private final Setup setup;
     private final Plant plant;
-    private final UnaryOperator<Saying> wire;
+    private final UnaryOperator<ClusterMessage> wire;
     private final Timeline time = new Timeline(0);
     private final SplittableRandom chance;
     private final Links links;
@@ -175,7 +175,7 @@
     }
 
     /** @param wire what each message goes through on its way, as a codec there and back */
-    public HallWorld(Schedule schedule, Setup setup, Plant plant, UnaryOperator<Saying> wire) {
+    public HallWorld(Schedule schedule, Setup setup, Plant plant, UnaryOperator<ClusterMessage> wire) {
         this.schedule = schedule;
         this.setup = setup;
         this.plant = plant;
@@ -215,9 +215,9 @@
     /** An operator asks, of whoever leads, that a member go out. */
     public void askOut(int who) {
         for (Node n : nodes) {
-            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().isLeader()) {
                 n.voter.replica().disruptions()
-                        .propose(new DisruptionCommand.Request(n.voter.replica().disruptions().instance(name(who)),
+                        .propose(new DisruptionCommand.Request(n.voter.replica().disruptions().instanceTarget(name(who)),
                                 Disruption.Reason.OPERATOR, "operator",
                                 "an operator"), o -> {});
             }
@@ -225,14 +225,14 @@
     }
 
     /** An operator's word to whoever leads; false where nobody does. */
-    public boolean order(Function<ClusterReplica, ReleaseOp> what) {
+    public boolean order(Function<ClusterReplica, RolloutCommand> what) {
         for (Node n : nodes) {
-            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
-                ReleaseOp op = what.apply(n.voter.replica());
+            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().isLeader()) {
+                RolloutCommand op = what.apply(n.voter.replica());
                 if (op != null) {
                     happened("an operator says " + op.getClass().getSimpleName());
                     n.voter.replica().rollouts().propose(op, o -> happened(op.getClass().getSimpleName() + ": "
-                            + (o.done() ? "done" : o.why())));
+                            + (o.isApplied() ? "done" : o.rejection())));
                 }
                 return op != null;
             }
@@ -241,11 +241,11 @@
     }
 
     /** Starts a release of the whole hall once somebody leads; tries until then. */
-    public void release(Plan plan) {
+    public void release(RolloutPlan plan) {
         boolean begun = order(replica -> {
             // By what the leader has heard of, as on sockets: one that it has not heard of must not be left behind.
-            ReleaseStart.Decision decision = ReleaseStart.decide(replica, plan, ReleaseOp.By.operator(0));
-            if (decision.refused()) {
+            RolloutStart.Decision decision = RolloutStart.decide(replica, plan, RolloutCommand.Proposer.operator(0));
+            if (decision.isRefused()) {
                 happened("the release is refused: " + decision.refusal());
             }
             return decision.operation();
@@ -259,11 +259,11 @@
     }
 
     /** The release as the voter that applied most has it; null where there is none. */
-    public Release release() {
-        Release best = null;
+    public Rollout release() {
+        Rollout best = null;
         for (Node n : nodes) {
-            Release r = n.voter == null || n.voter.replica() == null ? null
-                    : n.voter.replica().state().rollouts().release();
+            Rollout r = n.voter == null || n.voter.replica() == null ? null
+                    : n.voter.replica().state().rollouts().rollout();
             if (r != null && (best == null || r.id() > best.id() || r.id() == best.id()
                     && r.history().size() > best.history().size())) {
                 best = r;
@@ -304,7 +304,7 @@
     /** Who conducts as far as it may go on now; -1 for nobody. */
     public int conductor() {
         for (Node n : nodes) {
-            if (n.up && n.member.token(CONDUCTS).isPresent()) {
+            if (n.up && n.member.fencingToken(CONDUCTS).isPresent()) {
                 return n.index;
             }
         }
@@ -327,7 +327,7 @@
     /** Whoever leads, as it knows by itself; null where nobody does. */
     public ClusterReplica leading() {
         for (Node n : nodes) {
-            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+            if (n.up && !n.stalled && n.voter != null && n.voter.replica() != null && n.voter.replica().isLeader()) {
                 return n.voter.replica();
             }
         }
@@ -340,12 +340,12 @@
      */
     public String step() {
         ClusterReplica replica = leading();
-        Release r = release();
+        Rollout r = release();
         if (replica == null || r == null) {
             return null;
         }
-        StringBuilder all = new StringBuilder(r.phase() + " " + r.back() + ' ' + r.wave());
-        r.places().forEach(p -> all.append(' ').append(p.name()).append(p.stage()).append(p.attempt()));
+        StringBuilder all = new StringBuilder(r.phase() + " " + r.isRollback() + ' ' + r.wave());
+        r.targets().forEach(p -> all.append(' ').append(p.name()).append(p.stage()).append(p.attempt()));
         replica.state().disruptions().disruptions()
                 .forEach(o -> all.append(' ').append(o.target()).append(o.phase()).append(o.token()));
         return all.toString();
@@ -366,20 +366,20 @@
             serving[n.index] = n.up && !n.stalled && !n.leaving ? n.serving : null;
         }
         double now = time.getAsDouble();
-        Release agreed = release();
-        if (agreed == null || agreed.phase() != Release.Phase.HALTED) {
+        Rollout agreed = release();
+        if (agreed == null || agreed.phase() != Rollout.Phase.HALTED) {
             haltedSince = Double.NaN;
         } else if (Double.isNaN(haltedSince)) {
             haltedSince = now;
         }
-        if (agreed != null && agreed.over() && Double.isNaN(doneAt)) {
+        if (agreed != null && agreed.isDone() && Double.isNaN(doneAt)) {
             doneAt = now;
         }
         most = Math.max(most, (int) Arrays.stream(serving).filter(s -> s == null).count());
         setup.roll().fleet().step(now, serving);
         for (Node n : nodes) {
             if (serving[n.index] != null) {
-                n.member.serving(n.meter.measure(now, n.serving.counted(), setup.roll().fleet().megabytes(now,
+                n.member.setLoadReport(n.meter.measure(now, n.serving.counted(), setup.roll().fleet().megabytes(now,
                         n.serving)));
             }
         }
@@ -420,9 +420,9 @@
                 n.disk = new Planted.Store(plant);
                 n.kill(0.2, false);
             } else if (n.up) {
-                n.member.replace(n.terms());
+                n.member.replaceSettings(n.terms());
                 if (n.voter != null) {
-                    n.voter.replace(n.terms());
+                    n.voter.replaceSettings(n.terms());
                 }
             }
         }
@@ -437,7 +437,7 @@
         for (Node n : nodes) {
             if (n.disk != null) {
                 try {
-                    n.disk.found(new VoterStore.Founding(first.get(n.index), first, 0));
+                    n.disk.initialize(new VoterStore.VoterIdentity(first.get(n.index), first, 0));
                 } catch (IOException e) {
                     throw new IllegalStateException(e);
                 }
@@ -483,11 +483,11 @@
         if (setup.below() != null) {
             breaks.addAll(setup.below().breaks());
         }
-        Release r = setup.roll() == null ? null : release();
-        if (r != null && r.over()) {
+        Rollout r = setup.roll() == null ? null : release();
+        if (r != null && r.isDone()) {
             for (Node n : nodes) {
-                if (!n.version.equals(r.target())) {
-                    breaks.add(n.name + " runs " + n.version + ", and the release to " + r.target() + " is done");
+                if (!n.version.equals(r.targetVersion())) {
+                    breaks.add(n.name + " runs " + n.version + ", and the release to " + r.targetVersion() + " is done");
                 }
             }
         }
@@ -510,7 +510,7 @@
 
     private boolean halted(String duty) {
         for (Node n : nodes) {
-            if (n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+            if (n.voter != null && n.voter.replica() != null && n.voter.replica().isLeader()) {
                 return n.voter.replica().state().leases().get(duty) != null
                         && n.voter.replica().state().leases().get(duty).isSuspended();
             }
@@ -564,10 +564,10 @@
         int leader = 0;
         int holder = 0;
         for (Node n : nodes) {
-            if (n.up && n.voter != null && n.voter.replica() != null && n.voter.replica().leading()) {
+            if (n.up && n.voter != null && n.voter.replica() != null && n.voter.replica().isLeader()) {
                 leader = n.index;
             }
-            if (n.up && n.member != null && n.member.token(duties.get(0).name()).isPresent()) {
+            if (n.up && n.member != null && n.member.fencingToken(duties.get(0).name()).isPresent()) {
                 holder = n.index;
             }
         }
@@ -575,7 +575,7 @@
                 : f.who() == Fault.LEADER ? f.of(leader) : f.who() == Fault.HOLDER ? f.of(holder) : f;
     }
 
-    private void send(Node from, String to, Saying what) {
+    private void send(Node from, String to, ClusterMessage what) {
         Node target = byName.get(to);
         if (target == null || !target.up) {
             return;
@@ -589,7 +589,7 @@
         if (fate.lost()) {
             return;
         }
-        Saying received = wire.apply(what);
+        ClusterMessage received = wire.apply(what);
         int life = target.life;
         for (int i = 0; i < fate.copies(); i++) {
             double delay = chance.nextDouble(QUICKEST, SLOWEST) + fate.delay();
@@ -615,7 +615,7 @@
         private int life;
         private boolean up;
         private boolean stalled;
-        private MemberNode member;
+        private ClusterMember member;
         private VoterNode voter;
         private long said;
         private String version = "A";
@@ -625,9 +625,9 @@
         private boolean forRelease;
         private Fleet.Serving serving;
         private ThroughputMeter meter;
-        private ConductorNode conductor;
-        private Use use;
-        private final Map<String, Use.State> stood = new HashMap<>();
+        private RolloutControllerNode conductor;
+        private EndpointSelector use;
+        private final Map<String, EndpointSelector.State> stood = new HashMap<>();
 
         Node(int index) {
             this.index = index;
@@ -637,7 +637,7 @@
             disk = index < setup.voters() ? new Planted.Store(plant) : null;
         }
 
-        public MemberNode member() {
+        public ClusterMember member() {
             return member;
         }
 
@@ -656,22 +656,22 @@
                 setup.below().came(false);
                 return;
             }
-            How how = setup.below().call(time.getAsDouble(), index, server);
-            Use same = use;
-            in(how == How.SILENT ? Servers.PATIENCE : chance.nextDouble(QUICKEST, SLOWEST), () -> {
-                same.ended(clock(), server, how);
-                member.noticed();
-                if (how == How.REFUSED && not < 0 && same.mayRepeat()) {
+            CallOutcome how = setup.below().call(time.getAsDouble(), index, server);
+            EndpointSelector same = use;
+            in(how == CallOutcome.TIMED_OUT ? Servers.PATIENCE : chance.nextDouble(QUICKEST, SLOWEST), () -> {
+                same.callEnded(clock(), server, how);
+                member.dependencyCallEnded();
+                if (how == CallOutcome.UNREACHABLE && not < 0 && same.tryAcquireRetry()) {
                     call(server);
                 } else {
-                    setup.below().came(how == How.ANSWERED);
+                    setup.below().came(how == CallOutcome.ANSWERED);
                 }
             });
         }
 
         private void tellChanges() {
-            for (String server : use.terms().servers()) {
-                Use.State is = use.state(server);
+            for (String server : use.settings().endpoints()) {
+                EndpointSelector.State is = use.state(server);
                 if (stood.put(server, is) != is) {
                     happened(name + " has " + server + ' ' + is);
                 }
@@ -679,7 +679,7 @@
         }
 
         /** How the servers below stand for this one. */
-        public Use use() {
+        public EndpointSelector use() {
             return use;
         }
 
@@ -737,29 +737,29 @@
             SplittableRandom own = chance.split();
             DoubleSupplier clock = this::clock;
             Scheduler timers = this::in;
-            HallTerms terms = terms();
-            member = new MemberNode(terms, Planted.holder(plant, new MemberIdentity(name, life)), timers, clock,
+            MemberSettings terms = terms();
+            member = new ClusterMember(terms, Planted.holder(plant, new MemberIdentity(name, life)), timers, clock,
                     own.split(),
                     new MemberWorld());
-            conductor = setup.roll() == null ? null : new ConductorNode(member.here(), CONDUCTS, timers, clock,
+            conductor = setup.roll() == null ? null : new RolloutControllerNode(member.identity(), CONDUCTS, timers, clock,
                     () -> Math.round(time.getAsDouble() * 1000), member, by -> Planted.conductor(plant, name, by));
             if (setup.below() != null) {
                 use = setup.below().use(own.split());
-                member.below(use);
+                member.setDependencyPool(use);
             }
             member.open();
-            member.well(true);
+            member.setHealthy(true);
             if (disk != null) {
                 LeaseStateMachine ledgerOfDuties = Planted.ledger(plant);
                 DisruptionStateMachine ledgerOfOuts = Planted.outs(plant);
                 ClusterState agreed =
                         new ClusterState(ledgerOfDuties, ledgerOfOuts, Planted.releases(plant, ledgerOfDuties,
                                 ledgerOfOuts, released::add));
-                voter = new VoterNode(terms, disk, timers, clock, own.split(), new VoterNode.World() {
+                voter = new VoterNode(terms, disk, timers, clock, own.split(), new VoterNode.Environment() {
                     @Override
-                    public void say(String to, Saying what) {
-                        if (to.equals(name) || member.membership().other(to) != null || askers.contains(to)) {
-                            send(Node.this, to, member.located(what));
+                    public void sendMessage(String to, ClusterMessage what) {
+                        if (to.equals(name) || member.membership().member(to) != null || askers.contains(to)) {
+                            send(Node.this, to, member.withLeaderAddress(what));
                         }
                     }
 
@@ -775,8 +775,8 @@
             }
         }
 
-        private HallTerms terms() {
-            return new HallTerms(name, name, zone(), List.of(name(0), name(1 % nodes.length), name(2 % nodes.length)),
+        private MemberSettings terms() {
+            return new MemberSettings(name, name, zone(), List.of(name(0), name(1 % nodes.length), name(2 % nodes.length)),
                     List.copyOf(voters), setup.heartbeat(), duties, true, setup.membership(), setup.budgets(),
                     old() ? OLD : NOW);
         }
@@ -792,31 +792,31 @@
 
         /** The voter's sight of the members, as often as on sockets. */
         private void look() {
-            voter.seen(member.looks());
+            voter.membersObserved(member.observations());
             in(0.25, this::look);
         }
 
-        void heard(String from, Saying said) {
+        void heard(String from, ClusterMessage said) {
             if (old() && unreadable(said)) {
                 return;
             }
-            if (plant == Plant.GOES_WITHOUT_A_WORD && said instanceof Saying.MayGo m) {
-                member.heard(from, new Saying.Go(m.token(), ""));
+            if (plant == Plant.GOES_WITHOUT_A_WORD && said instanceof ClusterMessage.ShutdownPermission m) {
+                member.handle(from, new ClusterMessage.ShutdownApproval(m.token(), ""));
                 return;
             }
-            if (said instanceof Saying.Asking) {
+            if (said instanceof ClusterMessage.LeasePoll) {
                 askers.add(from);
             }
-            Saying what = plant == Plant.TRUSTS_OLD_ANSWERS ? Planted.asOfNow(said, voter) : said;
-            if (voter != null && (what instanceof Saying.Consensus || what instanceof Saying.Asking
-                    || what instanceof Saying.AsksToVote || what instanceof Saying.TakenIn
-                    || what instanceof Saying.Going || what instanceof Saying.Leaving
-                    || what instanceof Saying.Conduct)) {
-                voter.heard(from, what);
-            } else if (what instanceof Saying.Asking) {
-                send(this, from, member.elsewhere());
+            ClusterMessage what = plant == Plant.TRUSTS_OLD_ANSWERS ? Planted.asOfNow(said, voter) : said;
+            if (voter != null && (what instanceof ClusterMessage.Consensus || what instanceof ClusterMessage.LeasePoll
+                    || what instanceof ClusterMessage.JoinRequest || what instanceof ClusterMessage.JoinConfirmation
+                    || what instanceof ClusterMessage.ShutdownRequest || what instanceof ClusterMessage.LeaveNotice
+                    || what instanceof ClusterMessage.RolloutProposal)) {
+                voter.handle(from, what);
+            } else if (what instanceof ClusterMessage.LeasePoll) {
+                send(this, from, member.leaderHint());
             } else {
-                member.heard(from, what);
+                member.handle(from, what);
             }
         }
 
@@ -872,10 +872,10 @@
         }
 
         /** As bytes that an older program refuses whole. */
-        private static boolean unreadable(Saying what) {
-            return what instanceof Saying.Conduct || what instanceof Saying.Conducted
-                    || what instanceof Saying.Consensus c && (c.message()instanceof AppendEntriesRequest a
-                            && a.getLogEntries().stream().anyMatch(e -> e.getOperation() instanceof ReleaseOp)
+        private static boolean unreadable(ClusterMessage what) {
+            return what instanceof ClusterMessage.RolloutProposal || what instanceof ClusterMessage.RolloutState
+                    || what instanceof ClusterMessage.Consensus c && (c.message()instanceof AppendEntriesRequest a
+                            && a.getLogEntries().stream().anyMatch(e -> e.getOperation() instanceof RolloutCommand)
                             || c.message() instanceof InstallSnapshotRequest);
         }
 
@@ -887,13 +887,13 @@
             leaving = true;
             int of = life;
             in(0, () -> {
-                member.leave();
+                member.startShutdown();
                 waitForClear(of, until, 40);
             });
         }
 
         private void waitForClear(int of, double until, int tries) {
-            if (member.clear() || tries == 0) {
+            if (member.isIdle() || tries == 0) {
                 member.close();
                 kill(until, false);
             } else {
@@ -907,7 +907,7 @@
                 return;
             }
             OptionalLong may = plant == Plant.BELIEVES_AFTER_A_PAUSE && clock() - lookedAt < setup.lease() / 2
-                    ? believed : member.token(duty);
+                    ? believed : member.fencingToken(duty);
             if (may.isEmpty() || may.getAsLong() != token) {
                 end(duty, token);
                 return;
@@ -921,7 +921,7 @@
         /** Nothing is done under that token any more, and the member is told so. */
         private void end(String duty, long token) {
             done.add(duty + token);
-            member.stopped(duty, token, null);
+            member.taskStopped(duty, token, null);
         }
 
         private void touch(String duty, long token) {
@@ -930,9 +930,9 @@
                     () -> ledger.effect(time.getAsDouble(), duty, token, holder));
         }
 
-        private final class MemberWorld implements MemberNode.World {
+        private final class MemberWorld implements ClusterMember.Environment {
             @Override
-            public void drain(long token, String version) {
+            public void shutdownApproved(long token, String version) {
                 outs.agreed(time.getAsDouble(), index);
                 happened(name + '#' + life + " goes out as agreed under " + token + " to be " + version);
                 if (setup.roll() == null || version.isEmpty()) {
@@ -950,8 +950,8 @@
                     released.add(String.format(Locale.ROOT, "%.3f s: %s goes out to be %s, which it is", now, name,
                             as));
                 }
-                Release agreed = release();
-                if (now - haltedSince > AFTER_HALT && agreed.phase() == Release.Phase.HALTED) {
+                Rollout agreed = release();
+                if (now - haltedSince > AFTER_HALT && agreed.phase() == Rollout.Phase.HALTED) {
                     released.add(String.format(Locale.ROOT, "%.3f s: %s goes out %.1f s behind a halt", now, name,
                             now - haltedSince));
                 }
@@ -977,14 +977,14 @@
             }
 
             @Override
-            public void conducted(Saying.Conducted what) {
+            public void rolloutStateReceived(ClusterMessage.RolloutState what) {
                 if (conductor != null) {
-                    conductor.shown(what);
+                    conductor.handleResponse(what);
                 }
             }
 
             @Override
-            public void say(String to, String address, Saying what) {
+            public void sendMessage(String to, String address, ClusterMessage what) {
                 // Whose address is not known can't be spoken to, as on sockets.
                 if (address != null || to.equals(name) || askers.contains(to)) {
                     send(Node.this, to.isEmpty() ? address : to, what);
@@ -992,11 +992,11 @@
             }
 
             @Override
-            public void start(String duty, long token) {
+            public void startTask(String duty, long token) {
                 happened(name + '#' + life + " takes " + duty + " under " + token);
                 if (duty.equals(CONDUCTS)) {
                     conductor.start(token, () -> {
-                        OptionalLong may = member.token(duty);
+                        OptionalLong may = member.fencingToken(duty);
                         return may.isPresent() && may.getAsLong() == token ? may : OptionalLong.empty();
                     });
                     return;
@@ -1005,11 +1005,11 @@
             }
 
             @Override
-            public void stop(String duty, long token, double within) {
+            public void stopTask(String duty, long token, double within) {
                 happened(name + '#' + life + " stops " + duty + " under " + token);
                 if (duty.equals(CONDUCTS)) {
                     conductor.stop();
-                    in(0, () -> member.stopped(duty, token, null));
+                    in(0, () -> member.taskStopped(duty, token, null));
                     return;
                 }
                 if (plant == Plant.SAYS_STOPPED_TOO_SOON) {
--- a/src/main/java/topazladder/emulator/hall/PlanModel.java
+++ b/src/main/java/topazladder/emulator/hall/PlanModel.java
@@ -13,13 +13,13 @@
 import topazladder.lease.LeaseSettings;
 import topazladder.lease.LeaseStateMachine;
 import topazladder.lease.MemberIdentity;
-import topazladder.release.Conductor;
-import topazladder.release.Judge;
-import topazladder.release.Place;
-import topazladder.release.Plan;
-import topazladder.release.ReleaseLedger;
-import topazladder.release.ReleaseOp;
-import topazladder.release.View;
+import topazladder.release.RolloutController;
+import topazladder.release.CanaryAnalysis;
+import topazladder.release.RolloutTarget;
+import topazladder.release.RolloutPlan;
+import topazladder.release.RolloutStateMachine;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutStatus;
 import topazladder.search.Mail;
 import topazladder.search.Model;
 
@@ -45,10 +45,10 @@
 
     private sealed interface Way {
 
-        record Shown(int conductor, View view) implements Way {
+        record Shown(int conductor, RolloutStatus view) implements Way {
         }
 
-        record Proposed(int conductor, List<ReleaseOp> ops) implements Way {
+        record Proposed(int conductor, List<RolloutCommand> ops) implements Way {
         }
     }
 
@@ -58,8 +58,8 @@
     private final Bounds bounds;
     private final LeaseStateMachine duties = new LeaseStateMachine();
     private final DisruptionStateMachine outs;
-    private final ReleaseLedger releases;
-    private final List<Conductor> conductors = new ArrayList<>();
+    private final RolloutStateMachine releases;
+    private final List<RolloutController> conductors = new ArrayList<>();
     private final Mail<Way> way;
     private final State[] states = new State[MEMBERS];
     private final String[] versions = new String[MEMBERS];
@@ -78,17 +78,17 @@
         duties.apply(new LeaseCommand.Define(List.of(new LeaseSettings(DUTY, 2, 9))));
         outs.apply(new DisruptionCommand.SetBudgets(
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", bounds.budget(), 1))));
-        List<Place> places = new ArrayList<>();
+        List<RolloutTarget> places = new ArrayList<>();
         for (int m = 0; m < MEMBERS; m++) {
             states[m] = State.SERVES;
             versions[m] = "A";
             next[m] = "A";
             lives[m] = 1;
             outs.apply(new DisruptionCommand.SetCapacity(subject(m), 1));
-            places.add(new Place("n" + m, "", m < 2, 0, Place.Stage.LEFT, 0));
+            places.add(new RolloutTarget("n" + m, "", m < 2, 0, RolloutTarget.Stage.LEFT, 0));
         }
-        releases.apply(new ReleaseOp.Start(ReleaseOp.By.operator(0), new Plan("b", "A", "B", List.of(new Plan.Wave("",
-                0, 1, 0)), Judge.Terms.USUAL, 1e9, 9, 9, false), List.copyOf(places)));
+        releases.apply(new RolloutCommand.Start(RolloutCommand.Proposer.operator(0), new RolloutPlan("b", "A", "B", List.of(new RolloutPlan.Wave("",
+                0, 1, 0)), CanaryAnalysis.Thresholds.DEFAULT, 1e9, 9, 9, false), List.copyOf(places)));
         conducts();
     }
 
@@ -103,25 +103,25 @@
         }
         long token = duties.apply(new LeaseCommand.Grant(DUTY, new MemberIdentity("n" + conductors.size() % MEMBERS, 1),
                 conductors.size())).fencingToken();
-        conductors.add(Planted.conductor(plant, "n9", new ReleaseOp.By(DUTY, token, 0)));
+        conductors.add(Planted.conductor(plant, "n9", new RolloutCommand.Proposer(DUTY, token, 0)));
         show(conductors.size() - 1);
     }
 
     private void show(int conductor) {
-        List<View.Sight> sights = new ArrayList<>();
+        List<RolloutStatus.InstanceStatus> sights = new ArrayList<>();
         for (int m = 0; m < MEMBERS; m++) {
             Health look =
                     states[m] == State.DOWN ? Health.GONE : states[m] == State.COLD ? Health.UNSTEADY : Health.STEADY;
-            sights.add(new View.Sight("n" + m, "", look, lives[m], outs.get(subject(m)), null,
+            sights.add(new RolloutStatus.InstanceStatus("n" + m, "", look, lives[m], outs.get(subject(m)), null,
                     states[m] == State.DOWN ? null : new LoadReport(versions[m], 3, 0, 0, 0, 1, 1)));
         }
-        way.add(new Way.Shown(conductor, new View(releases.release(), List.copyOf(sights))));
+        way.add(new Way.Shown(conductor, new RolloutStatus(releases.rollout(), List.copyOf(sights))));
     }
 
     @Override
     public List<String> choices() {
         List<String> all = new ArrayList<>();
-        if (releases.release().over()) {
+        if (releases.rollout().isDone()) {
             return all;
         }
         all.addAll(way.choices());
@@ -161,16 +161,16 @@
             c--;
         }
         words++;
-        ReleaseOp.By by = ReleaseOp.By.operator(0);
-        long id = releases.release().id();
-        apply(c == 0 ? new ReleaseOp.Halt(by, id, "me") : c == 1 ? new ReleaseOp.Resume(by, id)
-                : new ReleaseOp.Back(by, id));
+        RolloutCommand.Proposer by = RolloutCommand.Proposer.operator(0);
+        long id = releases.rollout().id();
+        apply(c == 0 ? new RolloutCommand.Halt(by, id, "me") : c == 1 ? new RolloutCommand.Resume(by, id)
+                : new RolloutCommand.RollBack(by, id));
     }
 
     private void comes(Way w) {
         if (w instanceof Way.Shown s) {
             now++;
-            List<ReleaseOp> ops = conductors.get(s.conductor()).next(now, 0, s.view());
+            List<RolloutCommand> ops = conductors.get(s.conductor()).nextCommands(now, 0, s.view());
             // Where it has nothing to say it is shown anew once something has changed, which the search does by itself.
             if (!ops.isEmpty()) {
                 way.add(new Way.Proposed(s.conductor(), ops));
@@ -183,11 +183,11 @@
         }
     }
 
-    private void apply(ReleaseOp op) {
+    private void apply(RolloutCommand op) {
         releases.apply(op);
-        if (releases.release().over()) {
+        if (releases.rollout().isDone()) {
             for (int m = 0; m < MEMBERS; m++) {
-                if (!versions[m].equals(releases.release().target())) {
+                if (!versions[m].equals(releases.rollout().targetVersion())) {
                     broken = "it is done, and n" + m + " runs " + versions[m];
                 }
             }
--- a/src/main/java/topazladder/emulator/hall/Plant.java
+++ b/src/main/java/topazladder/emulator/hall/Plant.java
@@ -3,7 +3,7 @@
 import java.util.EnumSet;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import topazladder.below.Use;
+import topazladder.below.EndpointSelector;
 
 /** Mistakes that are put into a trial on purpose, to see whether its checks would find them. */
 public enum Plant {
@@ -74,7 +74,7 @@
     NEVER_TRIED_AGAIN;
 
     /** An instance's use of servers below, with that mistake where it is one of them. */
-    public static Use use(Plant plant, Use.Terms terms, RandomGenerator chance) {
+    public static EndpointSelector use(Plant plant, EndpointSelector.Settings terms, RandomGenerator chance) {
         return Planted.use(plant, terms, chance);
     }
 
--- a/src/main/java/topazladder/emulator/hall/Planted.java
+++ b/src/main/java/topazladder/emulator/hall/Planted.java
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import topazladder.below.Use;
-import topazladder.below.Verdicts;
+import topazladder.below.EndpointSelector;
+import topazladder.below.OutlierDetector;
 import topazladder.consensus.InMemoryVoterStore;
 import topazladder.disruption.DisruptionCommand;
 import topazladder.disruption.DisruptionController;
 import topazladder.disruption.DisruptionStateMachine;
 import topazladder.disruption.DisruptionTarget;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 import topazladder.hall.VoterNode;
 import topazladder.lease.LeaseCommand;
 import topazladder.lease.LeaseHolder;
@@ -25,13 +25,13 @@
 import topazladder.lease.LeaseState;
 import topazladder.lease.LeaseStateMachine;
 import topazladder.lease.MemberIdentity;
-import topazladder.release.Conductor;
-import topazladder.release.Judge;
-import topazladder.release.Place;
-import topazladder.release.Release;
-import topazladder.release.ReleaseLedger;
-import topazladder.release.ReleaseOp;
-import topazladder.release.View;
+import topazladder.release.RolloutController;
+import topazladder.release.CanaryAnalysis;
+import topazladder.release.RolloutTarget;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutStateMachine;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutStatus;
 
 /** The program's own objects, each with one mistake planted. */
 final class Planted {
@@ -151,71 +151,71 @@
         };
     }
 
-    static Conductor conductor(Plant plant, String self, ReleaseOp.By by) {
-        return new Conductor(self, by) {
+    static RolloutController conductor(Plant plant, String self, RolloutCommand.Proposer by) {
+        return new RolloutController(self, by) {
             private boolean begun;
 
             @Override
-            public List<ReleaseOp> next(double now, long atMillis, View v) {
-                List<ReleaseOp> ops = new ArrayList<>(super.next(now, atMillis, v));
-                if (plant == Plant.A_STEP_TWICE && !begun && v.release() != null && !v.release().over()) {
+            public List<RolloutCommand> nextCommands(double now, long atMillis, RolloutStatus v) {
+                List<RolloutCommand> ops = new ArrayList<>(super.nextCommands(now, atMillis, v));
+                if (plant == Plant.A_STEP_TWICE && !begun && v.rollout() != null && !v.rollout().isDone()) {
                     // As one that goes by its own list, from its first line.
-                    v.release().places().stream().filter(p -> p.stage() == Place.Stage.MOVED).forEach(p -> ops.add(
-                            new ReleaseOp.Ask(by, v.release().id(), v.release().started(), p.name(), p.attempt() + 1)));
+                    v.rollout().targets().stream().filter(p -> p.stage() == RolloutTarget.Stage.MOVED).forEach(p -> ops.add(
+                            new RolloutCommand.RequestGrant(by, v.rollout().id(), v.rollout().generation(), p.name(), p.attempt() + 1)));
                 }
                 begun = true;
                 return ops;
             }
 
             @Override
-            protected boolean isMoved(Release r, View.Sight s) {
+            protected boolean isUpdated(Rollout r, RolloutStatus.InstanceStatus s) {
                 return plant == Plant.TAKES_ANY_RETURN_FOR_MOVED
-                        ? s.out() == null && s.look() != DisruptionController.Health.GONE
-                                && r.place(s.name()).attempt() > 0 || super.isMoved(r, s)
-                        : super.isMoved(r, s);
+                        ? s.disruption() == null && s.health() != DisruptionController.Health.GONE
+                                && r.findTarget(s.name()).attempt() > 0 || super.isUpdated(r, s)
+                        : super.isUpdated(r, s);
             }
 
             @Override
-            protected void judged(List<Judge.Look> looks) {
-                super.judged(plant != Plant.JUDGES_B_BY_ITSELF ? looks : looks.stream().flatMap(l -> l.moved()
-                        ? java.util.stream.Stream.of(l, new Judge.Look(l.name(), l.zone(), false, l.share(),
-                                l.failed(), l.megabytes()))
+            protected void addSamples(List<CanaryAnalysis.Sample> looks) {
+                super.addSamples(plant != Plant.JUDGES_B_BY_ITSELF ? looks : looks.stream().flatMap(l -> l.isOnB()
+                        ? java.util.stream.Stream.of(l, new CanaryAnalysis.Sample(l.name(), l.zone(), false, l.servedShare(),
+                                l.failedShare(), l.memoryMegabytes()))
                         : java.util.stream.Stream.empty()).toList());
             }
         };
     }
 
     /** @param broken is told of each step that counted though whoever proposed it does not conduct */
-    static ReleaseLedger releases(Plant plant, LeaseStateMachine duties, DisruptionStateMachine outs,
+    static RolloutStateMachine releases(Plant plant, LeaseStateMachine duties, DisruptionStateMachine outs,
             Consumer<String> broken) {
-        return new ReleaseLedger(duties, outs) {
+        return new RolloutStateMachine(duties, outs) {
             @Override
-            public Outcome apply(ReleaseOp op) {
-                LeaseState duty = op.by().conducts() ? duties.get(op.by().duty()) : null;
+            public Outcome apply(RolloutCommand op) {
+                LeaseState duty = op.proposer().isLeaseHolder() ? duties.get(op.proposer().leaseName()) : null;
                 Outcome outcome = super.apply(op);
-                if (outcome.done() && op.by().conducts() && (duty == null || !duty.isHeld()
-                        || duty.fencingToken() != op.by().token())) {
-                    broken.accept("a step under " + op.by().token() + " counts, which is no conductor's: " + op);
+                if (outcome.isApplied() && op.proposer().isLeaseHolder() && (duty == null || !duty.isHeld()
+                        || duty.fencingToken() != op.proposer().fencingToken())) {
+                    broken.accept("a step under " + op.proposer().fencingToken() + " counts, which is no conductor's: " + op);
                 }
                 return outcome;
             }
 
             @Override
-            protected String notTheConductor(ReleaseOp.By by) {
-                return plant == Plant.OBEYS_AN_EARLIER_CONDUCTOR ? null : super.notTheConductor(by);
+            protected String leaseRejection(RolloutCommand.Proposer by) {
+                return plant == Plant.OBEYS_AN_EARLIER_CONDUCTOR ? null : super.leaseRejection(by);
             }
 
             @Override
-            protected String refused(ReleaseOp.Ask a) {
-                return plant == Plant.VOTERS_TOGETHER && release().place(a.place()).stage() == Place.Stage.LEFT
-                        && a.attempt() == release().place(a.place()).attempt() + 1
-                        || plant == Plant.A_STEP_TWICE && release().place(a.place()) != null ? null : super.refused(a);
+            protected String rejectionOfRequest(RolloutCommand.RequestGrant a) {
+                return plant == Plant.VOTERS_TOGETHER && rollout().findTarget(a.instance()).stage() == RolloutTarget.Stage.LEFT
+                        && a.attempt() == rollout().findTarget(a.instance()).attempt() + 1
+                        || plant == Plant.A_STEP_TWICE && rollout().findTarget(a.instance()) != null ? null : super.rejectionOfRequest(a);
             }
 
             @Override
-            protected void withdraw() {
+            protected void withdrawRequests() {
                 if (plant != Plant.A_HALT_LEAVES_PERMISSIONS) {
-                    super.withdraw();
+                    super.withdrawRequests();
                 }
             }
         };
@@ -261,21 +261,21 @@
         };
     }
 
-    static Verdicts verdicts(Plant plant, DisruptionStateMachine ledger) {
-        return new Verdicts(ledger) {
+    static OutlierDetector verdicts(Plant plant, DisruptionStateMachine ledger) {
+        return new OutlierDetector(ledger) {
             @Override
-            protected boolean ill(int ill, int tried, int watchers) {
-                return plant == Plant.ONE_WATCHER_IS_ENOUGH ? ill > 0 : super.ill(ill, tried, watchers);
+            protected boolean isUnhealthy(int ill, int tried, int watchers) {
+                return plant == Plant.ONE_WATCHER_IS_ENOUGH ? ill > 0 : super.isUnhealthy(ill, tried, watchers);
             }
 
             @Override
-            protected boolean tooMany(int ill, int servers) {
-                return plant != Plant.MOST_ILL_COUNTS && super.tooMany(ill, servers);
+            protected boolean isMajorityUnhealthy(int ill, int servers) {
+                return plant != Plant.MOST_ILL_COUNTS && super.isMajorityUnhealthy(ill, servers);
             }
 
             @Override
-            protected boolean believed(boolean tellsOfServers) {
-                return plant == Plant.MOST_ILL_COUNTS || super.believed(tellsOfServers);
+            protected boolean isCredible(boolean tellsOfServers) {
+                return plant == Plant.MOST_ILL_COUNTS || super.isCredible(tellsOfServers);
             }
 
             @Override
@@ -287,31 +287,31 @@
         };
     }
 
-    static Use use(Plant plant, Use.Terms terms, RandomGenerator chance) {
-        return new Use(terms, chance) {
+    static EndpointSelector use(Plant plant, EndpointSelector.Settings terms, RandomGenerator chance) {
+        return new EndpointSelector(terms, chance) {
             @Override
-            protected double ramp(double seconds) {
-                return plant == Plant.COMES_BACK_AT_ONCE ? 1 : super.ramp(seconds);
+            protected double slowStartFraction(double seconds) {
+                return plant == Plant.COMES_BACK_AT_ONCE ? 1 : super.slowStartFraction(seconds);
             }
 
             @Override
-            protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
-                return plant == Plant.LEAVES_OUT_BY_ITSELF || super.mayLeaveOut(allowed, alone, leftOut);
+            protected boolean mayEject(boolean allowed, boolean alone, long leftOut) {
+                return plant == Plant.LEAVES_OUT_BY_ITSELF || super.mayEject(allowed, alone, leftOut);
             }
 
             @Override
-            protected boolean tooMany(long ill, long known) {
+            protected boolean isMajorityUnhealthy(long ill, long known) {
                 return plant != Plant.LEAVES_OUT_BY_ITSELF && plant != Plant.MOST_ILL_COUNTS
-                        && super.tooMany(ill, known);
+                        && super.isMajorityUnhealthy(ill, known);
             }
         };
     }
 
     /** An old answer with the term of now, so that it passes for one to what was asked now. */
-    static Saying asOfNow(Saying what, VoterNode voter) {
-        if (what instanceof Saying.Consensus c && c.message()instanceof AppendEntriesSuccessResponse r
+    static ClusterMessage asOfNow(ClusterMessage what, VoterNode voter) {
+        if (what instanceof ClusterMessage.Consensus c && c.message()instanceof AppendEntriesSuccessResponse r
                 && voter != null && voter.replica() != null && r.getTerm() < voter.replica().term()) {
-            return new Saying.Consensus(new DefaultRaftModelFactory().createAppendEntriesSuccessResponseBuilder()
+            return new ClusterMessage.Consensus(new DefaultRaftModelFactory().createAppendEntriesSuccessResponseBuilder()
                     .setGroupId(r.getGroupId()).setSender(r.getSender()).setTerm(voter.replica().term())
                     .setLastLogIndex(r.getLastLogIndex()).setQuerySequenceNumber(r.getQuerySequenceNumber())
                     .setFlowControlSequenceNumber(r.getFlowControlSequenceNumber()).build());
@@ -321,7 +321,7 @@
 
     static final class Store extends InMemoryVoterStore {
         private final Plant plant;
-        private Founding before;
+        private VoterIdentity before;
 
         Store(Plant plant) {
             this.plant = plant;
@@ -339,13 +339,13 @@
 
         @Override
         public void wipe() {
-            before = founding();
+            before = identity();
             super.wipe();
         }
 
         @Override
-        public Founding founding() {
-            Founding now = super.founding();
+        public VoterIdentity identity() {
+            VoterIdentity now = super.identity();
             return now == null && plant == Plant.VOTES_AS_ITS_OLD_SELF ? before : now;
         }
     }
--- a/src/main/java/topazladder/emulator/hall/Servers.java
+++ b/src/main/java/topazladder/emulator/hall/Servers.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
 import java.util.random.RandomGenerator;
-import topazladder.below.How;
-import topazladder.below.Use;
+import topazladder.below.CallOutcome;
+import topazladder.below.EndpointSelector;
 
 /**
  * Servers below a hall in virtual time: which are ill, to whom the way is bad, and what calls come to. What is left out
@@ -68,7 +68,7 @@
     private final int budget;
     private final double alone;
     private final List<Trouble> troubles;
-    private final BiFunction<Use.Terms, RandomGenerator, Use> maker;
+    private final BiFunction<EndpointSelector.Settings, RandomGenerator, EndpointSelector> maker;
     private double[][] lastCall = new double[0][];
     private double[] callsSince = new double[0];
     private final List<List<Double>> recent = new ArrayList<>(); // calls of the last second, by server
@@ -89,7 +89,7 @@
      * @param maker of each instance's use; trials plant ones that err
      */
     public Servers(int count, int budget, double alone, List<Trouble> troubles,
-            BiFunction<Use.Terms, RandomGenerator, Use> maker) {
+            BiFunction<EndpointSelector.Settings, RandomGenerator, EndpointSelector> maker) {
         this.count = count;
         this.budget = budget;
         this.alone = alone;
@@ -140,8 +140,8 @@
         return names;
     }
 
-    Use use(RandomGenerator chance) {
-        return maker.apply(new Use.Terms(names(count), alone), chance);
+    EndpointSelector use(RandomGenerator chance) {
+        return maker.apply(new EndpointSelector.Settings(names(count), alone), chance);
     }
 
     int budget() {
@@ -149,7 +149,7 @@
     }
 
     /** What a call comes to now. */
-    How call(double now, int instance, int server) {
+    CallOutcome call(double now, int instance, int server) {
         if (lastCall.length <= instance) {
             int from = lastCall.length;
             lastCall = Arrays.copyOf(lastCall, instance + 1);
@@ -167,11 +167,11 @@
         recent.get(server).add(now);
         for (Trouble t : troubles) {
             if (t.on(now) && hits(t, instance, server)) {
-                return t.kind() == Kind.HANGS || t.kind() == Kind.LINK && t.server() % 2 == 0 ? How.SILENT
-                        : How.REFUSED;
+                return t.kind() == Kind.HANGS || t.kind() == Kind.LINK && t.server() % 2 == 0 ? CallOutcome.TIMED_OUT
+                        : CallOutcome.UNREACHABLE;
             }
         }
-        return How.ANSWERED;
+        return CallOutcome.ANSWERED;
     }
 
     private boolean hits(Trouble t, int instance, int server) {
--- a/src/main/java/topazladder/experiment/BelowsExperiment.java
+++ b/src/main/java/topazladder/experiment/BelowsExperiment.java
@@ -11,8 +11,8 @@
 import java.util.random.RandomGenerator;
 import java.util.stream.LongStream;
 import org.apache.commons.statistics.descriptive.Quantile;
-import topazladder.below.Use;
-import topazladder.below.Word;
+import topazladder.below.EndpointSelector;
+import topazladder.below.EjectionDirective;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.HallWorld;
@@ -51,7 +51,7 @@
                 (terms, chance) -> Plant.use(plant, terms, chance));
         double end = Math.max(drawn.length(), servers.end()) + QUIET;
         Schedule s = new Schedule(seed, members, drawn.voters(), drawn.clocks(), drawn.faults(), end - drawn.length());
-        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
+        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", budget, 1)))
                         .calling(servers);
         return new Played(servers, new HallWorld(s, setup, plant).play());
@@ -108,17 +108,17 @@
 
     /** By agreement, each by itself, and nobody at all, on days that share their troubles. */
     public static String compare(int members, int seeds) {
-        Map<String, BiFunction<Use.Terms, RandomGenerator, Use>> ways = new java.util.LinkedHashMap<>();
-        ways.put("by agreement", Use::new);
+        Map<String, BiFunction<EndpointSelector.Settings, RandomGenerator, EndpointSelector>> ways = new java.util.LinkedHashMap<>();
+        ways.put("by agreement", EndpointSelector::new);
         ways.put("each by itself", Single::new);
-        ways.put("none is left out", (terms, chance) -> new Use(terms, chance) {
+        ways.put("none is left out", (terms, chance) -> new EndpointSelector(terms, chance) {
             @Override
-            public void told(double now, long of, List<Word> words) {
+            public void applyDirectives(double now, long of, List<EjectionDirective> words) {
                 // goes on as it is
             }
 
             @Override
-            protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
+            protected boolean mayEject(boolean allowed, boolean alone, long leftOut) {
                 return false;
             }
         });
@@ -142,29 +142,29 @@
     }
 
     /** As most would do it: out at once for whoever finds it ill, however many that are. */
-    private static final class Single extends Use {
-        Single(Terms terms, RandomGenerator chance) {
+    private static final class Single extends EndpointSelector {
+        Single(Settings terms, RandomGenerator chance) {
             super(terms, chance);
         }
 
         @Override
-        public void told(double now, long of, List<Word> words) {
+        public void applyDirectives(double now, long of, List<EjectionDirective> words) {
             // the hall has no say
         }
 
         @Override
-        protected boolean mayLeaveOut(boolean allowed, boolean alone, long leftOut) {
+        protected boolean mayEject(boolean allowed, boolean alone, long leftOut) {
             return true;
         }
 
         @Override
-        protected boolean tooMany(long ill, long known) {
+        protected boolean isMajorityUnhealthy(long ill, long known) {
             return false;
         }
     }
 
     private static double[] day(String day, long seed, int members,
-            BiFunction<Use.Terms, RandomGenerator, Use> maker) {
+            BiFunction<EndpointSelector.Settings, RandomGenerator, EndpointSelector> maker) {
         Servers servers = new Servers(SERVERS, 1, ALONE, switch (day) {
             case "bad links" -> Servers.badLinks(seed, members, SERVERS, DAY);
             case "servers that die" -> deaths(seed);
@@ -173,7 +173,7 @@
         Schedule s = new Schedule(seed, members, Schedule.votersOf(members), Collections.nCopies(members, 1.0),
                 List.of(), 0);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(members, s.voters(), 1, 2, 0.2,
-                new Membership.Terms(0.3, 3, 3600),
+                new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", 1, 1)))
                         .calling(servers),
                 Plant.NONE).open();
--- a/src/main/java/topazladder/experiment/DutiesExperiment.java
+++ b/src/main/java/topazladder/experiment/DutiesExperiment.java
@@ -147,7 +147,7 @@
             List<Double> clocks = Collections.nCopies(n, 1.0);
             Schedule s = new Schedule(1, n, voters, clocks, List.of(), 54);
             HallWorld world = new HallWorld(s, new HallWorld.Setup(n, voters, Math.min(300, 3 * n), 10, 0.5,
-                    Membership.Terms.USUAL), Plant.NONE).open();
+                    Membership.Settings.DEFAULTS), Plant.NONE).open();
             world.time().runUntil(30);
             HallWorld.Outcome before = world.outcome();
             world.time().runUntil(90);
@@ -169,7 +169,7 @@
                 Schedule s = new Schedule(seed, 5, 3, Collections.nCopies(5, 1.0),
                         List.of(new Fault(10, kind, Fault.HOLDER, -1, 12, 0)), 12);
                 HallWorld.Setup setup = new HallWorld.Setup(5, 3, 1, 2, 0.2,
-                        new Membership.Terms(0.5, 3, 3600));
+                        new Membership.Settings(0.5, 3, 3600));
                 return new HallWorld(s, setup, Plant.NONE).play().longestGap();
             }).toArray();
             double[] q = Quantile.withDefaults().evaluate(gaps, 0.5, 0.95, 1);
--- a/src/main/java/topazladder/experiment/RegionsExperiment.java
+++ b/src/main/java/topazladder/experiment/RegionsExperiment.java
@@ -11,9 +11,9 @@
 import topazladder.faults.Fault;
 import topazladder.faults.Links;
 import topazladder.faults.Schedule;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 import topazladder.membership.Membership;
-import topazladder.membership.Standing;
+import topazladder.membership.MemberStatus;
 import topazladder.net.codec.HallMessages;
 import topazladder.net.codec.PeerFrames;
 
@@ -49,11 +49,11 @@
 
     private HallWorld world(long seed) {
         Schedule schedule = new Schedule(seed, members, voters, Collections.nCopies(members, 1.0), List.of(), 0);
-        HallWorld.Setup setup = new HallWorld.Setup(members, voters, LEASES, LEASE, HEARTBEAT, Membership.Terms.USUAL);
+        HallWorld.Setup setup = new HallWorld.Setup(members, voters, LEASES, LEASE, HEARTBEAT, Membership.Settings.DEFAULTS);
         return new HallWorld(schedule, setup, Plant.NONE, this::count).open();
     }
 
-    private Saying count(Saying said) {
+    private ClusterMessage count(ClusterMessage said) {
         if (counting) {
             messages++;
             bytes += PeerFrames.sizeOnWire(HallMessages.bytes(said).length);
@@ -118,10 +118,10 @@
     private long[] counted(HallWorld world, int member, IntPredicate gone) {
         long unknown = 0;
         long wrong = 0;
-        for (Standing s : world.node(member).member().membership().others()) {
+        for (MemberStatus s : world.node(member).member().membership().otherMembers()) {
             boolean is = gone.test(Integer.parseInt(s.name().substring(1)));
-            unknown += is && s.there() ? 1 : 0;
-            wrong += !is && s.state() != Standing.State.ALIVE ? 1 : 0;
+            unknown += is && s.isPresent() ? 1 : 0;
+            wrong += !is && s.state() != MemberStatus.State.ALIVE ? 1 : 0;
         }
         return new long[] {unknown, wrong};
     }
@@ -166,7 +166,7 @@
         for (int i = 0; i < members; i++) {
             int region = apart.test(i) ? 1 : 0;
             for (int d = 0; d < LEASES; d++) {
-                held[region] += world.node(i).member().token("duty-" + d).isPresent() ? 1 : 0;
+                held[region] += world.node(i).member().fencingToken("duty-" + d).isPresent() ? 1 : 0;
             }
         }
         table.append(String.format(Locale.ROOT, "| %s | %.0f | %.2f | %.0f | %d | %d |%n", name, seconds,
--- a/src/main/java/topazladder/experiment/ReleasesExperiment.java
+++ b/src/main/java/topazladder/experiment/ReleasesExperiment.java
@@ -26,10 +26,10 @@
 import topazladder.faults.Fault.Kind;
 import topazladder.faults.Schedule;
 import topazladder.membership.Membership;
-import topazladder.release.Judge;
-import topazladder.release.Plan;
-import topazladder.release.Release;
-import topazladder.release.ReleaseOp;
+import topazladder.release.CanaryAnalysis;
+import topazladder.release.RolloutPlan;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutCommand;
 import topazladder.rig.HallRig;
 import topazladder.rig.RigPlan;
 
@@ -52,8 +52,8 @@
     private record Played(HallWorld world, HallWorld.Outcome outcome, boolean bad) {
 
         boolean ended() {
-            Release r = world.release();
-            return r != null && r.phase() != Release.Phase.RUNNING;
+            Rollout r = world.release();
+            return r != null && r.phase() != Rollout.Phase.RUNNING;
         }
     }
 
@@ -64,7 +64,7 @@
         double trouble = chance.nextInt(2) == 0 ? 0 : 0.08;
         Map<String, Quality> versions = bad ? Map.of("B", BAD.get(chance.nextInt(BAD.size()))) : Map.of();
         int budget = Math.max(1, members / 4);
-        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
+        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 2, 0.2, new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
                 new HallWorld.Roll(
                         new Fleet(members, LOAD, versions, chance.split()),
@@ -72,8 +72,8 @@
                                 trouble),
                         2, DOWN, Set.of()));
         HallWorld world = new HallWorld(s, setup, plant).open();
-        Plan plan = new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 9), new Plan.Wave("", 0, 0.5, 9)),
-                Judge.Terms.USUAL, 40, 3, members, false);
+        RolloutPlan plan = new RolloutPlan("b", "A", "B", List.of(new RolloutPlan.Wave("", 1, 1, 9), new RolloutPlan.Wave("", 0, 0.5, 9)),
+                CanaryAnalysis.Thresholds.DEFAULT, 40, 3, members, false);
         world.time().schedule(BEGIN, () -> world.release(plan));
         // Operators that change their minds, sometimes at the same moment.
         int words = chance.nextInt(3);
@@ -89,10 +89,10 @@
 
     private static void word(HallWorld world, int what) {
         world.order(replica -> {
-            Release r = replica.state().rollouts().release();
-            ReleaseOp.By by = ReleaseOp.By.operator(0);
-            return r == null ? null : what == 0 ? new ReleaseOp.Halt(by, r.id(), "by an operator")
-                    : what == 1 ? new ReleaseOp.Resume(by, r.id()) : new ReleaseOp.Back(by, r.id());
+            Rollout r = replica.state().rollouts().rollout();
+            RolloutCommand.Proposer by = RolloutCommand.Proposer.operator(0);
+            return r == null ? null : what == 0 ? new RolloutCommand.Halt(by, r.id(), "by an operator")
+                    : what == 1 ? new RolloutCommand.Resume(by, r.id()) : new RolloutCommand.RollBack(by, r.id());
         });
     }
 
@@ -109,14 +109,14 @@
         LongStream.range(firstSeed, firstSeed + seeds).parallel().forEach(seed -> {
             Played p = play(seed, members, Plant.NONE);
             went.addAndGet(p.world().outs().went());
-            Release r = p.world().release();
-            done.addAndGet(r != null && r.over() ? 1 : 0);
-            halted.addAndGet(r != null && r.phase() == Release.Phase.HALTED ? 1 : 0);
-            if (r != null && r.phase() == Release.Phase.RUNNING) {
+            Rollout r = p.world().release();
+            done.addAndGet(r != null && r.isDone() ? 1 : 0);
+            halted.addAndGet(r != null && r.phase() == Rollout.Phase.HALTED ? 1 : 0);
+            if (r != null && r.phase() == Rollout.Phase.RUNNING) {
                 unfinished.add(seed);
                 if (unfinished.size() <= SHOWN) {
-                    System.err.println("seed " + seed + " is not through: wave " + r.wave() + " towards " + r.target()
-                            + ", " + r.places() + "; the world has " + p.world().versions());
+                    System.err.println("seed " + seed + " is not through: wave " + r.wave() + " towards " + r.targetVersion()
+                            + ", " + r.targets() + "; the world has " + p.world().versions());
                     p.outcome().happenings().forEach(h -> System.err.println("  " + h));
                 }
             }
@@ -159,17 +159,17 @@
             int step = (int) (play / each);
             Cut cut = Cut.values()[(int) (play % each)];
             HallWorld world = cut(members, budget, step, cut, Plant.NONE);
-            Release r = world.release();
-            done.addAndGet(r != null && r.over() ? 1 : 0);
-            halted.addAndGet(r != null && r.phase() == Release.Phase.HALTED ? 1 : 0);
-            boolean runs = r == null || r.phase() == Release.Phase.RUNNING;
+            Rollout r = world.release();
+            done.addAndGet(r != null && r.isDone() ? 1 : 0);
+            halted.addAndGet(r != null && r.phase() == Rollout.Phase.HALTED ? 1 : 0);
+            boolean runs = r == null || r.phase() == Rollout.Phase.RUNNING;
             running.addAndGet(runs ? 1 : 0);
             List<String> breaks = world.outcome().breaks();
             if (!breaks.isEmpty() || runs) {
                 broken.add(play);
                 synchronized (bad) {
                     bad.append("step ").append(step).append(", ").append(cut).append(": ").append(breaks).append(' ')
-                            .append(runs ? r == null ? "no release" : "still running: " + r.places() : "").append('\n');
+                            .append(runs ? r == null ? "no release" : "still running: " + r.targets() : "").append('\n');
                 }
             }
         });
@@ -200,7 +200,7 @@
         HallWorld world = ordinary(members, budget, Plant.NONE);
         int steps = 0;
         String before = null;
-        while (world.time().getAsDouble() < LONGEST_ORDINARY && (world.release() == null || !world.release().over())) {
+        while (world.time().getAsDouble() < LONGEST_ORDINARY && (world.release() == null || !world.release().isDone())) {
             world.time().runUntil(world.time().getAsDouble() + LOOK_EVERY);
             String now = world.step();
             steps += now != null && !now.equals(before) ? 1 : 0;
@@ -217,13 +217,13 @@
     private static HallWorld ordinary(int members, int budget, Plant plant) {
         Schedule s = new Schedule(7, members, 3, Collections.nCopies(members, 1.0), List.of(), 0);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(members, 3, 1, 2, 0.2,
-                new Membership.Terms(0.3, 3, 3600),
+                new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
                 new HallWorld.Roll(new Fleet(members, LOAD, Map.of(), new SplittableRandom(7)), Supervisor.GOOD, 2,
                         DOWN, Set.of())),
                 plant).open();
-        world.time().schedule(BEGIN, () -> world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 4)),
-                Judge.Terms.USUAL, 60, 3, members, false)));
+        world.time().schedule(BEGIN, () -> world.release(new RolloutPlan("b", "A", "B", List.of(new RolloutPlan.Wave("", 1, 1, 4)),
+                CanaryAnalysis.Thresholds.DEFAULT, 60, 3, members, false)));
         return world;
     }
 
@@ -363,7 +363,7 @@
             long[] found = LongStream.range(firstSeed, firstSeed + seeds).parallel().filter(seed -> {
                 Played p = play(seed, members, plant);
                 return !p.outcome().breaks().isEmpty() || plant == Plant.JUDGES_B_BY_ITSELF && p.bad()
-                        && p.world().release() != null && p.world().release().over() && !p.world().release().back();
+                        && p.world().release() != null && p.world().release().isDone() && !p.world().release().isRollback();
             }).sorted().toArray();
             if (found.length > 0) {
                 firsts.put(plant, found[0]);
@@ -406,7 +406,7 @@
                 List.of(),
                 0);
         SplittableRandom chance = new SplittableRandom(seed);
-        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 4, 0.4, new Membership.Terms(0.5, 3, 3600),
+        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 4, 0.4, new Membership.Settings(0.5, 3, 3600),
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
                 new HallWorld.Roll(
                         new Fleet(members, 0.8, Map.of(), chance.split()), Supervisor.GOOD, 2, DOWN, Set.of()));
@@ -416,7 +416,7 @@
         double[] before = setup.roll().fleet().payoff();
         double begun = world.time().getAsDouble();
         if (way.startsWith("agreed")) {
-            world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 0)), Judge.Terms.USUAL, 60, 2,
+            world.release(new RolloutPlan("b", "A", "B", List.of(new RolloutPlan.Wave("", 1, 1, 0)), CanaryAnalysis.Thresholds.DEFAULT, 60, 2,
                     members, false));
         } else {
             double every = (DOWN + 4) / atOnce;
@@ -467,7 +467,7 @@
         Schedule s = new Schedule(seed, members, Schedule.votersOf(members), Collections.nCopies(members, 1.0),
                 List.of(),
                 0);
-        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 4, 0.4, new Membership.Terms(0.5, 3, 3600),
+        HallWorld.Setup setup = new HallWorld.Setup(members, s.voters(), 1, 4, 0.4, new Membership.Settings(0.5, 3, 3600),
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", Math.max(1, members / 10), 1)),
                 new HallWorld.Roll(new Fleet(members, 0.8, Map.of("B", q), new SplittableRandom(seed)),
                         Supervisor.GOOD, 2, DOWN, Set.of()));
@@ -475,19 +475,19 @@
         world.time().runUntil(30);
         double[] before = setup.roll().fleet().payoff();
         double begun = world.time().getAsDouble();
-        world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 60), new Plan.Wave("", 0, 0.2, 60),
-                new Plan.Wave("", 0, 0.5, 60)), Judge.Terms.USUAL, 60, 2, members, false));
+        world.release(new RolloutPlan("b", "A", "B", List.of(new RolloutPlan.Wave("", 1, 1, 60), new RolloutPlan.Wave("", 0, 0.2, 60),
+                new RolloutPlan.Wave("", 0, 0.5, 60)), CanaryAnalysis.Thresholds.DEFAULT, 60, 2, members, false));
         while (world.time().getAsDouble() < begun + 1500) {
-            Release r = world.release();
-            if (r != null && r.phase() != Release.Phase.RUNNING) {
+            Rollout r = world.release();
+            if (r != null && r.phase() != Rollout.Phase.RUNNING) {
                 break;
             }
             world.time().runUntil(world.time().getAsDouble() + 1);
         }
         double[] after = setup.roll().fleet().payoff();
-        Release r = world.release();
+        Rollout r = world.release();
         double perInstance = (after[0] - before[0]) / (world.time().getAsDouble() - begun) / members;
-        return new double[] {r != null && r.phase() == Release.Phase.HALTED ? 1 : 0,
+        return new double[] {r != null && r.phase() == Rollout.Phase.HALTED ? 1 : 0,
                 Collections.frequency(world.versions(), "B"),
                 (after[0] - before[0] - after[1] + before[1]) / perInstance,
                 world.time().getAsDouble() - begun};
--- a/src/main/java/topazladder/experiment/WorstExperiment.java
+++ b/src/main/java/topazladder/experiment/WorstExperiment.java
@@ -22,8 +22,8 @@
 import topazladder.faults.Mutations;
 import topazladder.faults.Schedule;
 import topazladder.membership.Membership;
-import topazladder.release.Judge;
-import topazladder.release.Plan;
+import topazladder.release.CanaryAnalysis;
+import topazladder.release.RolloutPlan;
 
 /**
  * Looks in virtual time for schedules that are worse and worse in one measure, by small changes that are kept where
@@ -60,15 +60,15 @@
         Fleet fleet = new Fleet(s.processes(), 0.6, Map.of(), new SplittableRandom(s.seed()));
         int budget = Math.max(1, s.processes() / 4);
         HallWorld world = new HallWorld(s, new HallWorld.Setup(s.processes(), s.voters(), 2, 2, 0.2,
-                new Membership.Terms(0.3, 3, 3600),
+                new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("hall", DisruptionTarget.Kind.INSTANCE, "", budget, 1)),
                 new HallWorld.Roll(fleet, Supervisor.GOOD, 2, 2, Set.of())), Plant.NONE).open();
         world.time().runUntil(5.9);
         world.mostOut();
         world.ledger().measureAnew();
         world.time().schedule(BEGIN - 5.9,
-                () -> world.release(new Plan("b", "A", "B", List.of(new Plan.Wave("", 1, 1, 4)),
-                        Judge.Terms.USUAL, 40, 3, s.processes(), false)));
+                () -> world.release(new RolloutPlan("b", "A", "B", List.of(new RolloutPlan.Wave("", 1, 1, 4)),
+                        CanaryAnalysis.Thresholds.DEFAULT, 40, 3, s.processes(), false)));
         world.time().runUntil(s.length());
         HallWorld.Outcome o = world.outcome();
         List<String> broken = new ArrayList<>(o.breaks());
--- a/src/main/java/topazladder/hall/Saying.java
+++ b/src/main/java/topazladder/hall/ClusterMessage.java
@@ -2,28 +2,28 @@
 
 import io.microraft.model.message.RaftMessage;
 import java.util.List;
-import topazladder.below.Report;
-import topazladder.below.Word;
+import topazladder.below.EndpointReport;
+import topazladder.below.EjectionDirective;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.disruption.LoadReport;
 import topazladder.lease.LeaseRequest;
 import topazladder.lease.LeaseResponse;
 import topazladder.lease.MemberIdentity;
 import topazladder.membership.Gossip;
-import topazladder.release.ReleaseOp;
-import topazladder.release.View;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutStatus;
 
 /**
  * A message between members of a cluster, or between an operator's client and a member. {@code net.codec} encodes them.
  */
-public sealed interface Saying {
+public sealed interface ClusterMessage {
 
     /** A message of the membership protocol. */
-    record Membership(Gossip gossip) implements Saying {
+    record MembershipGossip(Gossip gossip) implements ClusterMessage {
     }
 
     /** A Raft message of one voter to another. */
-    record Consensus(RaftMessage message) implements Saying {
+    record Consensus(RaftMessage message) implements ClusterMessage {
     }
 
     /**
@@ -31,14 +31,14 @@
      *
      * @param address where the member listens: the leader may not have learned it from gossip yet
      * @param schema the latest message schema that the member can read
-     * @param serving its load report
-     * @param below its reports on dependency endpoints; none where it calls none
+     * @param loadReport its load report
+     * @param dependencyReports its reports on dependency endpoints; none where it calls none
      */
-    record Asking(LeaseRequest ask, String address, int schema, LoadReport serving,
-            List<Report> below) implements Saying {
+    record LeasePoll(LeaseRequest request, String address, int schema, LoadReport loadReport,
+            List<EndpointReport> dependencyReports) implements ClusterMessage {
 
         /** A poll of a member that calls no dependency. */
-        public Asking(LeaseRequest ask, String address, int schema, LoadReport serving) {
+        public LeasePoll(LeaseRequest ask, String address, int schema, LoadReport serving) {
             this(ask, address, schema, serving, List.of());
         }
     }
@@ -48,11 +48,11 @@
      *
      * @param term in which the sender leads
      */
-    record Belows(long term, List<Word> words) implements Saying {
+    record DependencyDecisions(long term, List<EjectionDirective> decisions) implements ClusterMessage {
     }
 
     /** The leader's response to a poll. */
-    record Answering(LeaseResponse answer) implements Saying {
+    record LeasePollResponse(LeaseResponse response) implements ClusterMessage {
     }
 
     /**
@@ -62,24 +62,24 @@
      * @param address where the leader listens, or empty where the sender does not know it; the receiver may not have
      *     learned it from gossip yet
      */
-    record LeaderIs(String name, String address) implements Saying {
+    record LeaderHint(String name, String address) implements ClusterMessage {
 
         /** A hint without an address. */
-        public LeaderIs(String name) {
+        public LeaderHint(String name) {
             this(name, "");
         }
     }
 
     /** The leader has news for a member, which should poll at once. */
-    record Nudge() implements Saying {
+    record WakeUp() implements ClusterMessage {
     }
 
-    /** The leader permits a member to shut down; it confirms with {@link Going} before it does. */
-    record MayGo(long token) implements Saying {
+    /** The leader permits a member to shut down; it confirms with {@link ShutdownRequest} before it does. */
+    record ShutdownPermission(long token) implements ClusterMessage {
     }
 
     /** A member that was permitted to shut down wants to do so now. */
-    record Going(MemberIdentity from, long token) implements Saying {
+    record ShutdownRequest(MemberIdentity from, long token) implements ClusterMessage {
     }
 
     /**
@@ -87,24 +87,24 @@
      *
      * @param version to be restarted with, or empty for the version that it runs
      */
-    record Go(long token, String version) implements Saying {
+    record ShutdownApproval(long token, String version) implements ClusterMessage {
     }
 
     /**
-     * The rollout controller proposes operations to the leader, which responds with {@link Conducted}. Without
+     * The rollout controller proposes operations to the leader, which responds with {@link RolloutState}. Without
      * operations it is a poll.
      *
-     * @param doing what the controller is doing, in words, for operators
+     * @param activity what the controller is doing, in words, for operators
      */
-    record Conduct(MemberIdentity from, long number, List<ReleaseOp> ops, String doing) implements Saying {
+    record RolloutProposal(MemberIdentity from, long sequence, List<RolloutCommand> operations, String activity) implements ClusterMessage {
     }
 
     /**
      * The state of the rollout at the leader.
      *
-     * @param number of the {@link Conduct} that it responds to
+     * @param sequence of the {@link RolloutProposal} that it responds to
      */
-    record Conducted(long number, View view) implements Saying {
+    record RolloutState(long sequence, RolloutStatus view) implements ClusterMessage {
     }
 
     /**
@@ -112,24 +112,24 @@
      *
      * @param by who or what has told the member to
      */
-    record Leaving(MemberIdentity from, String by) implements Saying {
+    record LeaveNotice(MemberIdentity from, String by) implements ClusterMessage {
     }
 
     /** A voter whose folder was empty asks to be added to the group, under a birth that was never used before. */
-    record AsksToVote(VoterEndpoint who) implements Saying {
+    record JoinRequest(VoterEndpoint endpoint) implements ClusterMessage {
     }
 
     /**
      * The group has added the voter that asked.
      *
-     * @param first the voters that the group was formed with
-     * @param formed the group generation: how often the group was formed anew by hand
+     * @param initialVoters the voters that the group was formed with
+     * @param groupGeneration the group generation: how often the group was formed anew by hand
      */
-    record TakenIn(VoterEndpoint who, List<VoterEndpoint> first, long formed) implements Saying {
+    record JoinConfirmation(VoterEndpoint endpoint, List<VoterEndpoint> initialVoters, long groupGeneration) implements ClusterMessage {
     }
 
-    /** An operator's command, answered by {@link Told} with the same number. */
-    record Order(long number, Command command) implements Saying {
+    /** An operator's command, answered by {@link CommandResponse} with the same number. */
+    record CommandRequest(long requestId, Command command) implements ClusterMessage {
     }
 
     /**
@@ -138,27 +138,27 @@
      * @param done whether it was carried out
      * @param text in words, or a JSON object for commands that query
      */
-    record Told(long number, boolean done, String text) implements Saying {
+    record CommandResponse(long requestId, boolean done, String text) implements ClusterMessage {
     }
 
     /**
      * What the member that probes a dependency for all has found.
      *
-     * @param subject the dependency
-     * @param well whether it could be reached
-     * @param age seconds since the probe
-     * @param token the fencing token of the probing lease
+     * @param dependency the dependency
+     * @param reachable whether it could be reached
+     * @param ageSeconds seconds since the probe
+     * @param fencingToken the fencing token of the probing lease
      */
-    record Found(String subject, boolean well, double age, long token) implements Saying {
+    record ProbeResult(String dependency, boolean reachable, double ageSeconds, long fencingToken) implements ClusterMessage {
     }
 
     /**
      * An operator's command.
      *
-     * @param duty name of the lease that it is about, or empty
+     * @param leaseName name of the lease that it is about, or empty
      * @param text a member's name, a reason or a plan, by kind
      */
-    record Command(Kind kind, String duty, String text) {
+    record Command(Kind kind, String leaseName, String text) {
 
         /** Sent by ordinal: the order stays. */
         public enum Kind {
--- a/src/main/java/topazladder/hall/HallTerms.java
+++ b/src/main/java/topazladder/hall/MemberSettings.java
@@ -19,8 +19,8 @@
  * @param budgets of what may be disrupted at once
  * @param messageSchema the latest schema of cluster messages that this member can read
  */
-public record HallTerms(String name, String address, String zone, List<String> seeds, List<String> voters,
-        double heartbeatSeconds, List<LeaseSettings> leases, boolean eligibleForLeases, Membership.Terms membership,
+public record MemberSettings(String name, String address, String zone, List<String> seeds, List<String> voters,
+        double heartbeatSeconds, List<LeaseSettings> leases, boolean eligibleForLeases, Membership.Settings membership,
         List<DisruptionBudget> budgets, int messageSchema) {
 
     public boolean isVoter() {
--- a/src/main/java/topazladder/hall/ConductorNode.java
+++ b/src/main/java/topazladder/hall/RolloutControllerNode.java
@@ -7,8 +7,8 @@
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
 import topazladder.lease.MemberIdentity;
-import topazladder.release.Conductor;
-import topazladder.release.ReleaseOp;
+import topazladder.release.RolloutController;
+import topazladder.release.RolloutCommand;
 import topazladder.service.Scheduler;
 
 /**
@@ -16,7 +16,7 @@
  * and proposes operations to the leader. Messages may be lost: a poll that is not answered in time is repeated, and
  * what is still to be proposed is decided anew from the next response. Without the lease nothing is sent.
  */
-public final class ConductorNode {
+public final class RolloutControllerNode {
     private static final double POLL_SECONDS = 0.5;
     private static final double RESPONSE_TIMEOUT_SECONDS = 1.5;
 
@@ -25,9 +25,9 @@
     private final Scheduler timers;
     private final DoubleSupplier clock;
     private final LongSupplier epochMillis;
-    private final MemberNode member;
-    private final Function<ReleaseOp.By, Conductor> controllerFactory;
-    private Conductor controller; // null while the lease is not held
+    private final ClusterMember member;
+    private final Function<RolloutCommand.Proposer, RolloutController> controllerFactory;
+    private RolloutController controller; // null while the lease is not held
     private Supplier<OptionalLong> permission = OptionalLong::empty;
     private long sequence;
     private long generation;
@@ -38,8 +38,8 @@
      *
      * @param controllerFactory makes the rollout controller of one lease; tests pass one with an injected defect
      */
-    public ConductorNode(MemberIdentity identity, String leaseName, Scheduler timers, DoubleSupplier clock,
-            LongSupplier epochMillis, MemberNode member, Function<ReleaseOp.By, Conductor> controllerFactory) {
+    public RolloutControllerNode(MemberIdentity identity, String leaseName, Scheduler timers, DoubleSupplier clock,
+            LongSupplier epochMillis, ClusterMember member, Function<RolloutCommand.Proposer, RolloutController> controllerFactory) {
         this.identity = identity;
         this.leaseName = leaseName;
         this.timers = timers;
@@ -57,7 +57,7 @@
      */
     public void start(long token, Supplier<OptionalLong> leasePermission) {
         permission = leasePermission;
-        controller = controllerFactory.apply(new ReleaseOp.By(leaseName, token, 0));
+        controller = controllerFactory.apply(new RolloutCommand.Proposer(leaseName, token, 0));
         generation++;
         send(List.of());
     }
@@ -70,13 +70,13 @@
     }
 
     /** Sends these operations to the leader; without any it is a poll. */
-    private void send(List<ReleaseOp> operations) {
+    private void send(List<RolloutCommand> operations) {
         if (controller == null || permission.get().isEmpty()) {
             return;
         }
         long sent = ++sequence;
         responseHandled = false;
-        member.sendToLeader(new Saying.Conduct(identity, sent, operations, controller.doing()));
+        member.sendToLeader(new ClusterMessage.RolloutProposal(identity, sent, operations, controller.progress()));
         schedulePoll(RESPONSE_TIMEOUT_SECONDS, sent);
     }
 
@@ -94,15 +94,15 @@
      * Handles the leader's response. Only the response to the latest message counts: an earlier one does not show what
      * was proposed since.
      */
-    public void shown(Saying.Conducted response) {
-        if (controller == null || response.number() != sequence || responseHandled || permission.get().isEmpty()) {
+    public void handleResponse(ClusterMessage.RolloutState response) {
+        if (controller == null || response.sequence() != sequence || responseHandled || permission.get().isEmpty()) {
             return;
         }
         responseHandled = true;
-        List<ReleaseOp> operations =
-                controller.next(clock.getAsDouble(), epochMillis.getAsLong(), response.view());
+        List<RolloutCommand> operations =
+                controller.nextCommands(clock.getAsDouble(), epochMillis.getAsLong(), response.view());
         if (operations.isEmpty()) {
-            schedulePoll(POLL_SECONDS, response.number());
+            schedulePoll(POLL_SECONDS, response.sequence());
         } else {
             send(operations);
         }
--- a/src/main/java/topazladder/hall/ReleaseStart.java
+++ b/src/main/java/topazladder/hall/RolloutStart.java
@@ -8,11 +8,11 @@
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionController;
 import topazladder.disruption.DisruptionTarget;
-import topazladder.release.Place;
-import topazladder.release.Plan;
-import topazladder.release.ReleaseOp;
-import topazladder.release.View;
-import topazladder.release.Waves;
+import topazladder.release.RolloutTarget;
+import topazladder.release.RolloutPlan;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutStatus;
+import topazladder.release.WavePlanner;
 import topazladder.replication.ClusterReplica;
 
 /**
@@ -20,17 +20,17 @@
  * on the consensus thread of the leader.
  *
  * <p>A rollout covers the members that the leader has heard of when it starts. A member that joins later, or that the
- * leader hears of later, is added by the rollout controller ({@link ReleaseOp.AddPlace}) while the rollout runs.
+ * leader hears of later, is added by the rollout controller ({@link RolloutCommand.AddTarget}) while the rollout runs.
  */
-public final class ReleaseStart {
+public final class RolloutStart {
     /** The message schema that introduced rollouts. */
     private static final int ROLLOUT_SCHEMA = 2;
     private static final String CONTROLLER_LEASE = "release";
 
     private final ClusterReplica replica;
-    private final Plan plan;
+    private final RolloutPlan plan;
 
-    private ReleaseStart(ClusterReplica replica, Plan plan) {
+    private RolloutStart(ClusterReplica replica, RolloutPlan plan) {
         this.replica = replica;
         this.plan = plan;
     }
@@ -41,41 +41,41 @@
      * @param operation to be proposed, or null where the start is refused
      * @param refusal the reason, for the operator, or null where the start is not refused
      */
-    public record Decision(ReleaseOp.Start operation, String refusal) {
+    public record Decision(RolloutCommand.Start operation, String refusal) {
 
-        public boolean refused() {
+        public boolean isRefused() {
             return refusal != null;
         }
     }
 
     /** Decides on an operator's command to start a rollout by that plan. */
-    public static Decision decide(ClusterReplica replica, Plan plan, ReleaseOp.By by) {
-        return new ReleaseStart(replica, plan).decide(by);
+    public static Decision decide(ClusterReplica replica, RolloutPlan plan, RolloutCommand.Proposer by) {
+        return new RolloutStart(replica, plan).decide(by);
     }
 
-    private Decision decide(ReleaseOp.By by) {
+    private Decision decide(RolloutCommand.Proposer by) {
         if (!replica.rollouts().isSettled()) {
-            return new Decision(null, "the leader " + replica.here().name()
+            return new Decision(null, "the leader " + replica.localEndpoint().name()
                     + " has not led for long enough to have heard of every member; try again soon");
         }
-        View view = replica.rollouts().view();
+        RolloutStatus view = replica.rollouts().status();
         String refusal = refusal(view);
         if (refusal != null) {
             return new Decision(null, refusal);
         }
-        Set<String> voters = replica.voting().stream().map(VoterEndpoint::name).collect(Collectors.toSet());
-        List<Place> places = new ArrayList<>();
-        for (View.Sight member : view.members()) {
-            places.add(new Place(member.name(), member.zone(), voters.contains(member.name()), 0, Place.Stage.LEFT, 0));
+        Set<String> voters = replica.committedVoters().stream().map(VoterEndpoint::name).collect(Collectors.toSet());
+        List<RolloutTarget> places = new ArrayList<>();
+        for (RolloutStatus.InstanceStatus member : view.members()) {
+            places.add(new RolloutTarget(member.name(), member.zone(), voters.contains(member.name()), 0, RolloutTarget.Stage.LEFT, 0));
         }
-        return new Decision(new ReleaseOp.Start(by, plan, Waves.of(plan, places, controllerHolder())), null);
+        return new Decision(new RolloutCommand.Start(by, plan, WavePlanner.assign(plan, places, controllerHolder())), null);
     }
 
     /** Refuses at the start what would halt the rollout halfway; null for nothing. */
-    private String refusal(View view) {
-        List<String> outdated = replica.voting().stream().map(VoterEndpoint::name)
+    private String refusal(RolloutStatus view) {
+        List<String> outdated = replica.committedVoters().stream().map(VoterEndpoint::name)
                 .filter(name -> replica.disruptions().controller().schemaOf(name) < ROLLOUT_SCHEMA).toList();
-        if (2 * outdated.size() >= replica.voting().size()) {
+        if (2 * outdated.size() >= replica.committedVoters().size()) {
             return "the voters " + outdated + " do not read message schema " + ROLLOUT_SCHEMA
                     + ", which rollouts need; a majority of the voters has to run a version that does";
         }
@@ -85,11 +85,11 @@
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
     }
 
-    private String refusalBy(View.Sight member) {
-        if (member.look() == DisruptionController.Health.GONE) {
+    private String refusalBy(RolloutStatus.InstanceStatus member) {
+        if (member.health() == DisruptionController.Health.GONE) {
             return "member " + member.name() + " is gone; start it, or give it up first";
         }
-        String runs = member.serving() == null ? "" : member.serving().version();
+        String runs = member.load() == null ? "" : member.load().version();
         if (!runs.equals(plan.from()) && !runs.equals(plan.to())) {
             return "member " + member.name() + " runs version '" + runs + "'; the plan needs '" + plan.from()
                     + "' or '" + plan.to() + "'";
--- a/src/main/java/topazladder/hall/VoterNode.java
+++ b/src/main/java/topazladder/hall/VoterNode.java
@@ -8,7 +8,7 @@
 import java.util.random.RandomGenerator;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.below.Verdicts;
+import topazladder.below.OutlierDetector;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.consensus.VoterStore;
 import topazladder.disruption.DisruptionController;
@@ -50,23 +50,23 @@
     }
 
     /** What the node needs of its environment. */
-    public interface World {
+    public interface Environment {
 
         /** Sends a message to a member by name, maybe the one of its own process. */
-        void say(String to, Saying what);
+        void sendMessage(String to, ClusterMessage what);
 
         /** The store or the replica failed. The instance goes on serving without it. */
         void failed(Throwable cause);
     }
 
-    private final HallTerms settings;
+    private final MemberSettings settings;
     private final VoterStore store;
     private final Scheduler timers;
     private final DoubleSupplier clock;
     private final RandomGenerator random;
-    private final World environment;
+    private final Environment environment;
     private final ClusterReplica.Domains domains;
-    private final Verdicts verdicts;
+    private final OutlierDetector verdicts;
     private ClusterReplica.Settings replicaSettings;
     private ClusterReplica replica;
     private VoterEndpoint newEndpoint; // null unless the store was empty
@@ -74,8 +74,8 @@
     private String controllerActivity = "";
 
     /** Creates a voter that does nothing before {@link #open}. */
-    public VoterNode(HallTerms settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
-            RandomGenerator random, World environment) {
+    public VoterNode(MemberSettings settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator random, Environment environment) {
         this(settings, store, timers, clock, random, environment, new ClusterState(), null, null, null);
     }
 
@@ -84,16 +84,16 @@
      *
      * @param leaseManager null for the default; likewise the two behind it
      */
-    public VoterNode(HallTerms settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
-            RandomGenerator random, World environment, ClusterState state, LeaseManager leaseManager,
-            DisruptionController disruptionController, Verdicts verdicts) {
+    public VoterNode(MemberSettings settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
+            RandomGenerator random, Environment environment, ClusterState state, LeaseManager leaseManager,
+            DisruptionController disruptionController, OutlierDetector verdicts) {
         this.settings = settings;
         this.store = store;
         this.timers = timers;
         this.clock = clock;
         this.random = random;
         this.environment = environment;
-        this.verdicts = verdicts == null ? new Verdicts(state.disruptions()) : verdicts;
+        this.verdicts = verdicts == null ? new OutlierDetector(state.disruptions()) : verdicts;
         domains = new ClusterReplica.Domains(state,
                 leaseManager == null ? new LeaseManager(state.leases()) : leaseManager,
                 disruptionController == null
@@ -116,7 +116,7 @@
 
     /** Starts the replica from the store, or asks to be added where the store is empty. */
     public void open() {
-        if (store.founding() != null) {
+        if (store.identity() != null) {
             startReplica();
         } else {
             newEndpoint = new VoterEndpoint(settings.name(), 1 + (random.nextLong() >>> 2));
@@ -128,7 +128,7 @@
     private void requestToJoin() {
         if (phase == Phase.ASKING_TO_VOTE) {
             settings.voters().stream().filter(v -> !v.equals(settings.name()))
-                    .forEach(v -> environment.say(v, new Saying.AsksToVote(newEndpoint)));
+                    .forEach(v -> environment.sendMessage(v, new ClusterMessage.JoinRequest(newEndpoint)));
             timers.schedule(JOIN_REQUEST_INTERVAL_SECONDS, this::requestToJoin);
         }
     }
@@ -142,31 +142,31 @@
                 new ClusterReplica.Environment() {
                     @Override
                     public void send(VoterEndpoint to, RaftMessage message) {
-                        environment.say(to.name(), new Saying.Consensus(message));
+                        environment.sendMessage(to.name(), new ClusterMessage.Consensus(message));
                     }
 
                     @Override
                     public void reply(MemberIdentity to, LeaseResponse response) {
-                        environment.say(to.name(), new Saying.Answering(response));
-                        if (verdicts.watches(to.name())) {
-                            environment.say(to.name(),
-                                    new Saying.Belows(replica.term(), verdicts.words(clock.getAsDouble(), to.name())));
+                        environment.sendMessage(to.name(), new ClusterMessage.LeasePollResponse(response));
+                        if (verdicts.hasReported(to.name())) {
+                            environment.sendMessage(to.name(),
+                                    new ClusterMessage.DependencyDecisions(replica.term(), verdicts.directives(clock.getAsDouble(), to.name())));
                         }
                     }
 
                     @Override
                     public void wakeUp(MemberIdentity to) {
-                        environment.say(to.name(), new Saying.Nudge());
+                        environment.sendMessage(to.name(), new ClusterMessage.WakeUp());
                     }
 
                     @Override
-                    public void mayGo(String member, long token) {
-                        environment.say(member, new Saying.MayGo(token));
+                    public void grantShutdown(String member, long token) {
+                        environment.sendMessage(member, new ClusterMessage.ShutdownPermission(token));
                     }
 
                     @Override
-                    public void go(String member, long token, String version) {
-                        environment.say(member, new Saying.Go(token, version));
+                    public void shutDown(String member, long token, String version) {
+                        environment.sendMessage(member, new ClusterMessage.ShutdownApproval(token, version));
                     }
 
                     @Override
@@ -203,7 +203,7 @@
      * Takes the voters, leases and budgets of settings that were read anew. The heartbeat stays that of the start: a
      * change of it needs a restart.
      */
-    public void replace(HallTerms newSettings) {
+    public void replaceSettings(MemberSettings newSettings) {
         replicaSettings =
                 new ClusterReplica.Settings(newSettings.voters(), settings.heartbeatSeconds(), newSettings.leases(),
                         newSettings.budgets());
@@ -228,53 +228,53 @@
     }
 
     /** Handles a message of another member, or of this process's own. */
-    public void heard(String from, Saying message) {
-        if (message instanceof Saying.TakenIn t) {
+    public void handle(String from, ClusterMessage message) {
+        if (message instanceof ClusterMessage.JoinConfirmation t) {
             addedToGroup(t);
         } else if (phase != Phase.SEATED) {
             return; // without a response the sender tries another voter
-        } else if (message instanceof Saying.Consensus c) {
+        } else if (message instanceof ClusterMessage.Consensus c) {
             replica.handle(c.message());
-        } else if (message instanceof Saying.Asking a) {
-            if (replica.leading()) {
-                replica.disruptions().loadReported(a.ask().member(), a.schema(), a.serving(), a.ask().eligible());
-                verdicts.says(clock.getAsDouble(), a.ask().member().name(), a.below());
-                replica.leases().handleRequest(a.ask());
+        } else if (message instanceof ClusterMessage.LeasePoll a) {
+            if (replica.isLeader()) {
+                replica.disruptions().loadReported(a.request().member(), a.schema(), a.loadReport(), a.request().eligible());
+                verdicts.handleReports(clock.getAsDouble(), a.request().member().name(), a.dependencyReports());
+                replica.leases().handleRequest(a.request());
             } else {
                 sendLeaderHint(from);
             }
-        } else if (message instanceof Saying.Conduct c) {
-            if (replica.leading()) {
-                controllerActivity = c.doing();
-                replica.rollouts().conduct(c.ops(),
-                        view -> environment.say(from, new Saying.Conducted(c.number(), view)));
+        } else if (message instanceof ClusterMessage.RolloutProposal c) {
+            if (replica.isLeader()) {
+                controllerActivity = c.activity();
+                replica.rollouts().proposeAll(c.operations(),
+                        view -> environment.sendMessage(from, new ClusterMessage.RolloutState(c.sequence(), view)));
             } else {
                 sendLeaderHint(from);
             }
-        } else if (message instanceof Saying.Going g) {
+        } else if (message instanceof ClusterMessage.ShutdownRequest g) {
             replica.disruptions().shutdownRequested(g.from(), g.token());
-        } else if (message instanceof Saying.Leaving l) {
-            replica.disruptions().leaving(l.from(), l.by());
-        } else if (message instanceof Saying.AsksToVote v) {
+        } else if (message instanceof ClusterMessage.LeaveNotice l) {
+            replica.disruptions().shutdownReported(l.from(), l.by());
+        } else if (message instanceof ClusterMessage.JoinRequest v) {
             // Any voter may confirm that the endpoint was added, since the leader that added it may be gone by now.
-            if (replica.voting().contains(v.who())) {
-                VoterStore.Founding founding = store.founding();
-                environment.say(from,
-                        new Saying.TakenIn(v.who(), founding.initialVoters(), founding.groupGeneration()));
+            if (replica.committedVoters().contains(v.endpoint())) {
+                VoterStore.VoterIdentity founding = store.identity();
+                environment.sendMessage(from,
+                        new ClusterMessage.JoinConfirmation(v.endpoint(), founding.initialVoters(), founding.groupGeneration()));
             } else {
-                replica.joinRequested(v.who());
+                replica.joinRequested(v.endpoint());
             }
         }
     }
 
     private void sendLeaderHint(String to) {
         VoterEndpoint leader = replica.leader();
-        environment.say(to,
-                new Saying.LeaderIs(leader == null || leader.equals(replica.here()) ? "" : leader.name()));
+        environment.sendMessage(to,
+                new ClusterMessage.LeaderHint(leader == null || leader.equals(replica.localEndpoint()) ? "" : leader.name()));
     }
 
     /** How dependency endpoints look to all instances, for operators; up to date only while this voter leads. */
-    public Verdicts verdicts() {
+    public OutlierDetector verdicts() {
         return verdicts;
     }
 
@@ -283,12 +283,12 @@
         return controllerActivity;
     }
 
-    private void addedToGroup(Saying.TakenIn added) {
-        if (phase != Phase.ASKING_TO_VOTE || !added.who().equals(newEndpoint)) {
+    private void addedToGroup(ClusterMessage.JoinConfirmation added) {
+        if (phase != Phase.ASKING_TO_VOTE || !added.endpoint().equals(newEndpoint)) {
             return;
         }
         try {
-            store.found(new VoterStore.Founding(newEndpoint, added.first(), added.formed()));
+            store.initialize(new VoterStore.VoterIdentity(newEndpoint, added.initialVoters(), added.groupGeneration()));
             LOG.info("voter joined the group endpoint={}", newEndpoint);
             startReplica();
         } catch (IOException e) {
@@ -297,7 +297,7 @@
     }
 
     /** Takes how the instances look to this member. */
-    public void seen(Map<DisruptionTarget, DisruptionController.Observation> observations) {
+    public void membersObserved(Map<DisruptionTarget, DisruptionController.Observation> observations) {
         if (replica != null && phase == Phase.SEATED) {
             replica.disruptions().membersObserved(observations);
         }
--- a/src/main/java/topazladder/knowledge/Origin.java
+++ b/src/main/java/topazladder/knowledge/Origin.java
@@ -8,9 +8,9 @@
  * @param incarnation of the process
  * @param cores of its machine
  * @param coreSpeed relative to the installation's reference of 1; 0 where it is unknown
- * @param settings digest of the request classes and the dependencies; estimates under other settings count for less
+ * @param settingsDigest digest of the request classes and the dependencies; estimates under other settings count for less
  */
-public record Origin(String name, long incarnation, double cores, double coreSpeed, long settings) {
+public record Origin(String name, long incarnation, double cores, double coreSpeed, long settingsDigest) {
 
     /** Whether both are the same process. */
     boolean isSameProcess(Origin other) {
--- a/src/main/java/topazladder/knowledge/Knowledge.java
+++ b/src/main/java/topazladder/knowledge/SharedEstimates.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import org.pcollections.HashTreePMap;
 import org.pcollections.PMap;
-import topazladder.knowledge.Fact.Key;
+import topazladder.knowledge.SharedEstimate.Key;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.LearnedEstimate.Kind;
 
@@ -22,7 +22,7 @@
  * it is made from, which may be read or sent meanwhile. A merge keeps the later fact of each origin, kind and subject,
  * so that neither the order nor the number of deliveries, nor the peers on the way, make a difference.
  */
-public final class Knowledge {
+public final class SharedEstimates {
     /** Origins whose facts are kept: the median of so many is not moved by a few that are wrong. */
     static final int MAX_ORIGINS = 12;
     /** Facts kept of one origin: kinds and request classes, with room to spare. */
@@ -31,39 +31,39 @@
     private static final double MIN_WEIGHT = 0.1;
 
     /** Without facts. */
-    public static final Knowledge EMPTY = new Knowledge(HashTreePMap.empty());
+    public static final SharedEstimates EMPTY = new SharedEstimates(HashTreePMap.empty());
 
-    private final PMap<Key, Fact> facts;
+    private final PMap<Key, SharedEstimate> facts;
 
-    private Knowledge(PMap<Key, Fact> facts) {
+    private SharedEstimates(PMap<Key, SharedEstimate> facts) {
         this.facts = facts;
     }
 
     /** The later ones of these facts. */
-    public static Knowledge of(Collection<Fact> facts) {
+    public static SharedEstimates of(Collection<SharedEstimate> facts) {
         return EMPTY.with(facts);
     }
 
     /** Merges in more facts. */
-    public Knowledge with(Collection<Fact> more) {
-        PMap<Key, Fact> merged = facts;
-        for (Fact fact : more) {
-            Fact earlier = merged.get(fact.key());
-            Fact kept = earlier == null ? fact : earlier.laterOf(fact);
+    public SharedEstimates with(Collection<SharedEstimate> more) {
+        PMap<Key, SharedEstimate> merged = facts;
+        for (SharedEstimate fact : more) {
+            SharedEstimate earlier = merged.get(fact.key());
+            SharedEstimate kept = earlier == null ? fact : earlier.laterOf(fact);
             if (kept != earlier) {
                 merged = merged.plus(fact.key(), kept);
             }
         }
-        return merged == facts ? this : new Knowledge(merged);
+        return merged == facts ? this : new SharedEstimates(merged);
     }
 
     /** Commutative, associative and idempotent; drops nothing. */
-    public Knowledge merge(Knowledge other) {
+    public SharedEstimates merge(SharedEstimates other) {
         return with(other.facts.values());
     }
 
     /** All facts, in no order. */
-    public Collection<Fact> facts() {
+    public Collection<SharedEstimate> facts() {
         return facts.values();
     }
 
@@ -78,15 +78,15 @@
     }
 
     /** Without facts that are too old to say anything, and without the origins of least weight past the limit. */
-    public Knowledge bounded(double now) {
+    public SharedEstimates bounded(double now) {
         Map<String, Double> weights = new HashMap<>();
         Map<String, Integer> counts = new HashMap<>();
-        List<Fact> byWeight = new ArrayList<>(facts.values());
-        Comparator<Fact> heaviest = Comparator.comparingDouble((Fact fact) -> -fact.weightAt(now));
+        List<SharedEstimate> byWeight = new ArrayList<>(facts.values());
+        Comparator<SharedEstimate> heaviest = Comparator.comparingDouble((SharedEstimate fact) -> -fact.weightAt(now));
         byWeight.sort(heaviest.thenComparing(fact -> fact.key().toString()));
-        PMap<Key, Fact> kept = facts;
+        PMap<Key, SharedEstimate> kept = facts;
         Set<Key> dropped = new HashSet<>();
-        for (Fact fact : byWeight) {
+        for (SharedEstimate fact : byWeight) {
             String origin = processOf(fact);
             if (fact.weightAt(now) < MIN_WEIGHT || counts.merge(origin, 1, Integer::sum) > MAX_FACTS_OF_ORIGIN) {
                 dropped.add(fact.key());
@@ -101,10 +101,10 @@
         facts.values().stream().filter(fact -> !keptOrigins.contains(processOf(fact)))
                 .forEach(fact -> dropped.add(fact.key()));
         kept = kept.minusAll(dropped);
-        return dropped.isEmpty() ? this : new Knowledge(kept);
+        return dropped.isEmpty() ? this : new SharedEstimates(kept);
     }
 
-    private static String processOf(Fact fact) {
+    private static String processOf(SharedEstimate fact) {
         return fact.origin().name() + '#' + fact.origin().incarnation();
     }
 
@@ -116,8 +116,8 @@
         record Group(Kind kind, String subject) {
         }
 
-        Map<Group, List<Fact>> groups = new TreeMap<>(Comparator.comparing(Group::kind).thenComparing(Group::subject));
-        for (Fact fact : facts.values()) {
+        Map<Group, List<SharedEstimate>> groups = new TreeMap<>(Comparator.comparing(Group::kind).thenComparing(Group::subject));
+        for (SharedEstimate fact : facts.values()) {
             if (!fact.origin().isSameProcess(here)) {
                 groups.computeIfAbsent(new Group(fact.kind(), fact.subject()), key -> new ArrayList<>()).add(fact);
             }
@@ -127,12 +127,12 @@
             TransferPolicy policy = TransferPolicy.of(group.kind());
             Map<Double, Double> weightByValue = new TreeMap<>();
             double age = Double.POSITIVE_INFINITY;
-            for (Fact fact : members) {
+            for (SharedEstimate fact : members) {
                 OptionalDouble value = policy.scaledValue(fact.value(), fact.origin(), here);
                 double weight = fact.weightAt(now) * policy.weightFactor(fact.origin(), here);
                 if (value.isPresent() && weight > 0) {
                     weightByValue.merge(value.getAsDouble(), weight, Double::sum);
-                    age = Math.min(age, Math.max(0, now - fact.seenAt()));
+                    age = Math.min(age, Math.max(0, now - fact.measuredAt()));
                 }
             }
             double weight = weightByValue.values().stream().mapToDouble(w -> w).sum();
@@ -158,19 +158,19 @@
     }
 
     /** The facts of each origin, in an order that depends on them alone. */
-    public Map<Origin, List<Fact>> byOrigin() {
-        Map<Origin, List<Fact>> byOrigin = new LinkedHashMap<>();
+    public Map<Origin, List<SharedEstimate>> byOrigin() {
+        Map<Origin, List<SharedEstimate>> byOrigin = new LinkedHashMap<>();
         facts.values().stream()
-                .sorted(Comparator.comparing((Fact fact) -> fact.key().name())
+                .sorted(Comparator.comparing((SharedEstimate fact) -> fact.key().name())
                         .thenComparing(fact -> fact.key().incarnation())
-                        .thenComparing(Fact::kind).thenComparing(Fact::subject))
+                        .thenComparing(SharedEstimate::kind).thenComparing(SharedEstimate::subject))
                 .forEach(fact -> byOrigin.computeIfAbsent(fact.origin(), origin -> new ArrayList<>()).add(fact));
         return byOrigin;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof Knowledge k && facts.equals(k.facts);
+        return other instanceof SharedEstimates k && facts.equals(k.facts);
     }
 
     @Override
--- a/src/main/java/topazladder/knowledge/TransferPolicy.java
+++ b/src/main/java/topazladder/knowledge/TransferPolicy.java
@@ -46,7 +46,7 @@
 
     /** Factor of the weight of an estimate of {@code from} that is used at {@code to}. */
     double weightFactor(Origin from, Origin to) {
-        double factor = from.settings() == to.settings() ? 1 : otherSettingsFactor;
+        double factor = from.settingsDigest() == to.settingsDigest() ? 1 : otherSettingsFactor;
         boolean dependsOnSpeed = scaling == Scaling.BY_CORE_SPEED || scaling == Scaling.BY_TOTAL_CPU;
         boolean isSpeedKnown = from.coreSpeed() > 0 && to.coreSpeed() > 0;
         boolean isSameMachine = from.name().equals(to.name()) && from.cores() == to.cores();
--- a/src/main/java/topazladder/lease/LeaseHolder.java
+++ b/src/main/java/topazladder/lease/LeaseHolder.java
@@ -246,7 +246,7 @@
     // ---- diagnostics
 
     /** Number of polls sent, and how many of the latest ones are unanswered. */
-    public String describeRequests() {
+    public String describePolls() {
         return polls.describe();
     }
 
--- a/src/main/java/topazladder/membership/Gossip.java
+++ b/src/main/java/topazladder/membership/Gossip.java
@@ -6,33 +6,33 @@
 public sealed interface Gossip {
 
     /** Member updates piggybacked on the message. */
-    List<Standing> news();
+    List<MemberStatus> updates();
 
     /** Asks the receiver to answer with an {@link Ack} of the same number. */
-    record Ping(long number, List<Standing> news) implements Gossip {
+    record Ping(long sequenceNumber, List<MemberStatus> updates) implements Gossip {
     }
 
     /**
      * Asks the receiver to ping a third member on behalf of the sender (SWIM's ping-req).
      *
-     * @param whom name of the member to ping
+     * @param target name of the member to ping
      */
-    record PingFor(long number, String whom, List<Standing> news) implements Gossip {
+    record PingRequest(long sequenceNumber, String target, List<MemberStatus> updates) implements Gossip {
     }
 
-    /** Answers a {@link Ping}, or a {@link PingFor} whose target has answered. */
-    record Ack(long number, List<Standing> news) implements Gossip {
+    /** Answers a {@link Ping}, or a {@link PingRequest} whose target has answered. */
+    record Ack(long sequenceNumber, List<MemberStatus> updates) implements Gossip {
     }
 
-    /** Answers a {@link PingFor} whose target has not answered in time. It shows that the helper is reachable. */
-    record Nack(long number, List<Standing> news) implements Gossip {
+    /** Answers a {@link PingRequest} whose target has not answered in time. It shows that the helper is reachable. */
+    record Nack(long sequenceNumber, List<MemberStatus> updates) implements Gossip {
     }
 
     /**
      * A page of the sender's member table (anti-entropy).
      *
-     * @param back whether the receiver should send its own table in return
+     * @param replyRequested whether the receiver should send its own table in return
      */
-    record Sync(boolean back, List<Standing> news) implements Gossip {
+    record Sync(boolean replyRequested, List<MemberStatus> updates) implements Gossip {
     }
 }
--- a/src/main/java/topazladder/membership/Standing.java
+++ b/src/main/java/topazladder/membership/MemberStatus.java
@@ -1,20 +1,20 @@
 package topazladder.membership;
 
 /**
- * One member's status as some member knows it. Of two statuses with the same name, the one that {@link #overrules} the
+ * One member's status as some member knows it. Of two statuses with the same name, the one that {@link #overrides} the
  * other is kept, so updates may arrive in any order, any number of times and from any member.
  *
  * @param name stays the same through restarts
  * @param address where the member listens
- * @param hall the member's zone; empty for none
- * @param life incarnation of the process; a later process with the same name has a higher one
+ * @param zone the member's zone; empty for none
+ * @param processIncarnation incarnation of the process; a later process with the same name has a higher one
  * @param incarnation SWIM's incarnation number, which only the member itself raises, to refute what others say of it
  *     or to publish a change
  * @param steady whether the member reports that it serves as it should
- * @param by name of the member whose own probe failed, if the state is SUSPECTED; otherwise empty
+ * @param suspectedBy name of the member whose own probe failed, if the state is SUSPECTED; otherwise empty
  */
-public record Standing(String name, String address, String hall, long life, long incarnation, State state,
-        boolean steady, String by) {
+public record MemberStatus(String name, String address, String zone, long processIncarnation, long incarnation, State state,
+        boolean steady, String suspectedBy) {
 
     /** Within one incarnation a later constant overrules an earlier one. */
     public enum State {
@@ -22,9 +22,9 @@
     }
 
     /** Compares the process incarnation first, then SWIM's incarnation, then the state. */
-    public boolean overrules(Standing other) {
-        if (life != other.life) {
-            return life > other.life;
+    public boolean overrides(MemberStatus other) {
+        if (processIncarnation != other.processIncarnation) {
+            return processIncarnation > other.processIncarnation;
         } else if (incarnation != other.incarnation) {
             return incarnation > other.incarnation;
         }
@@ -32,15 +32,15 @@
     }
 
     /** Whether the member still belongs to the cluster; a suspected member does. */
-    public boolean there() {
+    public boolean isPresent() {
         return state == State.ALIVE || state == State.SUSPECTED;
     }
 
-    public Standing as(State newState) {
-        return new Standing(name, address, hall, life, incarnation, newState, steady, "");
+    public MemberStatus withState(State newState) {
+        return new MemberStatus(name, address, zone, processIncarnation, incarnation, newState, steady, "");
     }
 
-    public Standing suspectedBy(String whom) {
-        return new Standing(name, address, hall, life, incarnation, State.SUSPECTED, steady, whom);
+    public MemberStatus withSuspicionBy(String whom) {
+        return new MemberStatus(name, address, zone, processIncarnation, incarnation, State.SUSPECTED, steady, whom);
     }
 }
--- a/src/main/java/topazladder/membership/Membership.java
+++ b/src/main/java/topazladder/membership/Membership.java
@@ -14,9 +14,9 @@
 import topazladder.membership.Gossip.Ack;
 import topazladder.membership.Gossip.Nack;
 import topazladder.membership.Gossip.Ping;
-import topazladder.membership.Gossip.PingFor;
+import topazladder.membership.Gossip.PingRequest;
 import topazladder.membership.Gossip.Sync;
-import topazladder.membership.Standing.State;
+import topazladder.membership.MemberStatus.State;
 
 /**
  * One member's view of the cluster, kept by the SWIM protocol with Lifeguard's extensions. In each probe period one
@@ -33,12 +33,12 @@
     /**
      * Settings of the protocol.
      *
-     * @param period seconds between two probes
-     * @param helpers number of members asked for an indirect ping
-     * @param remember seconds for which a member that is gone is kept, and contacted now and then
+     * @param probePeriodSeconds seconds between two probes
+     * @param indirectProbeHelpers number of members asked for an indirect ping
+     * @param goneRetentionSeconds seconds for which a member that is gone is kept, and contacted now and then
      */
-    public record Terms(double period, int helpers, double remember) {
-        public static final Terms USUAL = new Terms(1, 3, 3600);
+    public record Settings(double probePeriodSeconds, int indirectProbeHelpers, double goneRetentionSeconds) {
+        public static final Settings DEFAULTS = new Settings(1, 3, 3600);
     }
 
     /** What the caller has to carry out. */
@@ -49,20 +49,20 @@
          *
          * @param to the member's name; empty if only the address is known
          */
-        record Say(String to, String address, Gossip what) implements Step {
+        record Send(String to, String address, Gossip message) implements Step {
         }
 
         /**
          * The status of another member changed.
          *
-         * @param before null for a member that was not known
+         * @param previous null for a member that was not known
          */
-        record Changed(Standing now, Standing before) implements Step {
+        record StatusChanged(MemberStatus current, MemberStatus previous) implements Step {
         }
     }
 
     /** Most member updates in one message; with names of 100 characters this many still fit in a frame. */
-    public static final int MOST_NEWS = 24;
+    public static final int MAX_UPDATES_PER_MESSAGE = 24;
     private static final int MAX_PIGGYBACKED_UPDATES = 8;
     private static final int MAX_MEMBERS = 20_000;
     /** Bounds of the ack timeout, as fractions of the probe period. */
@@ -85,10 +85,10 @@
     /** A sync is answered with the whole table, or with this many pages of one above this many full messages. */
     private static final int MAX_SYNC_PAGES = 4;
 
-    private final Terms settings;
+    private final Settings settings;
     private final RandomGenerator random;
-    private Standing self;
-    private final Map<String, Standing> others = new TreeMap<>(); // bounded; members that are gone are forgotten
+    private MemberStatus self;
+    private final Map<String, MemberStatus> otherMembers = new TreeMap<>(); // bounded; members that are gone are forgotten
     private final Map<String, Double> changedAt = new HashMap<>();
     private final Map<String, Suspicion> suspicions = new HashMap<>();
     private final Map<String, Integer> pendingUpdates = new TreeMap<>(); // by name: transmissions left
@@ -143,29 +143,29 @@
     }
 
     /** @param self alive, with a process incarnation higher than that of any earlier process of its name */
-    public Membership(Terms settings, Standing self, RandomGenerator random) {
+    public Membership(Settings settings, MemberStatus self, RandomGenerator random) {
         this.settings = settings;
         this.self = self;
         this.random = random;
     }
 
-    public Standing self() {
+    public MemberStatus self() {
         return self;
     }
 
     /** Lifeguard's local health score: 0 is healthy, and each point lengthens this member's timeouts. */
-    public int health() {
+    public int healthScore() {
         return healthScore;
     }
 
     /** All known members but this one, including those that are gone. */
-    public Collection<Standing> others() {
-        return Collections.unmodifiableCollection(others.values());
+    public Collection<MemberStatus> otherMembers() {
+        return Collections.unmodifiableCollection(otherMembers.values());
     }
 
     /** The member of that name, which may be this one; null if it is not known. */
-    public Standing other(String name) {
-        return name.equals(self.name()) ? self : others.get(name);
+    public MemberStatus member(String name) {
+        return name.equals(self.name()) ? self : otherMembers.get(name);
     }
 
     /** Number of members present, including this one. */
@@ -176,18 +176,18 @@
     /** Joins the cluster through the given addresses of any members; unreachable ones do no harm. */
     public List<Step> join(double now, List<String> addresses) {
         seeds = List.copyOf(addresses);
-        nextProbeAt = now + settings.period() * random.nextDouble();
+        nextProbeAt = now + settings.probePeriodSeconds() * random.nextDouble();
         List<Step> steps = new ArrayList<>();
         for (String address : seeds) {
-            steps.add(new Step.Say("", address, new Sync(true, piggybackedUpdates())));
+            steps.add(new Step.Send("", address, new Sync(true, piggybackedUpdates())));
         }
         return steps;
     }
 
     /** Sets whether this member serves as it should, and publishes a change. */
-    public void steady(boolean steady) {
+    public void setSteady(boolean steady) {
         if (self.steady() != steady) {
-            self = new Standing(self.name(), self.address(), self.hall(), self.life(), self.incarnation() + 1,
+            self = new MemberStatus(self.name(), self.address(), self.zone(), self.processIncarnation(), self.incarnation() + 1,
                     self.state(), steady, "");
             enqueueUpdate(self.name());
         }
@@ -196,10 +196,10 @@
     /** Leaves the cluster gracefully, so that the others need not suspect this member first. */
     public List<Step> leave(double now) {
         left = true;
-        self = self.as(State.LEFT);
+        self = self.withState(State.LEFT);
         enqueueUpdate(self.name());
         List<Step> steps = new ArrayList<>();
-        for (String name : randomMembers(settings.helpers() + 1, Set.of())) {
+        for (String name : randomMembers(settings.indirectProbeHelpers() + 1, Set.of())) {
             send(name, new Ping(++lastNumber, piggybackedUpdates()), steps);
         }
         return steps;
@@ -208,8 +208,8 @@
     // ---- timers
 
     /** Seconds until {@link #tick} is due. */
-    public double next(double now) {
-        double due = Double.isNaN(nextProbeAt) ? now + settings.period() : nextProbeAt;
+    public double secondsUntilTick(double now) {
+        double due = Double.isNaN(nextProbeAt) ? now + settings.probePeriodSeconds() : nextProbeAt;
         if (probe != null && !probe.acked) {
             due = Math.min(due, probe.indirect ? probe.deadline : probe.indirectAt);
         }
@@ -233,7 +233,7 @@
         checkProbe(now, steps);
         checkSuspicions(now, steps);
         if (!Double.isNaN(nextProbeAt) && now >= nextProbeAt) {
-            nextProbeAt = now + settings.period() * (1 + healthScore);
+            nextProbeAt = now + settings.probePeriodSeconds() * (1 + healthScore);
             periods++;
             startProbe(now, steps);
             syncReconnectAndForget(now, steps);
@@ -247,11 +247,11 @@
      */
     private void compensatePause(double now) {
         double late = Double.isNaN(nextProbeAt) ? 0 : now - nextProbeAt;
-        if (late > settings.period() / 2) {
-            adjustHealth((int) Math.ceil(late / settings.period()));
+        if (late > settings.probePeriodSeconds() / 2) {
+            adjustHealth((int) Math.ceil(late / settings.probePeriodSeconds()));
             if (probe != null) {
-                probe.indirectAt = Math.max(probe.indirectAt, now + settings.period() * MAX_ACK_TIMEOUT);
-                probe.deadline = Math.max(probe.deadline, now + settings.period());
+                probe.indirectAt = Math.max(probe.indirectAt, now + settings.probePeriodSeconds() * MAX_ACK_TIMEOUT);
+                probe.deadline = Math.max(probe.deadline, now + settings.probePeriodSeconds());
             }
             suspicions.values().forEach(suspicion -> suspicion.extension += late);
         }
@@ -279,17 +279,17 @@
         }
         if (!probe.indirect && now >= probe.indirectAt) {
             probe.indirect = true;
-            for (String name : randomMembers(settings.helpers(), Set.of(probe.target))) {
+            for (String name : randomMembers(settings.indirectProbeHelpers(), Set.of(probe.target))) {
                 probe.silentHelpers.add(name);
-                send(name, new PingFor(probe.number, probe.target, piggybackedUpdates()), steps);
+                send(name, new PingRequest(probe.number, probe.target, piggybackedUpdates()), steps);
             }
         }
         if (probe.indirect && now >= probe.deadline) {
             // Several helpers that sent not even a nack are as unreachable as the target: this member may be isolated.
             adjustHealth(probe.silentHelpers.isEmpty() ? 0 : probe.silentHelpers.size() > 1 ? 1 : 0);
-            Standing target = others.get(probe.target);
+            MemberStatus target = otherMembers.get(probe.target);
             if (target != null && target.state() == State.ALIVE) {
-                applyUpdate(now, target.suspectedBy(self.name()), steps);
+                applyUpdate(now, target.withSuspicionBy(self.name()), steps);
             }
             probe = null;
         }
@@ -297,42 +297,42 @@
 
     private void checkSuspicions(double now, List<Step> steps) {
         for (Map.Entry<String, Suspicion> e : List.copyOf(suspicions.entrySet())) {
-            Standing suspect = others.get(e.getKey());
+            MemberStatus suspect = otherMembers.get(e.getKey());
             if (suspect == null || suspect.state() != State.SUSPECTED) {
                 suspicions.remove(e.getKey());
             } else if (now >= suspicionDeadline(e.getValue())) {
-                applyUpdate(now, suspect.as(State.GONE), steps);
+                applyUpdate(now, suspect.withState(State.GONE), steps);
             }
         }
     }
 
     /** Earlier the more members suspect independently; later the worse this member's own health is. */
     private double suspicionDeadline(Suspicion suspicion) {
-        double min = MIN_SUSPICION * Math.max(1, Math.log10(Math.max(1, size()))) * settings.period();
+        double min = MIN_SUSPICION * Math.max(1, Math.log10(Math.max(1, size()))) * settings.probePeriodSeconds();
         double max = MAX_SUSPICION_FACTOR * min;
-        double confirmations = settings.helpers();
+        double confirmations = settings.indirectProbeHelpers();
         double confirmed = Math.min(1, Math.log(suspicion.accusers.size()) / Math.log(confirmations + 1));
         return suspicion.startedAt + suspicion.extension + (max - (max - min) * confirmed) * (1 + healthScore / 2.0);
     }
 
     private void startProbe(double now, List<Step> steps) {
         if (probeOrder.isEmpty()) {
-            others.values().stream().filter(Standing::there).map(Standing::name).forEach(probeOrder::add);
+            otherMembers.values().stream().filter(MemberStatus::isPresent).map(MemberStatus::name).forEach(probeOrder::add);
             Collections.shuffle(probeOrder, new java.util.Random(random.nextLong()));
         }
         String target = null;
         while (!probeOrder.isEmpty() && target == null) {
             String name = probeOrder.remove(probeOrder.size() - 1);
-            target = others.containsKey(name) && others.get(name).there() ? name : null;
+            target = otherMembers.containsKey(name) && otherMembers.get(name).isPresent() ? name : null;
         }
         if (target == null) {
             return;
         }
         probe = new Probe(target, ++lastNumber, now);
-        probe.indirectAt = now + roundTrips.timeout(MIN_ACK_TIMEOUT * settings.period(),
-                MAX_ACK_TIMEOUT * settings.period()) * (1 + healthScore);
-        probe.deadline = now + settings.period() * (1 + healthScore) * PROBE_DEADLINE;
-        Standing known = others.get(target);
+        probe.indirectAt = now + roundTrips.timeout(MIN_ACK_TIMEOUT * settings.probePeriodSeconds(),
+                MAX_ACK_TIMEOUT * settings.probePeriodSeconds()) * (1 + healthScore);
+        probe.deadline = now + settings.probePeriodSeconds() * (1 + healthScore) * PROBE_DEADLINE;
+        MemberStatus known = otherMembers.get(target);
         if (known.state() == State.SUSPECTED) {
             enqueueUpdate(target); // lets the suspect learn of the suspicion from this ping, and refute it
         }
@@ -348,60 +348,60 @@
             randomMembers(1, Set.of()).forEach(name -> send(name, new Sync(true, nextTablePage()), steps));
         }
         if (periods % RECONNECT_PERIODS == 0) {
-            List<Standing> gone = others.values().stream().filter(s -> s.state() == State.GONE).toList();
+            List<MemberStatus> gone = otherMembers.values().stream().filter(s -> s.state() == State.GONE).toList();
             if (!gone.isEmpty()) {
-                Standing s = gone.get(random.nextInt(gone.size()));
-                steps.add(new Step.Say(s.name(), s.address(), new Sync(true, piggybackedUpdates())));
+                MemberStatus s = gone.get(random.nextInt(gone.size()));
+                steps.add(new Step.Send(s.name(), s.address(), new Sync(true, piggybackedUpdates())));
             }
             if (!seeds.isEmpty() && (size() == 1 || random.nextInt(Math.max(1, size() / 8)) == 0)) {
-                steps.add(new Step.Say("", seeds.get(random.nextInt(seeds.size())),
+                steps.add(new Step.Send("", seeds.get(random.nextInt(seeds.size())),
                         new Sync(true, piggybackedUpdates())));
             }
         }
-        others.values().removeIf(s -> !s.there()
-                && now - changedAt.getOrDefault(s.name(), now) > settings.remember());
-        changedAt.keySet().retainAll(others.keySet());
+        otherMembers.values().removeIf(s -> !s.isPresent()
+                && now - changedAt.getOrDefault(s.name(), now) > settings.goneRetentionSeconds());
+        changedAt.keySet().retainAll(otherMembers.keySet());
     }
 
     // ---- received messages
 
     /** Handles a message of another member. */
-    public List<Step> heard(double now, String from, Gossip message) {
+    public List<Step> handleMessage(double now, String from, Gossip message) {
         List<Step> steps = new ArrayList<>();
         if (left) {
             return steps;
         }
-        for (Standing update : message.news()) {
+        for (MemberStatus update : message.updates()) {
             applyUpdate(now, update, steps);
         }
-        Standing sender = others.get(from);
+        MemberStatus sender = otherMembers.get(from);
         if (sender != null && sender.state() != State.ALIVE) {
             enqueueUpdate(from); // the sender is alive: the answer tells it what is said of it, so that it can refute
         }
         if (message instanceof Ping ping) {
-            send(from, new Ack(ping.number(), piggybackedUpdates()), steps);
-        } else if (message instanceof PingFor pingFor) {
-            Standing target = others.get(pingFor.whom());
+            send(from, new Ack(ping.sequenceNumber(), piggybackedUpdates()), steps);
+        } else if (message instanceof PingRequest pingFor) {
+            MemberStatus target = otherMembers.get(pingFor.target());
             if (target != null && indirectProbes.size() < MAX_INDIRECT_PROBES) {
-                double ackTimeout = roundTrips.timeout(MIN_ACK_TIMEOUT * settings.period(),
-                        MAX_ACK_TIMEOUT * settings.period());
+                double ackTimeout = roundTrips.timeout(MIN_ACK_TIMEOUT * settings.probePeriodSeconds(),
+                        MAX_ACK_TIMEOUT * settings.probePeriodSeconds());
                 // The nack has to reach the requester before its probe ends.
-                indirectProbes.put(++lastNumber, new IndirectProbe(from, pingFor.number(), pingFor.whom(),
-                        now + Math.min(ackTimeout, MAX_ACK_TIMEOUT / 2 * settings.period()),
-                        now + 2 * settings.period()));
-                send(pingFor.whom(), new Ping(lastNumber, piggybackedUpdates()), steps);
+                indirectProbes.put(++lastNumber, new IndirectProbe(from, pingFor.sequenceNumber(), pingFor.target(),
+                        now + Math.min(ackTimeout, MAX_ACK_TIMEOUT / 2 * settings.probePeriodSeconds()),
+                        now + 2 * settings.probePeriodSeconds()));
+                send(pingFor.target(), new Ping(lastNumber, piggybackedUpdates()), steps);
             }
         } else if (message instanceof Ack ack) {
-            handleAck(now, from, ack.number(), steps);
+            handleAck(now, from, ack.sequenceNumber(), steps);
         } else if (message instanceof Nack nack) {
-            if (probe != null && probe.number == nack.number()) {
+            if (probe != null && probe.number == nack.sequenceNumber()) {
                 probe.silentHelpers.remove(from);
             }
-        } else if (message instanceof Sync sync && sync.back()) {
-            List<Standing> all = new ArrayList<>(others.values());
-            if (all.size() <= MAX_SYNC_PAGES * MOST_NEWS) {
-                for (int i = 0; i == 0 || i < all.size(); i += MOST_NEWS - 1) {
-                    List<Standing> page = new ArrayList<>(all.subList(i, Math.min(all.size(), i + MOST_NEWS - 1)));
+        } else if (message instanceof Sync sync && sync.replyRequested()) {
+            List<MemberStatus> all = new ArrayList<>(otherMembers.values());
+            if (all.size() <= MAX_SYNC_PAGES * MAX_UPDATES_PER_MESSAGE) {
+                for (int i = 0; i == 0 || i < all.size(); i += MAX_UPDATES_PER_MESSAGE - 1) {
+                    List<MemberStatus> page = new ArrayList<>(all.subList(i, Math.min(all.size(), i + MAX_UPDATES_PER_MESSAGE - 1)));
                     page.add(self);
                     send(from, new Sync(false, page), steps);
                 }
@@ -434,46 +434,46 @@
     }
 
     /** Applies an update of one member if it overrules what is known; it does not matter who sent it. */
-    private void applyUpdate(double now, Standing update, List<Step> steps) {
+    private void applyUpdate(double now, MemberStatus update, List<Step> steps) {
         if (update.name().equals(self.name())) {
             refuteIfFalse(update);
             return;
         }
-        Standing before = others.get(update.name());
-        if (before != null && !update.overrules(before)) {
+        MemberStatus before = otherMembers.get(update.name());
+        if (before != null && !update.overrides(before)) {
             Suspicion running = suspicions.get(update.name());
             if (running != null && update.state() == State.SUSPECTED && update.incarnation() == before.incarnation()
-                    && update.life() == before.life() && running.accusers.size() <= settings.helpers()
-                    && running.accusers.add(update.by())) {
-                others.put(update.name(), update);
+                    && update.processIncarnation() == before.processIncarnation() && running.accusers.size() <= settings.indirectProbeHelpers()
+                    && running.accusers.add(update.suspectedBy())) {
+                otherMembers.put(update.name(), update);
                 enqueueUpdate(update.name()); // an independent confirmation shortens the timers of the others too
             }
             return;
         }
-        if (before == null && (others.size() >= MAX_MEMBERS || !update.there())) {
+        if (before == null && (otherMembers.size() >= MAX_MEMBERS || !update.isPresent())) {
             return;
         }
-        othersPresent += (update.there() ? 1 : 0) - (before != null && before.there() ? 1 : 0);
-        others.put(update.name(), update);
+        othersPresent += (update.isPresent() ? 1 : 0) - (before != null && before.isPresent() ? 1 : 0);
+        otherMembers.put(update.name(), update);
         changedAt.put(update.name(), now);
         suspicions.remove(update.name());
         if (update.state() == State.SUSPECTED) {
             Suspicion started = new Suspicion(now);
-            started.accusers.add(update.by());
+            started.accusers.add(update.suspectedBy());
             suspicions.put(update.name(), started);
         }
-        if (before == null && update.there()) {
+        if (before == null && update.isPresent()) {
             probeOrder.add(probeOrder.isEmpty() ? 0 : random.nextInt(probeOrder.size()), update.name());
         }
         enqueueUpdate(update.name());
-        steps.add(new Step.Changed(update, before));
+        steps.add(new Step.StatusChanged(update, before));
     }
 
     /** Refutes, by a higher incarnation, an update that says this member is suspected, gone or has left. */
-    private void refuteIfFalse(Standing update) {
-        if (!left && update.life() == self.life() && update.incarnation() >= self.incarnation()
+    private void refuteIfFalse(MemberStatus update) {
+        if (!left && update.processIncarnation() == self.processIncarnation() && update.incarnation() >= self.incarnation()
                 && update.state() != State.ALIVE) {
-            self = new Standing(self.name(), self.address(), self.hall(), self.life(), update.incarnation() + 1,
+            self = new MemberStatus(self.name(), self.address(), self.zone(), self.processIncarnation(), update.incarnation() + 1,
                     State.ALIVE, self.steady(), "");
             adjustHealth(1);
             enqueueUpdate(self.name());
@@ -487,8 +487,8 @@
     }
 
     /** This member's own status, and a bounded number of pending updates, those sent least often first. */
-    private List<Standing> piggybackedUpdates() {
-        List<Standing> updates = new ArrayList<>();
+    private List<MemberStatus> piggybackedUpdates() {
+        List<MemberStatus> updates = new ArrayList<>();
         updates.add(self);
         if (pendingUpdates.isEmpty()) {
             return updates;
@@ -496,7 +496,7 @@
         pendingUpdates.entrySet().stream()
                 .sorted(Comparator.comparing((Map.Entry<String, Integer> e) -> -e.getValue()))
                 .limit(MAX_PIGGYBACKED_UPDATES).map(Map.Entry::getKey).toList().forEach(name -> {
-                    Standing s = others.get(name);
+                    MemberStatus s = otherMembers.get(name);
                     if (s != null) {
                         updates.add(s);
                     }
@@ -507,16 +507,16 @@
     }
 
     /** The next page of the member table, cyclically by name, with this member's own status. */
-    private List<Standing> nextTablePage() {
-        List<Standing> page = new ArrayList<>();
+    private List<MemberStatus> nextTablePage() {
+        List<MemberStatus> page = new ArrayList<>();
         page.add(self);
-        List<String> names = new ArrayList<>(others.keySet());
+        List<String> names = new ArrayList<>(otherMembers.keySet());
         if (!names.isEmpty()) {
             int at = Collections.binarySearch(names, syncCursor);
             at = at < 0 ? -at - 1 : at + 1;
-            for (int i = 0; i < Math.min(names.size(), MOST_NEWS - 1); i++) {
+            for (int i = 0; i < Math.min(names.size(), MAX_UPDATES_PER_MESSAGE - 1); i++) {
                 syncCursor = names.get((at + i) % names.size());
-                page.add(others.get(syncCursor));
+                page.add(otherMembers.get(syncCursor));
             }
         }
         return page;
@@ -525,8 +525,8 @@
     /** Names of up to {@code max} members that are present, drawn uniformly without replacement. */
     private List<String> randomMembers(int max, Set<String> excluded) {
         List<String> candidates = new ArrayList<>();
-        others.values().forEach(s -> {
-            if (s.there() && !excluded.contains(s.name())) {
+        otherMembers.values().forEach(s -> {
+            if (s.isPresent() && !excluded.contains(s.name())) {
                 candidates.add(s.name());
             }
         });
@@ -540,9 +540,9 @@
     }
 
     private void send(String to, Gossip message, List<Step> steps) {
-        Standing receiver = others.get(to);
+        MemberStatus receiver = otherMembers.get(to);
         if (receiver != null) {
-            steps.add(new Step.Say(to, receiver.address(), message));
+            steps.add(new Step.Send(to, receiver.address(), message));
         }
     }
 }
--- a/src/main/java/topazladder/net/DependencyClient.java
+++ b/src/main/java/topazladder/net/DependencyClient.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.below.How;
+import topazladder.below.CallOutcome;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.net.codec.DependencyLines;
 import topazladder.request.Outcome;
@@ -172,7 +172,7 @@
     /** The dependency knows the timeout and says when it is over; silence is the connection's. */
     private void timedOut(DependencyCall call) {
         if (call.connection() != null) {
-            endpoints.report(call, How.SILENT);
+            endpoints.report(call, CallOutcome.TIMED_OUT);
         }
         counters.add(Count.CALLS_TIMED_OUT);
         finish(call, call.isWritten() ? Outcome.CONNECTION_LOST : Outcome.UNREACHABLE, null);
@@ -222,7 +222,7 @@
     }
 
     private void retryElsewhere(DependencyCall refused) {
-        endpoints.report(refused, How.REFUSED);
+        endpoints.report(refused, CallOutcome.UNREACHABLE);
         if (endpoints.isRetryPermitted(refused)) {
             counters.add(Count.CALLS_RETRIED);
             refused.refused();
@@ -236,7 +236,7 @@
     @Override
     public void replied(DependencyConnection connection, DependencyLines.Reply reply) {
         DependencyCall done = connection.takeCall();
-        endpoints.report(done, reply.outcome() == Outcome.FAILED ? How.FAILED : How.ANSWERED);
+        endpoints.report(done, reply.outcome() == Outcome.FAILED ? CallOutcome.FAILED : CallOutcome.ANSWERED);
         done.detach();
         // What came with the reply may be the start of a copy, which the connection reads before it is released.
         vertx.runOnContext(v -> release(connection));
@@ -263,7 +263,7 @@
         DependencyCall lost = connection.takeCall();
         if (lost != null) {
             counters.add(Count.CALLS_CONNECTION_LOST);
-            endpoints.report(lost, How.CUT);
+            endpoints.report(lost, CallOutcome.CONNECTION_LOST);
             lost.detach();
             finish(lost, Outcome.CONNECTION_LOST, null);
         }
--- a/src/main/java/topazladder/net/DependencyEndpointChoice.java
+++ b/src/main/java/topazladder/net/DependencyEndpointChoice.java
@@ -1,6 +1,6 @@
 package topazladder.net;
 
-import topazladder.below.How;
+import topazladder.below.CallOutcome;
 import topazladder.config.ServiceSettings.Address;
 
 /** Which of several endpoints of the dependency a call goes to, and what became of it there. */
@@ -21,7 +21,7 @@
     /** Whether new calls may go to it now. */
     boolean isInUse(int endpoint);
 
-    void callEnded(int endpoint, How how);
+    void callEnded(int endpoint, CallOutcome how);
 
     /** The call was given up before it told anything of the endpoint. */
     void callAbandoned(int endpoint);
--- a/src/main/java/topazladder/net/DependencyEndpoints.java
+++ b/src/main/java/topazladder/net/DependencyEndpoints.java
@@ -1,6 +1,6 @@
 package topazladder.net;
 
-import topazladder.below.How;
+import topazladder.below.CallOutcome;
 import topazladder.config.ServiceSettings.Address;
 
 /**
@@ -61,7 +61,7 @@
     }
 
     /** Reports what the call tells of its endpoint; only the first report of a call counts. */
-    void report(DependencyCall call, How how) {
+    void report(DependencyCall call, CallOutcome how) {
         if (call.claimReport()) {
             choice.callEnded(call.endpoint(), how);
         }
