--- a/src/main/java/topazladder/net/ServiceInstance.java
+++ b/src/main/java/topazladder/net/ServiceInstance.java
@@ -22,7 +22,7 @@
 import topazladder.config.ServiceSettings;
 import topazladder.disruption.ThroughputMeter;
 import topazladder.net.amqp.AmqpNode;
-import topazladder.net.hall.HallNode;
+import topazladder.net.hall.ClusterNode;
 import topazladder.net.peer.PeerNode;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
@@ -101,15 +101,15 @@
         AmqpNode brokers = extensionSettings.brokers().isEmpty() ? null
                 : new AmqpNode(vertx, settings, extensionSettings, clock, scheduler, dispatcher, instance, counters);
         if (extensionSettings.peering() != null) {
-            AtomicReference<HallNode> cluster = new AtomicReference<>();
+            AtomicReference<ClusterNode> cluster = new AtomicReference<>();
             PeerNode peers =
                     new PeerNode(vertx, settings, extensionSettings, dispatcher, instance, counters, cluster::get);
             extensions.add(peers);
             if (extensionSettings.cluster() != null) {
                 cluster.set(clusterNode(extensionSettings, peers, brokers));
                 extensions.add(cluster.get());
-                if (cluster.get().choice() != null) {
-                    dependency.choose(cluster.get().choice());
+                if (cluster.get().dependencyEndpointChoice() != null) {
+                    dependency.choose(cluster.get().dependencyEndpointChoice());
                 }
             }
         }
@@ -118,13 +118,13 @@
         }
     }
 
-    private HallNode clusterNode(ExtensionSettings extensionSettings, PeerNode peers, AmqpNode brokers) {
+    private ClusterNode clusterNode(ExtensionSettings extensionSettings, PeerNode peers, AmqpNode brokers) {
         DependencyCircuitBreaker circuitBreaker =
                 new DependencyCircuitBreaker(new SplittableRandom(settings.seed() ^ System.nanoTime()));
         if (extensionSettings.cluster().leases().stream().anyMatch(d -> d.task() instanceof ClusterSettings.Probe)) {
             dependency.guardBy(circuitBreaker);
         }
-        return new HallNode(vertx, settings, extensionSettings, instance::phase, counters, peers::keys,
+        return new ClusterNode(vertx, settings, extensionSettings, instance::phase, counters, peers::keys,
                 this::leaveAsAgreed, this::counted, c -> brokers.consumeBy(c.broker(), c.queue()),
                 dependency::address, circuitBreaker);
     }
--- a/src/main/java/topazladder/net/codec/HallMessages.java
+++ b/src/main/java/topazladder/net/codec/HallMessages.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import topazladder.consensus.VoterEndpoint;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 import topazladder.hall.proto.AnswerMessage;
 import topazladder.hall.proto.AskMessage;
 import topazladder.hall.proto.ConductMessage;
@@ -26,8 +26,8 @@
 import topazladder.lease.LeaseResponse;
 import topazladder.membership.Gossip;
 import topazladder.membership.Membership;
-import topazladder.membership.Standing;
-import topazladder.release.View;
+import topazladder.membership.MemberStatus;
+import topazladder.release.RolloutStatus;
 
 /**
  * What members of a hall say to each other, as bytes and back; what comes is bounded and checked before it is a value.
@@ -41,75 +41,75 @@
 
     private HallMessages() {}
 
-    public static byte[] bytes(Saying what) {
+    public static byte[] bytes(ClusterMessage what) {
         return bytes(what, SCHEMA, READABLE_FROM);
     }
 
     /** As a version of another schema would write it; for tests of mixed halls. */
-    static byte[] bytes(Saying what, int schema, int readableFrom) {
+    static byte[] bytes(ClusterMessage what, int schema, int readableFrom) {
         HallMessage.Builder b = HallMessage.newBuilder().setSchema(schema).setReadableFrom(readableFrom);
-        if (what instanceof Saying.Membership m) {
+        if (what instanceof ClusterMessage.MembershipGossip m) {
             b.setGossip(gossip(m.gossip()));
-        } else if (what instanceof Saying.Consensus c) {
+        } else if (what instanceof ClusterMessage.Consensus c) {
             b.setConsensus(RaftMessages.message(c.message()));
-        } else if (what instanceof Saying.Asking a) {
-            b.setAsk(ask(a.ask()).setAddress(a.address()).setServing(ReleaseMessages.serving(a.serving()))
-                    .addAllBelow(a.below().stream().map(BelowMessages::report).toList()));
-        } else if (what instanceof Saying.Answering a) {
-            AnswerMessage.Builder answer = AnswerMessage.newBuilder().setNumber(a.answer().sequence())
-                    .setAskAgainIn(a.answer().pollAfterSeconds());
-            a.answer().grants().forEach(g -> answer.addLeases(LeaseMessage.newBuilder().setDuty(g.leaseName())
+        } else if (what instanceof ClusterMessage.LeasePoll a) {
+            b.setAsk(ask(a.request()).setAddress(a.address()).setServing(ReleaseMessages.serving(a.loadReport()))
+                    .addAllBelow(a.dependencyReports().stream().map(BelowMessages::report).toList()));
+        } else if (what instanceof ClusterMessage.LeasePollResponse a) {
+            AnswerMessage.Builder answer = AnswerMessage.newBuilder().setNumber(a.response().sequence())
+                    .setAskAgainIn(a.response().pollAfterSeconds());
+            a.response().grants().forEach(g -> answer.addLeases(LeaseMessage.newBuilder().setDuty(g.leaseName())
                     .setToken(g.fencingToken()).setLease(g.durationSeconds()).setStop(g.stopRequested())));
             b.setAnswer(answer);
-        } else if (what instanceof Saying.LeaderIs l) {
+        } else if (what instanceof ClusterMessage.LeaderHint l) {
             b.setLeaderIs(l.name()).setLeaderAt(l.address());
-        } else if (what instanceof Saying.Nudge) {
+        } else if (what instanceof ClusterMessage.WakeUp) {
             b.setNudge(Nothing.getDefaultInstance());
-        } else if (what instanceof Saying.AsksToVote v) {
-            b.setAsksToVote(voter(v.who()));
-        } else if (what instanceof Saying.TakenIn t) {
-            b.setTakenIn(TakenInMessage.newBuilder().setWho(voter(t.who()))
-                    .addAllFirst(t.first().stream().map(HallMessages::voter).toList()).setFormed(t.formed()));
-        } else if (what instanceof Saying.Order o) {
-            b.setOrder(OrderMessage.newBuilder().setNumber(o.number()).setKind(o.command().kind().ordinal())
-                    .setDuty(o.command().duty()).setText(o.command().text()));
-        } else if (what instanceof Saying.Told t) {
-            b.setTold(ToldMessage.newBuilder().setNumber(t.number()).setDone(t.done()).setText(t.text()));
-        } else if (what instanceof Saying.MayGo m) {
+        } else if (what instanceof ClusterMessage.JoinRequest v) {
+            b.setAsksToVote(voter(v.endpoint()));
+        } else if (what instanceof ClusterMessage.JoinConfirmation t) {
+            b.setTakenIn(TakenInMessage.newBuilder().setWho(voter(t.endpoint()))
+                    .addAllFirst(t.initialVoters().stream().map(HallMessages::voter).toList()).setFormed(t.groupGeneration()));
+        } else if (what instanceof ClusterMessage.CommandRequest o) {
+            b.setOrder(OrderMessage.newBuilder().setNumber(o.requestId()).setKind(o.command().kind().ordinal())
+                    .setDuty(o.command().leaseName()).setText(o.command().text()));
+        } else if (what instanceof ClusterMessage.CommandResponse t) {
+            b.setTold(ToldMessage.newBuilder().setNumber(t.requestId()).setDone(t.done()).setText(t.text()));
+        } else if (what instanceof ClusterMessage.ShutdownPermission m) {
             b.setMayGo(m.token());
-        } else if (what instanceof Saying.Going g) {
+        } else if (what instanceof ClusterMessage.ShutdownRequest g) {
             b.setGoing(GoingMessage.newBuilder().setFrom(IdentityMessages.member(g.from())).setToken(g.token()));
-        } else if (what instanceof Saying.Go g) {
+        } else if (what instanceof ClusterMessage.ShutdownApproval g) {
             // As before where there is no version, so that an older one goes too.
             if (g.version().isEmpty()) {
                 b.setGo(g.token());
             } else {
                 b.setGoFor(GoMessage.newBuilder().setToken(g.token()).setVersion(g.version()));
             }
-        } else if (what instanceof Saying.Conduct c) {
-            b.setConduct(ConductMessage.newBuilder().setFrom(IdentityMessages.member(c.from())).setNumber(c.number())
-                    .addAllOps(c.ops().stream().map(ReleaseMessages::op).toList()).setDoing(c.doing()));
-        } else if (what instanceof Saying.Conducted c) {
-            ConductedMessage.Builder view = ConductedMessage.newBuilder().setNumber(c.number())
-                    .setLeader(c.view().leader()).setTakesAdditions(c.view().takesAdditions())
+        } else if (what instanceof ClusterMessage.RolloutProposal c) {
+            b.setConduct(ConductMessage.newBuilder().setFrom(IdentityMessages.member(c.from())).setNumber(c.sequence())
+                    .addAllOps(c.operations().stream().map(ReleaseMessages::op).toList()).setDoing(c.activity()));
+        } else if (what instanceof ClusterMessage.RolloutState c) {
+            ConductedMessage.Builder view = ConductedMessage.newBuilder().setNumber(c.sequence())
+                    .setLeader(c.view().leader()).setTakesAdditions(c.view().supportsAdditions())
                     .addAllMembers(c.view().members().stream().map(ReleaseMessages::sight).toList());
-            if (c.view().release() != null) {
-                view.setRelease(ReleaseMessages.release(c.view().release()));
+            if (c.view().rollout() != null) {
+                view.setRelease(ReleaseMessages.release(c.view().rollout()));
             }
             b.setConducted(view);
-        } else if (what instanceof Saying.Belows w) {
+        } else if (what instanceof ClusterMessage.DependencyDecisions w) {
             b.setBelows(BelowMessages.belows(w));
-        } else if (what instanceof Saying.Leaving l) {
+        } else if (what instanceof ClusterMessage.LeaveNotice l) {
             b.setLeaving(GoingMessage.newBuilder().setFrom(IdentityMessages.member(l.from())).setBy(l.by()));
-        } else if (what instanceof Saying.Found f) {
-            b.setFound(FoundMessage.newBuilder().setSubject(f.subject()).setWell(f.well()).setAge(f.age())
-                    .setToken(f.token()));
+        } else if (what instanceof ClusterMessage.ProbeResult f) {
+            b.setFound(FoundMessage.newBuilder().setSubject(f.dependency()).setWell(f.reachable()).setAge(f.ageSeconds())
+                    .setToken(f.fencingToken()));
         }
         return b.build().toByteArray();
     }
 
     /** Null for one of a newer version that this one needs not understand. */
-    public static Saying saying(byte[] bytes) throws MalformedMessageException {
+    public static ClusterMessage saying(byte[] bytes) throws MalformedMessageException {
         HallMessage m;
         try {
             m = HallMessage.parseFrom(bytes);
@@ -121,60 +121,60 @@
                     "a message that needs schema " + m.getReadableFrom() + ", this is " + SCHEMA);
         }
         return switch (m.getWhatCase()) {
-            case GOSSIP -> new Saying.Membership(gossip(m.getGossip()));
-            case CONSENSUS -> new Saying.Consensus(RaftMessages.message(m.getConsensus()));
-            case ASK -> new Saying.Asking(ask(m.getAsk()), m.getAsk().getAddress(), m.getSchema(),
+            case GOSSIP -> new ClusterMessage.MembershipGossip(gossip(m.getGossip()));
+            case CONSENSUS -> new ClusterMessage.Consensus(RaftMessages.message(m.getConsensus()));
+            case ASK -> new ClusterMessage.LeasePoll(ask(m.getAsk()), m.getAsk().getAddress(), m.getSchema(),
                     ReleaseMessages.serving(m.getAsk().getServing()),
                     BelowMessages.reports(m.getAsk().getBelowList()));
             case BELOWS -> BelowMessages.belows(m.getBelows());
-            case ANSWER -> new Saying.Answering(answer(m.getAnswer()));
-            case LEADER_IS -> new Saying.LeaderIs(m.getLeaderIs(), m.getLeaderAt());
-            case NUDGE -> new Saying.Nudge();
-            case ASKS_TO_VOTE -> new Saying.AsksToVote(voter(m.getAsksToVote()));
+            case ANSWER -> new ClusterMessage.LeasePollResponse(answer(m.getAnswer()));
+            case LEADER_IS -> new ClusterMessage.LeaderHint(m.getLeaderIs(), m.getLeaderAt());
+            case NUDGE -> new ClusterMessage.WakeUp();
+            case ASKS_TO_VOTE -> new ClusterMessage.JoinRequest(voter(m.getAsksToVote()));
             case TAKEN_IN -> takenIn(m.getTakenIn());
             case ORDER -> {
-                Saying.Command.Kind[] kinds = Saying.Command.Kind.values();
+                ClusterMessage.Command.Kind[] kinds = ClusterMessage.Command.Kind.values();
                 if (m.getOrder().getKind() < 0 || m.getOrder().getKind() >= kinds.length) {
                     throw new MalformedMessageException("a command that this version does not know");
                 }
-                yield new Saying.Order(m.getOrder().getNumber(), new Saying.Command(kinds[m.getOrder().getKind()],
+                yield new ClusterMessage.CommandRequest(m.getOrder().getNumber(), new ClusterMessage.Command(kinds[m.getOrder().getKind()],
                         m.getOrder().getDuty(), m.getOrder().getText()));
             }
-            case TOLD -> new Saying.Told(m.getTold().getNumber(), m.getTold().getDone(), m.getTold().getText());
+            case TOLD -> new ClusterMessage.CommandResponse(m.getTold().getNumber(), m.getTold().getDone(), m.getTold().getText());
             case FOUND -> {
                 double age = m.getFound().getAge();
                 if (!(age >= 0)) {
                     throw new MalformedMessageException("an age of " + age);
                 }
-                yield new Saying.Found(m.getFound().getSubject(), m.getFound().getWell(), age, m.getFound().getToken());
+                yield new ClusterMessage.ProbeResult(m.getFound().getSubject(), m.getFound().getWell(), age, m.getFound().getToken());
             }
-            case MAY_GO -> new Saying.MayGo(m.getMayGo());
-            case GOING -> new Saying.Going(IdentityMessages.member(m.getGoing().getFrom()), m.getGoing().getToken());
-            case GO -> new Saying.Go(m.getGo(), "");
-            case GO_FOR -> new Saying.Go(m.getGoFor().getToken(), m.getGoFor().getVersion());
-            case CONDUCT -> new Saying.Conduct(IdentityMessages.member(m.getConduct().getFrom()),
+            case MAY_GO -> new ClusterMessage.ShutdownPermission(m.getMayGo());
+            case GOING -> new ClusterMessage.ShutdownRequest(IdentityMessages.member(m.getGoing().getFrom()), m.getGoing().getToken());
+            case GO -> new ClusterMessage.ShutdownApproval(m.getGo(), "");
+            case GO_FOR -> new ClusterMessage.ShutdownApproval(m.getGoFor().getToken(), m.getGoFor().getVersion());
+            case CONDUCT -> new ClusterMessage.RolloutProposal(IdentityMessages.member(m.getConduct().getFrom()),
                     m.getConduct().getNumber(), ReleaseMessages.ops(m.getConduct().getOpsList()),
                     m.getConduct().getDoing());
-            case CONDUCTED -> new Saying.Conducted(m.getConducted().getNumber(), new View(
+            case CONDUCTED -> new ClusterMessage.RolloutState(m.getConducted().getNumber(), new RolloutStatus(
                     m.getConducted().hasRelease() ? ReleaseMessages.release(m.getConducted().getRelease()) : null,
                     ReleaseMessages.sights(m.getConducted().getMembersList()), m.getConducted().getLeader(),
                     m.getConducted().getTakesAdditions()));
-            case LEAVING -> new Saying.Leaving(IdentityMessages.member(m.getLeaving().getFrom()),
+            case LEAVING -> new ClusterMessage.LeaveNotice(IdentityMessages.member(m.getLeaving().getFrom()),
                     m.getLeaving().getBy());
             case WHAT_NOT_SET -> null;
         };
     }
 
-    private static Saying.TakenIn takenIn(TakenInMessage m) throws MalformedMessageException {
+    private static ClusterMessage.JoinConfirmation takenIn(TakenInMessage m) throws MalformedMessageException {
         List<VoterEndpoint> first = new ArrayList<>();
         for (VoterId v : m.getFirstList()) {
             first.add(voter(v));
         }
-        return new Saying.TakenIn(voter(m.getWho()), List.copyOf(first), m.getFormed());
+        return new ClusterMessage.JoinConfirmation(voter(m.getWho()), List.copyOf(first), m.getFormed());
     }
 
     private static VoterId voter(VoterEndpoint e) {
-        return VoterId.newBuilder().setName(e.name()).setBirth(e.birth()).build();
+        return VoterId.newBuilder().setName(e.name()).setBirth(e.folderId()).build();
     }
 
     private static VoterEndpoint voter(VoterId v) throws MalformedMessageException {
@@ -226,38 +226,38 @@
     private static GossipMessage gossip(Gossip g) {
         GossipMessage.Builder b = GossipMessage.newBuilder();
         if (g instanceof Gossip.Ping p) {
-            b.setKind(GossipMessage.Kind.PING).setNumber(p.number());
-        } else if (g instanceof Gossip.PingFor p) {
-            b.setKind(GossipMessage.Kind.PING_FOR).setNumber(p.number()).setWhom(p.whom());
+            b.setKind(GossipMessage.Kind.PING).setNumber(p.sequenceNumber());
+        } else if (g instanceof Gossip.PingRequest p) {
+            b.setKind(GossipMessage.Kind.PING_FOR).setNumber(p.sequenceNumber()).setWhom(p.target());
         } else if (g instanceof Gossip.Ack a) {
-            b.setKind(GossipMessage.Kind.ACK).setNumber(a.number());
+            b.setKind(GossipMessage.Kind.ACK).setNumber(a.sequenceNumber());
         } else if (g instanceof Gossip.Nack n) {
-            b.setKind(GossipMessage.Kind.NACK).setNumber(n.number());
+            b.setKind(GossipMessage.Kind.NACK).setNumber(n.sequenceNumber());
         } else if (g instanceof Gossip.Sync s) {
-            b.setKind(GossipMessage.Kind.SYNC).setBack(s.back());
+            b.setKind(GossipMessage.Kind.SYNC).setBack(s.replyRequested());
         }
-        g.news().forEach(s -> b.addNews(StandingMessage.newBuilder().setName(s.name()).setAddress(s.address())
-                .setHall(s.hall()).setLife(s.life()).setIncarnation(s.incarnation()).setState(s.state().ordinal())
-                .setSteady(s.steady()).setBy(s.by())));
+        g.updates().forEach(s -> b.addNews(StandingMessage.newBuilder().setName(s.name()).setAddress(s.address())
+                .setHall(s.zone()).setLife(s.processIncarnation()).setIncarnation(s.incarnation()).setState(s.state().ordinal())
+                .setSteady(s.steady()).setBy(s.suspectedBy())));
         return b.build();
     }
 
     private static Gossip gossip(GossipMessage m) throws MalformedMessageException {
-        if (m.getNewsCount() > Membership.MOST_NEWS) {
+        if (m.getNewsCount() > Membership.MAX_UPDATES_PER_MESSAGE) {
             throw new MalformedMessageException(m.getNewsCount() + " standings in one message");
         }
-        List<Standing> news = new ArrayList<>();
+        List<MemberStatus> news = new ArrayList<>();
         for (StandingMessage s : m.getNewsList()) {
-            if (s.getState() < 0 || s.getState() >= Standing.State.values().length) {
+            if (s.getState() < 0 || s.getState() >= MemberStatus.State.values().length) {
                 continue; // a state of a newer version says nothing here
             }
-            news.add(new Standing(IdentityMessages.name(s.getName()), s.getAddress(), s.getHall(), s.getLife(),
-                    s.getIncarnation(), Standing.State.values()[s.getState()], s.getSteady(), s.getBy()));
+            news.add(new MemberStatus(IdentityMessages.name(s.getName()), s.getAddress(), s.getHall(), s.getLife(),
+                    s.getIncarnation(), MemberStatus.State.values()[s.getState()], s.getSteady(), s.getBy()));
         }
-        List<Standing> all = List.copyOf(news);
+        List<MemberStatus> all = List.copyOf(news);
         return switch (m.getKind()) {
             case PING -> new Gossip.Ping(m.getNumber(), all);
-            case PING_FOR -> new Gossip.PingFor(m.getNumber(), m.getWhom(), all);
+            case PING_FOR -> new Gossip.PingRequest(m.getNumber(), m.getWhom(), all);
             case ACK -> new Gossip.Ack(m.getNumber(), all);
             case NACK -> new Gossip.Nack(m.getNumber(), all);
             case SYNC -> new Gossip.Sync(m.getBack(), all);
--- a/src/main/java/topazladder/net/codec/LogMessages.java
+++ b/src/main/java/topazladder/net/codec/LogMessages.java
@@ -17,8 +17,8 @@
 import topazladder.hall.proto.OpMessage;
 import topazladder.lease.LeaseCommand;
 import topazladder.lease.LeaseStateMachine;
-import topazladder.release.Release;
-import topazladder.release.ReleaseOp;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutCommand;
 
 /**
  * The replicated log as messages and back: entries with the domains' commands, configurations, and chunks of snapshots.
@@ -49,7 +49,7 @@
             LeaseMessages.writeCommand(lease, message);
         } else if (command instanceof DisruptionCommand disruption) {
             message.setOut(OutMessages.op(disruption));
-        } else if (command instanceof ReleaseOp rollout) {
+        } else if (command instanceof RolloutCommand rollout) {
             message.setReleaseOp(ReleaseMessages.op(rollout));
         } else if (command instanceof UpdateRaftGroupMembersOp update) {
             message.setMembers(configurationChange(update));
@@ -117,13 +117,13 @@
                 .setMembers(configuration(chunk.getGroupMembersView()))
                 .setCopy(LeaseMessages.snapshot(state.part(LeaseStateMachine.Snapshot.class).orElseThrow()))
                 .setOuts(OutMessages.copy(state.part(DisruptionStateMachine.Snapshot.class).orElseThrow()));
-        state.part(Release.class).ifPresent(release -> message.setRelease(ReleaseMessages.release(release)));
+        state.part(Rollout.class).ifPresent(release -> message.setRelease(ReleaseMessages.release(release)));
         return message.build();
     }
 
     /** Reads a chunk of a snapshot. */
     public static SnapshotChunk chunk(ChunkMessage message) throws MalformedMessageException {
-        Release release = message.hasRelease() ? ReleaseMessages.release(message.getRelease()) : null;
+        Rollout release = message.hasRelease() ? ReleaseMessages.release(message.getRelease()) : null;
         StateSnapshot state = StateSnapshot.of(LeaseMessages.snapshot(message.getCopy()),
                 OutMessages.copy(message.getOuts()), release);
         return MODEL.createSnapshotChunkBuilder().setIndex(message.getIndex()).setTerm(message.getTerm())
--- a/src/main/java/topazladder/net/codec/PeerMessages.java
+++ b/src/main/java/topazladder/net/codec/PeerMessages.java
@@ -6,8 +6,8 @@
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
-import topazladder.knowledge.Fact;
-import topazladder.knowledge.Knowledge;
+import topazladder.knowledge.SharedEstimate;
+import topazladder.knowledge.SharedEstimates;
 import topazladder.knowledge.Origin;
 import topazladder.peer.proto.Ask;
 import topazladder.peer.proto.Chunk;
@@ -89,16 +89,16 @@
     }
 
     /** Each chunk holds facts of one origin, with ages as of now. */
-    public static List<byte[]> chunks(Knowledge knowledge, double now) {
+    public static List<byte[]> chunks(SharedEstimates knowledge, double now) {
         List<byte[]> chunks = new ArrayList<>();
-        for (Map.Entry<Origin, List<Fact>> e : knowledge.byOrigin().entrySet()) {
-            List<Fact> facts = e.getValue();
+        for (Map.Entry<Origin, List<SharedEstimate>> e : knowledge.byOrigin().entrySet()) {
+            List<SharedEstimate> facts = e.getValue();
             for (int i = 0; i < facts.size() && chunks.size() < MOST_CHUNKS; i += FACTS_A_CHUNK) {
                 Chunk.Builder chunk = Chunk.newBuilder().setOrigin(origin(e.getKey()));
-                for (Fact f : facts.subList(i, Math.min(facts.size(), i + FACTS_A_CHUNK))) {
+                for (SharedEstimate f : facts.subList(i, Math.min(facts.size(), i + FACTS_A_CHUNK))) {
                     chunk.addFacts(topazladder.peer.proto.Fact.newBuilder().setKind(f.kind().ordinal() + 1)
                             .setSubject(f.subject()).setValue(f.value()).setWeight(f.weight())
-                            .setAge(Math.max(0, now - f.seenAt())).setVersion(f.version()));
+                            .setAge(Math.max(0, now - f.measuredAt())).setVersion(f.version()));
                 }
                 chunks.add(chunk.build().toByteArray());
             }
@@ -107,18 +107,18 @@
     }
 
     /** The facts of one chunk, their ages turned into times of the reader's clock; unknown kinds are passed over. */
-    public static Collection<Fact> chunk(byte[] payload, double now) throws MalformedMessageException {
+    public static Collection<SharedEstimate> chunk(byte[] payload, double now) throws MalformedMessageException {
         try {
             Chunk chunk = Chunk.parseFrom(payload);
             Origin origin = origin(chunk.getOrigin());
             if (chunk.getFactsCount() > FACTS_A_CHUNK) {
                 throw new MalformedMessageException("a chunk of " + chunk.getFactsCount() + " facts");
             }
-            List<Fact> facts = new ArrayList<>();
+            List<SharedEstimate> facts = new ArrayList<>();
             for (topazladder.peer.proto.Fact f : chunk.getFactsList()) {
                 boolean known = f.getKind() >= 1 && f.getKind() <= Kind.values().length;
                 if (known && f.getAge() >= 0 && f.getAge() <= OLDEST) {
-                    facts.add(new Fact(Kind.values()[f.getKind() - 1], f.getSubject(), origin, f.getValue(),
+                    facts.add(new SharedEstimate(Kind.values()[f.getKind() - 1], f.getSubject(), origin, f.getValue(),
                             f.getWeight(), now - f.getAge(), f.getVersion()));
                 }
             }
@@ -154,7 +154,7 @@
 
     private static topazladder.peer.proto.Origin origin(Origin o) {
         return topazladder.peer.proto.Origin.newBuilder().setName(o.name()).setIncarnation(o.incarnation())
-                .setCores(o.cores()).setCoreSpeed(o.coreSpeed()).setSettings(o.settings()).build();
+                .setCores(o.cores()).setCoreSpeed(o.coreSpeed()).setSettings(o.settingsDigest()).build();
     }
 
     private static Origin origin(topazladder.peer.proto.Origin o) throws MalformedMessageException {
--- a/src/main/java/topazladder/net/codec/ReleaseMessages.java
+++ b/src/main/java/topazladder/net/codec/ReleaseMessages.java
@@ -11,13 +11,13 @@
 import topazladder.hall.proto.ReleaseOpMessage.Kind;
 import topazladder.hall.proto.ServingMessage;
 import topazladder.hall.proto.SightMessage;
-import topazladder.release.Judge;
-import topazladder.release.Place;
-import topazladder.release.Plan;
-import topazladder.release.Release;
-import topazladder.release.ReleaseOp;
-import topazladder.release.ReleaseOp.By;
-import topazladder.release.View;
+import topazladder.release.CanaryAnalysis;
+import topazladder.release.RolloutTarget;
+import topazladder.release.RolloutPlan;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutCommand.Proposer;
+import topazladder.release.RolloutStatus;
 
 /** What the group agrees on about releases, and what a conductor is shown, as messages and back. */
 final class ReleaseMessages {
@@ -28,85 +28,85 @@
 
     // ---- plans
 
-    private static PlanMessage plan(Plan p) {
+    private static PlanMessage plan(RolloutPlan p) {
         PlanMessage.Builder b = PlanMessage.newBuilder().setName(p.name()).setFrom(p.from()).setTo(p.to())
-                .setPayoff(p.judge().payoff()).setBrokenOff(p.judge().failed()).setMemory(p.judge().memory())
-                .setError(p.judge().error()).setPatience(p.patience()).setTries(p.tries()).setMostOut(p.mostOut())
+                .setPayoff(p.thresholds().maxServedShareDrop()).setBrokenOff(p.thresholds().maxFailedShareRise()).setMemory(p.thresholds().maxMemoryRatio())
+                .setError(p.thresholds().errorProbability()).setPatience(p.returnTimeoutSeconds()).setTries(p.maxAttempts()).setMostOut(p.maxOtherDisruptions())
                 .setOneWay(p.oneWay());
-        p.waves().forEach(w -> b.addWaves(PlanMessage.WaveMessage.newBuilder().setZone(w.zone()).setMost(w.most())
-                .setShare(w.share()).setSoak(w.soak())));
+        p.waves().forEach(w -> b.addWaves(PlanMessage.WaveMessage.newBuilder().setZone(w.zone()).setMost(w.maxInstances())
+                .setShare(w.share()).setSoak(w.soakSeconds())));
         return b.build();
     }
 
-    private static Plan plan(PlanMessage m) throws MalformedMessageException {
+    private static RolloutPlan plan(PlanMessage m) throws MalformedMessageException {
         if (m.getWavesCount() > MOST_WAVES) {
             throw new MalformedMessageException("a plan of " + m.getWavesCount() + " waves");
         }
-        return new Plan(m.getName(), m.getFrom(), m.getTo(), m.getWavesList().stream().map(w -> new Plan.Wave(
-                w.getZone(), w.getMost(), w.getShare(), w.getSoak())).toList(), new Judge.Terms(m.getPayoff(),
+        return new RolloutPlan(m.getName(), m.getFrom(), m.getTo(), m.getWavesList().stream().map(w -> new RolloutPlan.Wave(
+                w.getZone(), w.getMost(), w.getShare(), w.getSoak())).toList(), new CanaryAnalysis.Thresholds(m.getPayoff(),
                         m.getBrokenOff(), m.getMemory(), m.getError()),
                 m.getPatience(), m.getTries(), m.getMostOut(),
                 m.getOneWay());
     }
 
-    private static PlaceMessage place(Place p) {
-        return PlaceMessage.newBuilder().setName(p.name()).setZone(p.zone()).setVotes(p.votes()).setWave(p.wave())
+    private static PlaceMessage place(RolloutTarget p) {
+        return PlaceMessage.newBuilder().setName(p.name()).setZone(p.zone()).setVotes(p.isVoter()).setWave(p.wave())
                 .setStage(p.stage().ordinal()).setAttempt(p.attempt()).build();
     }
 
-    private static List<Place> places(List<PlaceMessage> all) throws MalformedMessageException {
+    private static List<RolloutTarget> places(List<PlaceMessage> all) throws MalformedMessageException {
         if (all.size() > MOST_PLACES) {
             throw new MalformedMessageException("a release of " + all.size() + " places");
         }
-        List<Place> places = new ArrayList<>();
+        List<RolloutTarget> places = new ArrayList<>();
         for (PlaceMessage m : all) {
-            places.add(new Place(IdentityMessages.name(m.getName()), m.getZone(), m.getVotes(), m.getWave(),
-                    OutMessages.one(Place.Stage.values(), m.getStage()), m.getAttempt()));
+            places.add(new RolloutTarget(IdentityMessages.name(m.getName()), m.getZone(), m.getVotes(), m.getWave(),
+                    OutMessages.one(RolloutTarget.Stage.values(), m.getStage()), m.getAttempt()));
         }
         return List.copyOf(places);
     }
 
     // ---- releases
 
-    static ReleaseMessage release(Release r) {
-        ReleaseMessage.Builder b = ReleaseMessage.newBuilder().setId(r.id()).setPlan(plan(r.plan())).setBack(r.back())
-                .setPhase(r.phase().ordinal()).setWhy(r.why()).setWave(r.wave()).setStarted(r.started())
-                .addAllPlaces(r.places().stream().map(ReleaseMessages::place).toList());
+    static ReleaseMessage release(Rollout r) {
+        ReleaseMessage.Builder b = ReleaseMessage.newBuilder().setId(r.id()).setPlan(plan(r.plan())).setBack(r.isRollback())
+                .setPhase(r.phase().ordinal()).setWhy(r.haltReason()).setWave(r.wave()).setStarted(r.generation())
+                .addAllPlaces(r.targets().stream().map(ReleaseMessages::place).toList());
         r.history().forEach(e -> b.addEvents(ReleaseMessage.EventMessage.newBuilder().setAtMillis(e.atMillis())
-                .setWhat(e.what())));
+                .setWhat(e.description())));
         return b.build();
     }
 
-    static Release release(ReleaseMessage m) throws MalformedMessageException {
-        return new Release(m.getId(), plan(m.getPlan()), m.getBack(), OutMessages.one(Release.Phase.values(),
+    static Rollout release(ReleaseMessage m) throws MalformedMessageException {
+        return new Rollout(m.getId(), plan(m.getPlan()), m.getBack(), OutMessages.one(Rollout.Phase.values(),
                 m.getPhase()), m.getWhy(), m.getWave(), m.getStarted(), places(m.getPlacesList()),
-                m.getEventsList().stream().map(e -> new Release.Event(e.getAtMillis(), e.getWhat())).toList());
+                m.getEventsList().stream().map(e -> new Rollout.Event(e.getAtMillis(), e.getWhat())).toList());
     }
 
-    static ReleaseOpMessage op(ReleaseOp op) {
-        ReleaseOpMessage.Builder b = ReleaseOpMessage.newBuilder().setDuty(op.by().duty()).setToken(op.by().token())
-                .setAtMillis(op.by().atMillis());
-        if (op instanceof ReleaseOp.Start s) {
-            b.setKind(Kind.START).setPlan(plan(s.plan())).addAllPlaces(s.places().stream().map(ReleaseMessages::place)
+    static ReleaseOpMessage op(RolloutCommand op) {
+        ReleaseOpMessage.Builder b = ReleaseOpMessage.newBuilder().setDuty(op.proposer().leaseName()).setToken(op.proposer().fencingToken())
+                .setAtMillis(op.proposer().atMillis());
+        if (op instanceof RolloutCommand.Start s) {
+            b.setKind(Kind.START).setPlan(plan(s.plan())).addAllPlaces(s.targets().stream().map(ReleaseMessages::place)
                     .toList());
-        } else if (op instanceof ReleaseOp.Ask a) {
-            step(b, Kind.ASK, a.id(), a.started()).setPlace(a.place()).setNumber(a.attempt());
-        } else if (op instanceof ReleaseOp.Missed m) {
-            step(b, Kind.MISSED, m.id(), m.started()).setPlace(m.place());
-        } else if (op instanceof ReleaseOp.Moved m) {
-            step(b, Kind.MOVED, m.id(), m.started()).setPlace(m.place());
-        } else if (op instanceof ReleaseOp.Next n) {
-            step(b, Kind.NEXT, n.id(), n.started()).setNumber(n.wave());
-        } else if (op instanceof ReleaseOp.AddPlace a) {
-            step(b, Kind.ADD_PLACE, a.id(), a.started()).setPlace(a.place()).setZone(a.zone()).setVotes(a.votes());
-        } else if (op instanceof ReleaseOp.Done d) {
-            step(b, Kind.DONE, d.id(), d.started());
-        } else if (op instanceof ReleaseOp.Halt h) {
-            step(b, Kind.HALT, h.id(), 0).setWhy(h.why());
-        } else if (op instanceof ReleaseOp.Resume r) {
-            step(b, Kind.RESUME, r.id(), 0);
-        } else if (op instanceof ReleaseOp.Back k) {
-            step(b, Kind.BACK, k.id(), 0);
+        } else if (op instanceof RolloutCommand.RequestGrant a) {
+            step(b, Kind.ASK, a.rolloutId(), a.generation()).setPlace(a.instance()).setNumber(a.attempt());
+        } else if (op instanceof RolloutCommand.RecordFailedUpdate m) {
+            step(b, Kind.MISSED, m.rolloutId(), m.generation()).setPlace(m.instance());
+        } else if (op instanceof RolloutCommand.RecordUpdate m) {
+            step(b, Kind.MOVED, m.rolloutId(), m.generation()).setPlace(m.instance());
+        } else if (op instanceof RolloutCommand.StartWave n) {
+            step(b, Kind.NEXT, n.rolloutId(), n.generation()).setNumber(n.wave());
+        } else if (op instanceof RolloutCommand.AddTarget a) {
+            step(b, Kind.ADD_PLACE, a.rolloutId(), a.generation()).setPlace(a.instance()).setZone(a.zone()).setVotes(a.isVoter());
+        } else if (op instanceof RolloutCommand.Complete d) {
+            step(b, Kind.DONE, d.rolloutId(), d.generation());
+        } else if (op instanceof RolloutCommand.Halt h) {
+            step(b, Kind.HALT, h.rolloutId(), 0).setWhy(h.reason());
+        } else if (op instanceof RolloutCommand.Resume r) {
+            step(b, Kind.RESUME, r.rolloutId(), 0);
+        } else if (op instanceof RolloutCommand.RollBack k) {
+            step(b, Kind.BACK, k.rolloutId(), 0);
         }
         return b.build();
     }
@@ -115,22 +115,22 @@
         return b.setKind(kind).setId(id).setStarted(started);
     }
 
-    static ReleaseOp op(ReleaseOpMessage m) throws MalformedMessageException {
-        By by = new By(m.getDuty(), m.getToken(), m.getAtMillis());
+    static RolloutCommand op(ReleaseOpMessage m) throws MalformedMessageException {
+        Proposer by = new Proposer(m.getDuty(), m.getToken(), m.getAtMillis());
         long id = m.getId();
         int started = m.getStarted();
         return switch (m.getKind()) {
-            case START -> new ReleaseOp.Start(by, plan(m.getPlan()), places(m.getPlacesList()));
-            case ASK -> new ReleaseOp.Ask(by, id, started, m.getPlace(), m.getNumber());
-            case MISSED -> new ReleaseOp.Missed(by, id, started, m.getPlace());
-            case MOVED -> new ReleaseOp.Moved(by, id, started, m.getPlace());
-            case NEXT -> new ReleaseOp.Next(by, id, started, m.getNumber());
-            case ADD_PLACE -> new ReleaseOp.AddPlace(by, id, started, IdentityMessages.name(m.getPlace()), m.getZone(),
+            case START -> new RolloutCommand.Start(by, plan(m.getPlan()), places(m.getPlacesList()));
+            case ASK -> new RolloutCommand.RequestGrant(by, id, started, m.getPlace(), m.getNumber());
+            case MISSED -> new RolloutCommand.RecordFailedUpdate(by, id, started, m.getPlace());
+            case MOVED -> new RolloutCommand.RecordUpdate(by, id, started, m.getPlace());
+            case NEXT -> new RolloutCommand.StartWave(by, id, started, m.getNumber());
+            case ADD_PLACE -> new RolloutCommand.AddTarget(by, id, started, IdentityMessages.name(m.getPlace()), m.getZone(),
                     m.getVotes());
-            case DONE -> new ReleaseOp.Done(by, id, started);
-            case HALT -> new ReleaseOp.Halt(by, id, m.getWhy());
-            case RESUME -> new ReleaseOp.Resume(by, id);
-            case BACK -> new ReleaseOp.Back(by, id);
+            case DONE -> new RolloutCommand.Complete(by, id, started);
+            case HALT -> new RolloutCommand.Halt(by, id, m.getWhy());
+            case RESUME -> new RolloutCommand.Resume(by, id);
+            case BACK -> new RolloutCommand.RollBack(by, id);
             case UNKNOWN, UNRECOGNIZED -> throw new MalformedMessageException(
                     "a step of a release that this version does not know");
         };
@@ -155,30 +155,30 @@
         return value >= 0 && value < 1e12 ? value : 0;
     }
 
-    static List<ReleaseOp> ops(List<ReleaseOpMessage> all) throws MalformedMessageException {
-        List<ReleaseOp> ops = new ArrayList<>();
+    static List<RolloutCommand> ops(List<ReleaseOpMessage> all) throws MalformedMessageException {
+        List<RolloutCommand> ops = new ArrayList<>();
         for (ReleaseOpMessage m : all) {
             ops.add(op(m));
         }
         return List.copyOf(ops);
     }
 
-    static SightMessage sight(View.Sight s) {
+    static SightMessage sight(RolloutStatus.InstanceStatus s) {
         SightMessage.Builder b = SightMessage.newBuilder().setName(s.name()).setZone(s.zone())
-                .setLook(s.look().ordinal()).setLife(s.life()).setWaits(s.waits() == null ? "" : s.waits());
-        if (s.out() != null) {
-            b.setOut(OutMessages.out(s.out()));
+                .setLook(s.health().ordinal()).setLife(s.incarnation()).setWaits(s.blockedReason() == null ? "" : s.blockedReason());
+        if (s.disruption() != null) {
+            b.setOut(OutMessages.out(s.disruption()));
         }
-        if (s.serving() != null) {
-            b.setServing(serving(s.serving()));
+        if (s.load() != null) {
+            b.setServing(serving(s.load()));
         }
         return b.build();
     }
 
-    static List<View.Sight> sights(List<SightMessage> all) throws MalformedMessageException {
-        List<View.Sight> sights = new ArrayList<>();
+    static List<RolloutStatus.InstanceStatus> sights(List<SightMessage> all) throws MalformedMessageException {
+        List<RolloutStatus.InstanceStatus> sights = new ArrayList<>();
         for (SightMessage m : all) {
-            sights.add(new View.Sight(IdentityMessages.name(m.getName()), m.getZone(),
+            sights.add(new RolloutStatus.InstanceStatus(IdentityMessages.name(m.getName()), m.getZone(),
                     OutMessages.one(Health.values(), m.getLook()), m.getLife(),
                     m.hasOut() ? OutMessages.out(m.getOut()) : null, m.getWaits().isEmpty() ? null : m.getWaits(),
                     m.hasServing() ? serving(m.getServing()) : null));
--- a/src/main/java/topazladder/net/hall/HallNode.java
+++ b/src/main/java/topazladder/net/hall/ClusterNode.java
@@ -21,7 +21,7 @@
 import java.util.function.Supplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import topazladder.below.Use;
+import topazladder.below.EndpointSelector;
 import topazladder.config.ClusterSettings;
 import topazladder.config.ExtensionSettings;
 import topazladder.config.InvalidSettingsException;
@@ -34,11 +34,11 @@
 import topazladder.disruption.DisruptionController;
 import topazladder.disruption.DisruptionTarget;
 import topazladder.disruption.ThroughputMeter;
-import topazladder.hall.ConductorNode;
-import topazladder.hall.HallTerms;
-import topazladder.hall.MemberNode;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command;
+import topazladder.hall.RolloutControllerNode;
+import topazladder.hall.MemberSettings;
+import topazladder.hall.ClusterMember;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command;
 import topazladder.hall.VoterNode;
 import topazladder.lease.LeaseCommand;
 import topazladder.lease.LeaseHolder;
@@ -47,12 +47,12 @@
 import topazladder.lease.LeasedTask;
 import topazladder.lease.MemberIdentity;
 import topazladder.membership.Membership;
-import topazladder.membership.Standing;
+import topazladder.membership.MemberStatus;
 import topazladder.net.DependencyEndpointChoice;
 import topazladder.net.codec.HallMessages;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
-import topazladder.release.Conductor;
+import topazladder.release.RolloutController;
 import topazladder.replication.ClusterReplica;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
@@ -66,8 +66,8 @@
  * runs on a thread of its own. Requests do not depend on it: without the consensus group the instance serves as it
  * would without a cluster.
  */
-public final class HallNode implements InstanceExtension {
-    private static final Logger LOG = LoggerFactory.getLogger(HallNode.class);
+public final class ClusterNode implements InstanceExtension {
+    private static final Logger LOG = LoggerFactory.getLogger(ClusterNode.class);
     private static final long HEALTH_INTERVAL_MS = 200;
     private static final long OBSERVATION_INTERVAL_MS = 250;
     private static final double STORE_REOPEN_DELAY_SECONDS = 2;
@@ -97,7 +97,7 @@
     private final ThroughputMeter meter;
     private final String name;
     private final LeaseClock clock;
-    private final MemberNode member;
+    private final ClusterMember member;
     private final LinkTraffic traffic = new LinkTraffic();
     private final OutboundLinks outboundLinks;
     private final InboundLinks inboundLinks;
@@ -115,9 +115,9 @@
     };
     private final SplittableRandom random;
     private final ConsensusThread consensusThread; // null where this member does not vote
-    private final HallTerms memberSettings;
-    private final Use dependencyPool; // null where the dependency has one address
-    private ConductorNode rolloutController; // null where no lease is for the rollout controller
+    private final MemberSettings memberSettings;
+    private final EndpointSelector dependencyPool; // null where the dependency has one address
+    private RolloutControllerNode rolloutController; // null where no lease is for the rollout controller
     private VoterNode voter; // used on the consensus thread only; null until its store is open
     private Map<String, Address> routes;
     private long lastForwardedNumber;
@@ -138,7 +138,7 @@
      * @param queueConsumer makes the task that consumes a broker's queue
      * @param dependencyAddress where the dependency is now
      */
-    public HallNode(Vertx vertx, ServiceSettings serviceSettings, ExtensionSettings extensionSettings,
+    public ClusterNode(Vertx vertx, ServiceSettings serviceSettings, ExtensionSettings extensionSettings,
             Supplier<Phase> phase, Counters counters, Supplier<List<byte[]>> keys, DoubleConsumer onShutdownApproved,
             Supplier<ThroughputMeter.Totals> throughputTotals,
             Function<ClusterSettings.Consume, LeasedTask> queueConsumer, Supplier<Address> dependencyAddress,
@@ -158,13 +158,13 @@
         // taken for an old process until the clock has caught up.
         long incarnation = System.currentTimeMillis() << 16 | ProcessHandle.current().pid() & 0xffff;
         random = new SplittableRandom(serviceSettings.seed() ^ incarnation);
-        clock = new LeaseClock(HallNode::monotonicSeconds, () -> System.currentTimeMillis() / 1e3,
+        clock = new LeaseClock(ClusterNode::monotonicSeconds, () -> System.currentTimeMillis() / 1e3,
                 settings.clockRate());
         MemberIdentity identity = new MemberIdentity(name, incarnation);
         Scheduler clockTimers = (seconds, task) -> vertx.setTimer(Math.max(1,
                 (long) Math.ceil(seconds / settings.clockRate() * 1000)), id -> task.run());
         memberSettings = memberSettings(name, extensionSettings);
-        member = new MemberNode(memberSettings, new LeaseHolder(identity), clockTimers, clock, random.split(),
+        member = new ClusterMember(memberSettings, new LeaseHolder(identity), clockTimers, clock, random.split(),
                 new MemberEnvironment());
         outboundLinks = new OutboundLinks(vertx, new GreetingCodec.Identity(name, incarnation), keys,
                 (from, message) -> {}, traffic);
@@ -174,10 +174,10 @@
             tasks.put(lease.name(), task(lease, identity, queueConsumer, dependencyAddress));
         }
         dependencyPool = settings.dependencyPool() == null ? null
-                : new Use(new Use.Terms(settings.dependencyPool().servers().stream()
+                : new EndpointSelector(new EndpointSelector.Settings(settings.dependencyPool().servers().stream()
                         .map(ClusterSettings.DependencyPool.Server::name).toList(),
                         settings.dependencyPool().maxLocallyEjectedShare()), random.split());
-        member.below(dependencyPool);
+        member.setDependencyPool(dependencyPool);
         if (memberSettings.isVoter()) {
             if (settings.dataFolder() == null) {
                 throw new InvalidSettingsException(
@@ -201,15 +201,15 @@
         return System.nanoTime() / 1e9;
     }
 
-    static HallTerms memberSettings(String name, ExtensionSettings extensionSettings) {
+    static MemberSettings memberSettings(String name, ExtensionSettings extensionSettings) {
         ClusterSettings cluster = extensionSettings.cluster();
-        return new HallTerms(name, hostPort(cluster.advertisedAddress()), extensionSettings.zone(),
-                cluster.seeds().stream().map(HallNode::hostPort).toList(),
+        return new MemberSettings(name, hostPort(cluster.advertisedAddress()), extensionSettings.zone(),
+                cluster.seeds().stream().map(ClusterNode::hostPort).toList(),
                 cluster.voters(), cluster.heartbeatSeconds(),
                 cluster.leases().stream().map(lease -> new LeaseSettings(lease.name(), lease.durationSeconds(),
                         lease.maxConsecutiveLosses())).toList(),
                 !cluster.ineligibleForLeases(),
-                new Membership.Terms(cluster.probePeriodSeconds(), INDIRECT_PROBES, GONE_MEMBER_MEMORY_SECONDS),
+                new Membership.Settings(cluster.probePeriodSeconds(), INDIRECT_PROBES, GONE_MEMBER_MEMORY_SECONDS),
                 cluster.disruptionBudgets(), HallMessages.SCHEMA);
     }
 
@@ -237,10 +237,10 @@
     private VoterNode voter(SqliteVoterStore store) {
         DoubleSupplier consensusClock = () -> monotonicSeconds() * settings.clockRate();
         return new VoterNode(memberSettings, store, consensusThread, consensusClock, random.split(),
-                new VoterNode.World() {
+                new VoterNode.Environment() {
                     @Override
-                    public void say(String to, Saying message) {
-                        loop.runOnContext(v -> HallNode.this.send(to, null, member.located(message)));
+                    public void sendMessage(String to, ClusterMessage message) {
+                        loop.runOnContext(v -> ClusterNode.this.send(to, null, member.withLeaderAddress(message)));
                     }
 
                     @Override
@@ -257,12 +257,12 @@
             return new TouchTask(vertx, lease.name(), identity.toString(), touch);
         } else if (lease.task()instanceof ClusterSettings.Probe probe) {
             return new ProbeTask(vertx, dependencyAddress, probe,
-                    (reachable, token) -> probeResult(new Saying.Found("index", reachable, 0, token)));
+                    (reachable, token) -> probeResult(new ClusterMessage.ProbeResult("index", reachable, 0, token)));
         }
         if (lease.task() instanceof ClusterSettings.ConductRollouts) {
-            rolloutController = new ConductorNode(identity, lease.name(),
+            rolloutController = new RolloutControllerNode(identity, lease.name(),
                     (seconds, task) -> vertx.setTimer(Math.max(1, Math.round(seconds * 1000)), id -> task.run()),
-                    clock, System::currentTimeMillis, member, by -> new Conductor(name, by));
+                    clock, System::currentTimeMillis, member, by -> new RolloutController(name, by));
             return new RolloutControllerTask(rolloutController);
         }
         return queueConsumer.apply((ClusterSettings.Consume) lease.task());
@@ -276,14 +276,14 @@
     }
 
     /** Membership and leases; to be used on the event loop only. */
-    public MemberNode member() {
+    public ClusterMember member() {
         return member;
     }
 
     /** Chooses among the dependency's endpoints; null where the settings name none. */
-    public DependencyEndpointChoice choice() {
+    public DependencyEndpointChoice dependencyEndpointChoice() {
         return dependencyPool == null ? null
-                : new PoolEndpointChoice(settings.dependencyPool(), dependencyPool, clock, member::noticed);
+                : new PoolEndpointChoice(settings.dependencyPool(), dependencyPool, clock, member::dependencyCallEnded);
     }
 
     /** Traffic of this member's links to the others since its start. */
@@ -292,9 +292,9 @@
     }
 
     /** This member's leader, polls and links in words, for diagnosing polls that are not answered. */
-    public String told() {
+    public String describe() {
         return "member=" + name + " address=" + memberSettings.address() + " leader=" + member.leader() + " present="
-                + member.presentMembers().size() + " polls: " + member.leaseHolder().describeRequests() + " links:"
+                + member.presentMembers().size() + " polls: " + member.leaseHolder().describePolls() + " links:"
                 + outboundLinks;
     }
 
@@ -303,14 +303,14 @@
     @Override
     public void open() {
         member.open();
-        repeat(HEALTH_INTERVAL_MS, () -> member.well(phase.get() == Phase.SERVING && !leaving));
+        repeat(HEALTH_INTERVAL_MS, () -> member.setHealthy(phase.get() == Phase.SERVING && !leaving));
         repeat(OBSERVATION_INTERVAL_MS, () -> member
-                .serving(meter.measure(monotonicSeconds(), throughputTotals.get(), usedHeapMegabytes())));
+                .setLoadReport(meter.measure(monotonicSeconds(), throughputTotals.get(), usedHeapMegabytes())));
         if (consensusThread != null) {
             consensusThread.execute(this::openVoter);
             repeat(OBSERVATION_INTERVAL_MS, () -> {
-                Map<DisruptionTarget, DisruptionController.Observation> observations = member.looks();
-                consensusThread.execute(() -> withVoter(v -> v.seen(observations)));
+                Map<DisruptionTarget, DisruptionController.Observation> observations = member.observations();
+                consensusThread.execute(() -> withVoter(v -> v.membersObserved(observations)));
             });
         }
     }
@@ -329,25 +329,25 @@
         if (!reloaded.cluster().leases().equals(settings.leases())) {
             LOG.warn("settings change not fully applied reason=needs-restart member={} setting=hall.duties", name);
         }
-        HallTerms newSettings = memberSettings(name, reloaded);
-        member.replace(newSettings);
+        MemberSettings newSettings = memberSettings(name, reloaded);
+        member.replaceSettings(newSettings);
         if (consensusThread == null && newSettings.isVoter()) {
             LOG.warn("settings change not fully applied reason=needs-restart member={} setting=hall.voters", name);
         }
         if (consensusThread != null) {
-            consensusThread.execute(() -> withVoter(v -> v.replace(newSettings)));
+            consensusThread.execute(() -> withVoter(v -> v.replaceSettings(newSettings)));
         }
     }
 
     @Override
     public void startShutdown() {
         leaving = true;
-        member.leave();
+        member.startShutdown();
     }
 
     @Override
     public int pendingWork() {
-        return member.clear() ? 0 : 1;
+        return member.isIdle() ? 0 : 1;
     }
 
     /**
@@ -394,7 +394,7 @@
     }
 
     /** Takes over a connection on which a member, or an operator's client, has sent an authenticated greeting. */
-    public void take(NetSocket socket, PeerFrames.Seal seal, byte[] greeting, PeerFrames.Reader reader)
+    public void acceptConnection(NetSocket socket, PeerFrames.Seal seal, byte[] greeting, PeerFrames.Reader reader)
             throws MalformedMessageException {
         counters.add(Count.MEMBERS_CONNECTED);
         inboundLinks.accept(socket, seal, greeting, reader);
@@ -402,14 +402,14 @@
 
     // ---- messages
 
-    private void send(String to, String knownAddress, Saying message) {
+    private void send(String to, String knownAddress, ClusterMessage message) {
         if (name.equals(to)) {
             loop.runOnContext(v -> received(name, message, null));
             return;
         }
         Address address = routes.get(to);
         if (address == null) {
-            Standing standing = to.isEmpty() ? null : member.membership().other(to);
+            MemberStatus standing = to.isEmpty() ? null : member.membership().member(to);
             String text = standing != null ? standing.address()
                     : knownAddress != null ? knownAddress : pollerAddresses.get(to);
             if (text == null) {
@@ -425,52 +425,52 @@
         outboundLinks.send(address, message);
     }
 
-    private void received(String from, Saying message, InboundLinks.ReplyChannel replyChannel) {
+    private void received(String from, ClusterMessage message, InboundLinks.ReplyChannel replyChannel) {
         counters.add(Count.MEMBER_MESSAGES_RECEIVED);
-        if (message instanceof Saying.Asking poll && !poll.address().isEmpty()) {
+        if (message instanceof ClusterMessage.LeasePoll poll && !poll.address().isEmpty()) {
             pollerAddresses.put(from, poll.address());
         }
-        if (message instanceof Saying.Consensus || message instanceof Saying.Asking
-                || message instanceof Saying.AsksToVote || message instanceof Saying.TakenIn
-                || message instanceof Saying.Going || message instanceof Saying.Leaving
-                || message instanceof Saying.Conduct) {
+        if (message instanceof ClusterMessage.Consensus || message instanceof ClusterMessage.LeasePoll
+                || message instanceof ClusterMessage.JoinRequest || message instanceof ClusterMessage.JoinConfirmation
+                || message instanceof ClusterMessage.ShutdownRequest || message instanceof ClusterMessage.LeaveNotice
+                || message instanceof ClusterMessage.RolloutProposal) {
             if (consensusThread != null) {
-                consensusThread.execute(() -> withVoter(v -> v.heard(from, message)));
-            } else if (message instanceof Saying.Asking) {
-                send(from, null, member.elsewhere());
+                consensusThread.execute(() -> withVoter(v -> v.handle(from, message)));
+            } else if (message instanceof ClusterMessage.LeasePoll) {
+                send(from, null, member.leaderHint());
             }
-        } else if (message instanceof Saying.Order request) {
+        } else if (message instanceof ClusterMessage.CommandRequest request) {
             handleCommand(from, request, replyChannel);
-        } else if (message instanceof Saying.Told response) {
-            InboundLinks.ReplyChannel operator = forwardedCommands.remove(response.number());
+        } else if (message instanceof ClusterMessage.CommandResponse response) {
+            InboundLinks.ReplyChannel operator = forwardedCommands.remove(response.requestId());
             if (operator != null) {
                 operator.reply(response);
             }
-        } else if (message instanceof Saying.Found result) {
+        } else if (message instanceof ClusterMessage.ProbeResult result) {
             probeResult(result);
         } else {
-            member.heard(from, message);
+            member.handle(from, message);
         }
     }
 
     /** Passes a new result on to a few members, so that it reaches all without one member sending to each. */
-    private void probeResult(Saying.Found result) {
+    private void probeResult(ClusterMessage.ProbeResult result) {
         double now = clock.getAsDouble();
-        double probedAt = now - result.age();
-        boolean isNew = result.token() > lastProbeToken
-                || result.token() == lastProbeToken && probedAt > lastProbeAt + PROBE_RESULT_MARGIN_SECONDS;
+        double probedAt = now - result.ageSeconds();
+        boolean isNew = result.fencingToken() > lastProbeToken
+                || result.fencingToken() == lastProbeToken && probedAt > lastProbeAt + PROBE_RESULT_MARGIN_SECONDS;
         if (!isNew) {
             return;
         }
-        if (result.well() != lastProbeReachable || lastProbeAt == Double.NEGATIVE_INFINITY) {
+        if (result.reachable() != lastProbeReachable || lastProbeAt == Double.NEGATIVE_INFINITY) {
             LOG.info("dependency reachability changed member={} dependency={} reachable={} token={}", name,
-                    result.subject(), result.well(), result.token());
+                    result.dependency(), result.reachable(), result.fencingToken());
         }
-        lastProbeToken = result.token();
+        lastProbeToken = result.fencingToken();
         lastProbeAt = probedAt;
-        lastProbeReachable = result.well();
+        lastProbeReachable = result.reachable();
         if (circuitBreaker != null) {
-            circuitBreaker.onProbeResult(now, result.well(), result.age(), result.token());
+            circuitBreaker.onProbeResult(now, result.reachable(), result.ageSeconds(), result.fencingToken());
         }
         List<String> others = new ArrayList<>(member.presentMembers());
         others.remove(name);
@@ -481,11 +481,11 @@
 
     // ---- operators' commands
 
-    private void handleCommand(String from, Saying.Order request, InboundLinks.ReplyChannel replyChannel) {
+    private void handleCommand(String from, ClusterMessage.CommandRequest request, InboundLinks.ReplyChannel replyChannel) {
         InboundLinks.ReplyChannel sender =
                 GreetingCodec.OPERATOR.equals(from) ? replyChannel : response -> send(from, null, response);
         if (request.command().kind() == Command.Kind.STATUS) {
-            status(json -> sender.reply(new Saying.Told(request.number(), true, json.encode())));
+            status(json -> sender.reply(new ClusterMessage.CommandResponse(request.requestId(), true, json.encode())));
             return;
         }
         if (consensusThread == null) {
@@ -494,7 +494,7 @@
         }
         consensusThread.execute(() -> {
             ClusterReplica replica = voter == null ? null : voter.replica();
-            if (replica == null || !replica.leading()) {
+            if (replica == null || !replica.isLeader()) {
                 VoterEndpoint leader = replica == null ? null : replica.leader();
                 loop.runOnContext(v -> forward(request, sender, leader == null ? member.leader() : leader.name()));
                 return;
@@ -508,21 +508,21 @@
      *
      * @param then receives the response
      */
-    private void runAtLeader(ClusterReplica replica, Saying.Order request,
-            java.util.function.Consumer<Saying.Told> then) {
+    private void runAtLeader(ClusterReplica replica, ClusterMessage.CommandRequest request,
+            java.util.function.Consumer<ClusterMessage.CommandResponse> then) {
         Command command = request.command();
         if (command.kind() == Command.Kind.DUTIES) {
-            then.accept(new Saying.Told(request.number(), true, leases(replica).encode()));
+            then.accept(new ClusterMessage.CommandResponse(request.requestId(), true, leases(replica).encode()));
             return;
         }
         if (command.kind() == Command.Kind.OUTS) {
-            then.accept(new Saying.Told(request.number(), true, disruptions(replica).put("below",
-                    new JsonObject(new LinkedHashMap<>(voter.verdicts().looks()))).encode()));
+            then.accept(new ClusterMessage.CommandResponse(request.requestId(), true, disruptions(replica).put("below",
+                    new JsonObject(new LinkedHashMap<>(voter.verdicts().describeVotes()))).encode()));
             return;
         }
         if (command.kind().ordinal() >= Command.Kind.RELEASE_START.ordinal()) {
             new RolloutCommands(replica, voter.controllerActivity()).run(command, System.currentTimeMillis(),
-                    (done, text) -> then.accept(new Saying.Told(request.number(), done, text)));
+                    (done, text) -> then.accept(new ClusterMessage.CommandResponse(request.requestId(), done, text)));
             return;
         }
         if (command.kind().ordinal() > Command.Kind.OUTS.ordinal()) {
@@ -530,7 +530,7 @@
             DisruptionTarget target = isDependency
                     ? new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY,
                             command.text().substring(DEPENDENCY_PREFIX.length()), "")
-                    : replica.disruptions().instance(command.text());
+                    : replica.disruptions().instanceTarget(command.text());
             Disruption disruption = replica.state().disruptions().get(target);
             boolean isEjected = isDependency && disruption != null && disruption.usesBudget();
             DisruptionCommand proposal = switch (command.kind()) {
@@ -545,23 +545,23 @@
             };
             if (proposal instanceof DisruptionCommand.Request
                     && !replica.state().disruptions().capacities().containsKey(target)) {
-                then.accept(new Saying.Told(request.number(), false, "the leader knows no " + (isDependency
+                then.accept(new ClusterMessage.CommandResponse(request.requestId(), false, "the leader knows no " + (isDependency
                         ? "dependency endpoint " + target.name() + ", or no instance has called it yet"
                         : "member " + target.name())));
                 return;
             }
-            replica.disruptions().propose(proposal, outcome -> then.accept(new Saying.Told(request.number(),
+            replica.disruptions().propose(proposal, outcome -> then.accept(new ClusterMessage.CommandResponse(request.requestId(),
                     outcome.isApplied(), outcome.isApplied() ? "done" : outcome.rejection())));
             return;
         }
         LeaseCommand proposal = switch (command.kind()) {
-            case HAND_OVER -> new LeaseCommand.Transfer(command.duty(), command.text());
-            case HALT -> new LeaseCommand.Suspend(command.duty(),
+            case HAND_OVER -> new LeaseCommand.Transfer(command.leaseName(), command.text());
+            case HALT -> new LeaseCommand.Suspend(command.leaseName(),
                     command.text().isEmpty() ? "by an operator" : command.text());
-            case RESUME -> new LeaseCommand.Resume(command.duty());
+            case RESUME -> new LeaseCommand.Resume(command.leaseName());
             default -> throw new IllegalStateException("the leader does not run commands of kind " + command.kind());
         };
-        replica.leases().propose(proposal, outcome -> then.accept(new Saying.Told(request.number(),
+        replica.leases().propose(proposal, outcome -> then.accept(new ClusterMessage.CommandResponse(request.requestId(),
                 outcome.isApplied(), outcome.isApplied() ? "done" : outcome.rejection())));
     }
 
@@ -580,7 +580,7 @@
                     .put("share", b.maxCapacityShare()).put("zone", b.zone())
                     .put("out", replica.state().disruptions().targetsUsingBudget().stream().filter(b::covers).count()));
         }
-        return new JsonObject().put("leader", replica.here().name())
+        return new JsonObject().put("leader", replica.localEndpoint().name())
                 .put("halted", replica.state().disruptions().suspendedReason())
                 .put("outs", disruptions).put("budgets", budgets);
     }
@@ -594,24 +594,24 @@
                     .put("wanted", lease.preferredMember())
                     .put("losses", lease.losses().size()));
         }
-        return new JsonObject().put("leader", replica.here().name()).put("term", replica.term()).put("duties", leases);
+        return new JsonObject().put("leader", replica.localEndpoint().name()).put("term", replica.term()).put("duties", leases);
     }
 
     /** Forwards a command to the leader, and the response back. Without a known leader the command is refused. */
-    private void forward(Saying.Order request, InboundLinks.ReplyChannel sender, String leader) {
+    private void forward(ClusterMessage.CommandRequest request, InboundLinks.ReplyChannel sender, String leader) {
         if (leader == null || leader.equals(name) || forwardedCommands.size() >= MAX_FORWARDED_COMMANDS) {
-            sender.reply(new Saying.Told(request.number(), false, "member " + name + " knows no other member as leader"
+            sender.reply(new ClusterMessage.CommandResponse(request.requestId(), false, "member " + name + " knows no other member as leader"
                     + ", or has " + MAX_FORWARDED_COMMANDS + " commands to forward; nothing was done, try again"));
             return;
         }
         long number = ++lastForwardedNumber;
-        forwardedCommands.put(number, message -> sender.reply(message instanceof Saying.Told response
-                ? new Saying.Told(request.number(), response.done(), response.text()) : message));
-        send(leader, null, new Saying.Order(number, request.command()));
+        forwardedCommands.put(number, message -> sender.reply(message instanceof ClusterMessage.CommandResponse response
+                ? new ClusterMessage.CommandResponse(request.requestId(), response.done(), response.text()) : message));
+        send(leader, null, new ClusterMessage.CommandRequest(number, request.command()));
         vertx.setTimer(Math.round(COMMAND_TIMEOUT_SECONDS * 1000), id -> {
             InboundLinks.ReplyChannel operator = forwardedCommands.remove(number);
             if (operator != null) {
-                operator.reply(new Saying.Told(number, false, "the leader " + leader + " did not answer within "
+                operator.reply(new ClusterMessage.CommandResponse(number, false, "the leader " + leader + " did not answer within "
                         + COMMAND_TIMEOUT_SECONDS + " s; it is not known whether the command was carried out"));
             }
         });
@@ -619,21 +619,21 @@
 
     private void status(java.util.function.Consumer<JsonObject> then) {
         JsonArray members = new JsonArray();
-        for (Standing standing : member.membership().others()) {
+        for (MemberStatus standing : member.membership().otherMembers()) {
             members.add(new JsonObject().put("name", standing.name()).put("state", standing.state().name())
                     .put("steady", standing.steady()).put("address", standing.address())
-                    .put("hall", standing.hall()));
+                    .put("hall", standing.zone()));
         }
-        Standing self = member.membership().self();
+        MemberStatus self = member.membership().self();
         members.add(new JsonObject().put("name", name).put("state", self.state().name()).put("steady", self.steady())
-                .put("address", self.address()).put("hall", self.hall()));
+                .put("address", self.address()).put("hall", self.zone()));
         JsonObject held = new JsonObject();
         member.leaseHolder().describeLeases(clock.getAsDouble()).forEach(held::put);
         JsonObject json = new JsonObject().put("member", name).put("phase", phase.get().name())
-                .put("unwell", member.membership().health()).put("members", members).put("holds", held)
-                .put("traffic", traffic.totals().json());
+                .put("unwell", member.membership().healthScore()).put("members", members).put("holds", held)
+                .put("traffic", traffic.totals().toJson());
         if (dependencyPool != null) {
-            json.put("below", new JsonObject(new LinkedHashMap<>(dependencyPool.told(clock.getAsDouble()))));
+            json.put("below", new JsonObject(new LinkedHashMap<>(dependencyPool.describe(clock.getAsDouble()))));
         }
         if (consensusThread == null) {
             then.accept(json.put("leader", member.leader()));
@@ -644,9 +644,9 @@
             JsonObject group = new JsonObject().put("vote", voter == null ? "NO_FOLDER" : voter.phase().name());
             if (replica != null) {
                 JsonArray voters = new JsonArray();
-                replica.voting().forEach(endpoint -> voters.add(endpoint.toString()));
-                group.put("here", replica.here().toString()).put("voters", voters).put("term", replica.term())
-                        .put("leading", replica.leading()).put("committed", replica.commitIndex())
+                replica.committedVoters().forEach(endpoint -> voters.add(endpoint.toString()));
+                group.put("here", replica.localEndpoint().toString()).put("voters", voters).put("term", replica.term())
+                        .put("leading", replica.isLeader()).put("committed", replica.commitIndex())
                         .put("leader", replica.leader() == null ? null : replica.leader().name());
             }
             loop.runOnContext(v -> then.accept(json.put("group", group)));
@@ -654,33 +654,33 @@
     }
 
     /** Carries out on this process's sockets and tasks what the member decides. */
-    private final class MemberEnvironment implements MemberNode.World {
+    private final class MemberEnvironment implements ClusterMember.Environment {
         @Override
-        public void say(String to, String address, Saying message) {
-            HallNode.this.send(to, address, message);
+        public void sendMessage(String to, String address, ClusterMessage message) {
+            ClusterNode.this.send(to, address, message);
         }
 
         @Override
-        public void start(String leaseName, long token) {
+        public void startTask(String leaseName, long token) {
             counters.add(Count.LEASES_ACQUIRED);
             LeasedTask task = tasks.get(leaseName);
             if (task == null) {
-                member.stopped(leaseName, token, "this member's settings have no such duty"); // sent to the leader
+                member.taskStopped(leaseName, token, "this member's settings have no such duty"); // sent to the leader
                 return;
             }
-            task.start(token, () -> member.token(leaseName).stream().boxed().filter(t -> t == token)
-                    .mapToLong(Long::longValue).findFirst(), failure -> member.stopped(leaseName, token, failure));
+            task.start(token, () -> member.fencingToken(leaseName).stream().boxed().filter(t -> t == token)
+                    .mapToLong(Long::longValue).findFirst(), failure -> member.taskStopped(leaseName, token, failure));
         }
 
         @Override
-        public void stop(String leaseName, long token, double withinSeconds) {
+        public void stopTask(String leaseName, long token, double withinSeconds) {
             counters.add(Count.LEASES_RELEASED);
             tasks.get(leaseName).stop(withinSeconds,
-                    () -> loop.runOnContext(v -> member.stopped(leaseName, token, null)));
+                    () -> loop.runOnContext(v -> member.taskStopped(leaseName, token, null)));
         }
 
         @Override
-        public void drain(long token, String version) {
+        public void shutdownApproved(long token, String version) {
             if (version.isEmpty() || settings.nextVersionFile() == null) {
                 onShutdownApproved.accept(settings.shutdownNoticeSeconds());
                 return;
@@ -698,17 +698,17 @@
         }
 
         @Override
-        public void conducted(Saying.Conducted response) {
+        public void rolloutStateReceived(ClusterMessage.RolloutState response) {
             if (rolloutController != null) {
-                rolloutController.shown(response);
+                rolloutController.handleResponse(response);
             }
         }
 
         @Override
-        public void standingChanged(Standing now, Standing before) {
-            if (now.state() == Standing.State.SUSPECTED) {
+        public void standingChanged(MemberStatus now, MemberStatus before) {
+            if (now.state() == MemberStatus.State.SUSPECTED) {
                 counters.add(Count.MEMBERS_SUSPECTED);
-            } else if (now.state() == Standing.State.GONE) {
+            } else if (now.state() == MemberStatus.State.GONE) {
                 counters.add(Count.MEMBERS_GONE);
             }
         }
--- a/src/main/java/topazladder/net/hall/InboundLinks.java
+++ b/src/main/java/topazladder/net/hall/InboundLinks.java
@@ -8,7 +8,7 @@
 import java.util.Iterator;
 import java.util.LinkedHashSet;
 import java.util.Set;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 import topazladder.net.codec.HallMessages;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
@@ -36,13 +36,13 @@
     public interface Listener {
 
         /** @param replyChannel to the sender, on the same connection */
-        void received(String from, Saying message, ReplyChannel replyChannel);
+        void received(String from, ClusterMessage message, ReplyChannel replyChannel);
     }
 
     /** Sends to a client that has no address of its own. Messages sent after the connection has ended are lost. */
     public interface ReplyChannel {
 
-        void reply(Saying message);
+        void reply(ClusterMessage message);
     }
 
     private final Vertx vertx;
@@ -176,9 +176,9 @@
                 whole = parts.toByteArray();
                 parts.reset();
             }
-            Saying message = HallMessages.saying(whole);
+            ClusterMessage message = HallMessages.saying(whole);
             if (message != null) {
-                carriesConsensus |= message instanceof Saying.Consensus;
+                carriesConsensus |= message instanceof ClusterMessage.Consensus;
                 listener.received(from, message, this);
             }
         }
@@ -191,7 +191,7 @@
         }
 
         @Override
-        public void reply(Saying message) {
+        public void reply(ClusterMessage message) {
             byte[] bytes = HallMessages.bytes(message);
             for (int at = 0; at < bytes.length || at == 0; at += PeerFrames.LONGEST) {
                 int to = Math.min(bytes.length, at + PeerFrames.LONGEST);
--- a/src/main/java/topazladder/net/hall/LinkTraffic.java
+++ b/src/main/java/topazladder/net/hall/LinkTraffic.java
@@ -39,13 +39,13 @@
                     connectionsMade - earlier.connectionsMade, connectionsTaken - earlier.connectionsTaken);
         }
 
-        public JsonObject json() {
+        public JsonObject toJson() {
             return new JsonObject().put("bytesSent", bytesSent).put("bytesReceived", bytesReceived)
                     .put("framesSent", framesSent).put("framesReceived", framesReceived)
                     .put("connectionsMade", connectionsMade).put("connectionsTaken", connectionsTaken);
         }
 
-        public static Totals of(JsonObject json) {
+        public static Totals fromJson(JsonObject json) {
             return new Totals(json.getLong("bytesSent"), json.getLong("bytesReceived"), json.getLong("framesSent"),
                     json.getLong("framesReceived"), json.getLong("connectionsMade"), json.getLong("connectionsTaken"));
         }
--- a/src/main/java/topazladder/net/hall/FleetClient.java
+++ b/src/main/java/topazladder/net/hall/OperatorClient.java
@@ -8,17 +8,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command;
 
 /**
  * Sends an operator's command to one member, over the same protocol as between members, and waits for the result. It
  * blocks, so a running instance must not use it.
  */
-public final class FleetClient {
+public final class OperatorClient {
     private static final int TIMEOUT_SECONDS = 8;
 
-    private FleetClient() {}
+    private OperatorClient() {}
 
     /**
      * Sends one command.
@@ -26,23 +26,23 @@
      * @return its result; not done where the member did not answer in time, in which case the command may have been run
      *     all the same
      */
-    public static Saying.Told ask(Address member, byte[] key, Command command) throws InterruptedException {
+    public static ClusterMessage.CommandResponse send(Address member, byte[] key, Command command) throws InterruptedException {
         Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
-        CompletableFuture<Saying.Told> result = new CompletableFuture<>();
+        CompletableFuture<ClusterMessage.CommandResponse> result = new CompletableFuture<>();
         try {
             vertx.runOnContext(v -> {
                 OutboundLinks links = new OutboundLinks(vertx,
                         new GreetingCodec.Identity(GreetingCodec.OPERATOR, System.nanoTime()), () -> List.of(key),
                         (from, message) -> {
-                            if (message instanceof Saying.Told told) {
+                            if (message instanceof ClusterMessage.CommandResponse told) {
                                 result.complete(told);
                             }
                         }, new LinkTraffic());
-                links.send(member, new Saying.Order(1, command));
+                links.send(member, new ClusterMessage.CommandRequest(1, command));
             });
             return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
-            return new Saying.Told(1, false, "no answer from " + member.host() + ":" + member.port() + " within "
+            return new ClusterMessage.CommandResponse(1, false, "no answer from " + member.host() + ":" + member.port() + " within "
                     + TIMEOUT_SECONDS + " s; check that a member listens there and that --key-file has its key");
         } catch (ExecutionException e) {
             throw new IllegalStateException(e);
--- a/src/main/java/topazladder/net/hall/OutboundLinks.java
+++ b/src/main/java/topazladder/net/hall/OutboundLinks.java
@@ -16,7 +16,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 import topazladder.net.codec.HallMessages;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
@@ -47,7 +47,7 @@
     private final Vertx vertx;
     private final GreetingCodec.Identity identity;
     private final Supplier<List<byte[]>> keys;
-    private final BiConsumer<Address, Saying> onReply;
+    private final BiConsumer<Address, ClusterMessage> onReply;
     private final LinkTraffic traffic;
     private final NetClient client;
     private final SecureRandom nonces = new SecureRandom(); // a nonce must not be guessable
@@ -57,7 +57,7 @@
 
     /** @param onReply receives messages that come back on connections opened here */
     OutboundLinks(Vertx vertx, GreetingCodec.Identity identity, Supplier<List<byte[]>> keys,
-            BiConsumer<Address, Saying> onReply, LinkTraffic traffic) {
+            BiConsumer<Address, ClusterMessage> onReply, LinkTraffic traffic) {
         this.traffic = traffic;
         this.vertx = vertx;
         this.identity = identity;
@@ -68,7 +68,7 @@
         sweepTimer = vertx.setPeriodic(SWEEP_INTERVAL_MS, id -> sweep());
     }
 
-    void send(Address to, Saying message) {
+    void send(Address to, ClusterMessage message) {
         if (closed) {
             return;
         }
@@ -82,7 +82,7 @@
                         .orElse(links.values().iterator().next()).end();
             }
         }
-        link.carriesConsensus |= message instanceof Saying.Consensus;
+        link.carriesConsensus |= message instanceof ClusterMessage.Consensus;
         link.send(HallMessages.bytes(message));
     }
 
@@ -238,7 +238,7 @@
                         Buffer whole = Buffer.buffer();
                         replyParts.forEach(whole::appendBytes);
                         replyParts.clear();
-                        Saying message = HallMessages.saying(whole.getBytes());
+                        ClusterMessage message = HallMessages.saying(whole.getBytes());
                         if (message != null) {
                             onReply.accept(to, message);
                         }
--- a/src/main/java/topazladder/net/hall/PoolEndpointChoice.java
+++ b/src/main/java/topazladder/net/hall/PoolEndpointChoice.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import topazladder.below.How;
-import topazladder.below.Use;
+import topazladder.below.CallOutcome;
+import topazladder.below.EndpointSelector;
 import topazladder.config.ClusterSettings.DependencyPool;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.net.DependencyEndpointChoice;
@@ -14,12 +14,12 @@
  */
 final class PoolEndpointChoice implements DependencyEndpointChoice {
     private final List<Address> addresses;
-    private final Use pool;
+    private final EndpointSelector pool;
     private final DoubleSupplier clock;
     private final Runnable onCallEnded;
 
     /** @param onCallEnded is run after the outcome of each call was recorded */
-    PoolEndpointChoice(DependencyPool settings, Use pool, DoubleSupplier clock, Runnable onCallEnded) {
+    PoolEndpointChoice(DependencyPool settings, EndpointSelector pool, DoubleSupplier clock, Runnable onCallEnded) {
         addresses = settings.servers().stream().map(DependencyPool.Server::address).toList();
         this.pool = pool;
         this.clock = clock;
@@ -38,23 +38,23 @@
 
     @Override
     public boolean isInUse(int endpoint) {
-        Use.State state = pool.state(pool.terms().servers().get(endpoint));
-        return state != Use.State.OUT && state != Use.State.OWN_OUT;
+        EndpointSelector.State state = pool.state(pool.settings().endpoints().get(endpoint));
+        return state != EndpointSelector.State.OUT && state != EndpointSelector.State.OWN_OUT;
     }
 
     @Override
-    public void callEnded(int endpoint, How how) {
-        pool.ended(clock.getAsDouble(), endpoint, how);
+    public void callEnded(int endpoint, CallOutcome how) {
+        pool.callEnded(clock.getAsDouble(), endpoint, how);
         onCallEnded.run();
     }
 
     @Override
     public void callAbandoned(int endpoint) {
-        pool.dropped(endpoint);
+        pool.callAbandoned(endpoint);
     }
 
     @Override
     public boolean isRetryPermitted() {
-        return pool.mayRepeat();
+        return pool.tryAcquireRetry();
     }
 }
--- a/src/main/java/topazladder/net/hall/RolloutCommands.java
+++ b/src/main/java/topazladder/net/hall/RolloutCommands.java
@@ -5,14 +5,14 @@
 import java.util.function.BiConsumer;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.RolloutPlanFile;
-import topazladder.hall.ReleaseStart;
-import topazladder.hall.Saying.Command;
-import topazladder.release.Place;
-import topazladder.release.Plan;
-import topazladder.release.Release;
-import topazladder.release.ReleaseOp;
-import topazladder.release.ReleaseOp.By;
-import topazladder.release.View;
+import topazladder.hall.RolloutStart;
+import topazladder.hall.ClusterMessage.Command;
+import topazladder.release.RolloutTarget;
+import topazladder.release.RolloutPlan;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutCommand.Proposer;
+import topazladder.release.RolloutStatus;
 import topazladder.replication.ClusterReplica;
 
 /** Runs operators' commands on rollouts, at the group's leader. */
@@ -28,34 +28,34 @@
 
     /** @param then receives whether the command was carried out, and the text of the response */
     void run(Command command, long epochMillis, BiConsumer<Boolean, String> then) {
-        Release rollout = replica.state().rollouts().release();
+        Rollout rollout = replica.state().rollouts().rollout();
         long id = rollout == null ? 0 : rollout.id();
-        By by = By.operator(epochMillis);
+        Proposer by = Proposer.operator(epochMillis);
         switch (command.kind()) {
             case RELEASE_STATUS -> then.accept(true, status().encode());
             case RELEASE_START -> start(command.text(), by, then);
             case RELEASE_HALT -> propose(
-                    new ReleaseOp.Halt(by, id, command.text().isEmpty() ? "by an operator" : command.text()), then);
-            case RELEASE_RESUME -> propose(new ReleaseOp.Resume(by, id), then);
-            default -> propose(new ReleaseOp.Back(by, id), then);
+                    new RolloutCommand.Halt(by, id, command.text().isEmpty() ? "by an operator" : command.text()), then);
+            case RELEASE_RESUME -> propose(new RolloutCommand.Resume(by, id), then);
+            default -> propose(new RolloutCommand.RollBack(by, id), then);
         }
     }
 
-    private void propose(ReleaseOp operation, BiConsumer<Boolean, String> then) {
-        replica.rollouts().propose(operation, outcome -> then.accept(outcome.done(),
-                outcome.done() ? "done" : outcome.why()));
+    private void propose(RolloutCommand operation, BiConsumer<Boolean, String> then) {
+        replica.rollouts().propose(operation, outcome -> then.accept(outcome.isApplied(),
+                outcome.isApplied() ? "done" : outcome.rejection()));
     }
 
-    private void start(String planText, By by, BiConsumer<Boolean, String> then) {
-        Plan plan;
+    private void start(String planText, Proposer by, BiConsumer<Boolean, String> then) {
+        RolloutPlan plan;
         try {
             plan = RolloutPlanFile.of(planText);
         } catch (InvalidSettingsException e) {
             then.accept(false, e.getMessage());
             return;
         }
-        ReleaseStart.Decision decision = ReleaseStart.decide(replica, plan, by);
-        if (decision.refused()) {
+        RolloutStart.Decision decision = RolloutStart.decide(replica, plan, by);
+        if (decision.isRefused()) {
             then.accept(false, decision.refusal());
         } else {
             propose(decision.operation(), then);
@@ -63,43 +63,43 @@
     }
 
     private JsonObject status() {
-        Release rollout = replica.state().rollouts().release();
-        JsonObject status = new JsonObject().put("leader", replica.here().name()).put("doing", controllerActivity);
+        Rollout rollout = replica.state().rollouts().rollout();
+        JsonObject status = new JsonObject().put("leader", replica.localEndpoint().name()).put("doing", controllerActivity);
         if (rollout == null) {
             return status.put("phase", "NONE");
         }
-        View view = replica.rollouts().view();
+        RolloutStatus view = replica.rollouts().status();
         JsonArray places = new JsonArray();
-        for (Place place : rollout.places()) {
-            View.Sight seen =
+        for (RolloutTarget place : rollout.targets()) {
+            RolloutStatus.InstanceStatus seen =
                     view.members().stream().filter(m -> m.name().equals(place.name())).findFirst().orElse(null);
             places.add(new JsonObject().put("name", place.name()).put("zone", place.zone()).put("wave", place.wave())
                     .put("stage", place.stage().name()).put("attempt", place.attempt())
-                    .put("runs", seen == null || seen.serving() == null ? null : seen.serving().version())
-                    .put("out", seen == null || seen.out() == null ? null : seen.out().phase().name())
+                    .put("runs", seen == null || seen.load() == null ? null : seen.load().version())
+                    .put("out", seen == null || seen.disruption() == null ? null : seen.disruption().phase().name())
                     .put("waits", waitReason(rollout, place, seen)));
         }
         JsonArray history = new JsonArray();
-        rollout.history().forEach(e -> history.add(new JsonObject().put("at", e.atMillis()).put("what", e.what())));
+        rollout.history().forEach(e -> history.add(new JsonObject().put("at", e.atMillis()).put("what", e.description())));
         return status.put("name", rollout.plan().name()).put("id", rollout.id()).put("from", rollout.plan().from())
-                .put("to", rollout.plan().to()).put("back", rollout.back()).put("phase", rollout.phase().name())
-                .put("why", rollout.why()).put("wave", rollout.wave()).put("places", places).put("history", history);
+                .put("to", rollout.plan().to()).put("back", rollout.isRollback()).put("phase", rollout.phase().name())
+                .put("why", rollout.haltReason()).put("wave", rollout.wave()).put("places", places).put("history", history);
     }
 
     /** Why an instance has not been updated yet, for operators; null where it has been. */
-    private static String waitReason(Release rollout, Place place, View.Sight seen) {
-        if (place.stage() == Place.Stage.MOVED) {
+    private static String waitReason(Rollout rollout, RolloutTarget place, RolloutStatus.InstanceStatus seen) {
+        if (place.stage() == RolloutTarget.Stage.MOVED) {
             return null;
-        } else if (rollout.phase() != Release.Phase.RUNNING) {
+        } else if (rollout.phase() != Rollout.Phase.RUNNING) {
             return "the rollout is " + rollout.phase();
         } else if (place.wave() > rollout.wave()) {
             return "wave " + place.wave() + " has not started";
         } else if (seen == null) {
             return "the leader does not see the instance";
-        } else if (seen.waits() != null) {
-            return seen.waits();
+        } else if (seen.blockedReason() != null) {
+            return seen.blockedReason();
         }
-        return seen.out() != null ? seen.out().phase().name().toLowerCase(java.util.Locale.ROOT)
-                : place.stage() == Place.Stage.LEFT ? "its turn" : "the instance is not steady";
+        return seen.disruption() != null ? seen.disruption().phase().name().toLowerCase(java.util.Locale.ROOT)
+                : place.stage() == RolloutTarget.Stage.LEFT ? "its turn" : "the instance is not steady";
     }
 }
--- a/src/main/java/topazladder/net/hall/RolloutControllerTask.java
+++ b/src/main/java/topazladder/net/hall/RolloutControllerTask.java
@@ -3,11 +3,11 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import topazladder.hall.ConductorNode;
+import topazladder.hall.RolloutControllerNode;
 import topazladder.lease.LeasedTask;
 
 /** Runs the rollout controller while this member holds its lease. */
-record RolloutControllerTask(ConductorNode controller) implements LeasedTask {
+record RolloutControllerTask(RolloutControllerNode controller) implements LeasedTask {
 
     @Override
     public void start(long fencingToken, Supplier<OptionalLong> permission, Consumer<String> onFailure) {
--- a/src/main/java/topazladder/net/hall/SqliteVoterStore.java
+++ b/src/main/java/topazladder/net/hall/SqliteVoterStore.java
@@ -78,7 +78,7 @@
     // ---- identity
 
     @Override
-    public Founding founding() {
+    public VoterIdentity identity() {
         try {
             byte[] here = value(HERE);
             if (here == null) {
@@ -86,7 +86,7 @@
             }
             MembersView initial = MembersView.parseFrom(value(FOUNDING));
             List<VoterEndpoint> voters = initial.getMembersList().stream().map(VoterEndpoint::of).toList();
-            return new Founding(VoterEndpoint.of(new String(here, StandardCharsets.UTF_8)), voters,
+            return new VoterIdentity(VoterEndpoint.of(new String(here, StandardCharsets.UTF_8)), voters,
                     initial.getLogIndex());
         } catch (IOException e) {
             throw new IllegalStateException("the voter store can't be read: " + e.getMessage(), e);
@@ -94,12 +94,12 @@
     }
 
     @Override
-    public void found(Founding founding) throws IOException {
+    public void initialize(VoterIdentity founding) throws IOException {
         database.rollBack();
         for (String delete : DELETE_ALL) {
             database.update(delete);
         }
-        putValue(HERE, founding.here().toString().getBytes(StandardCharsets.UTF_8));
+        putValue(HERE, founding.localEndpoint().toString().getBytes(StandardCharsets.UTF_8));
         List<String> voters = founding.initialVoters().stream().map(VoterEndpoint::toString).toList();
         putValue(FOUNDING, MembersView.newBuilder().setLogIndex(founding.groupGeneration()).addAllMembers(voters)
                 .build().toByteArray());
--- a/src/main/java/topazladder/net/peer/PeerAsker.java
+++ b/src/main/java/topazladder/net/peer/PeerAsker.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.knowledge.Fact;
+import topazladder.knowledge.SharedEstimate;
 import topazladder.knowledge.Origin;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
@@ -27,7 +27,7 @@
     /** Whoever wants the answers. */
     interface Listener {
 
-        void heard(int number, Collection<Fact> facts);
+        void heard(int number, Collection<SharedEstimate> facts);
 
         void whole(int number);
 
--- a/src/main/java/topazladder/net/peer/PeerNode.java
+++ b/src/main/java/topazladder/net/peer/PeerNode.java
@@ -15,19 +15,19 @@
 import topazladder.config.ServiceSettings;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.config.SettingsReader;
-import topazladder.knowledge.Fact;
-import topazladder.knowledge.Learning;
+import topazladder.knowledge.SharedEstimate;
+import topazladder.knowledge.EstimateExchange;
 import topazladder.knowledge.Origin;
-import topazladder.net.hall.HallNode;
-import topazladder.peering.Asking;
-import topazladder.peering.Asking.Ask;
-import topazladder.peering.Asking.Bounds;
-import topazladder.peering.Asking.Drop;
-import topazladder.peering.Asking.Phase;
-import topazladder.peering.Asking.Step;
-import topazladder.peering.Asking.Wake;
-import topazladder.peering.Candidate;
-import topazladder.peering.Giving;
+import topazladder.net.hall.ClusterNode;
+import topazladder.peering.EstimateFetcher;
+import topazladder.peering.EstimateFetcher.Fetch;
+import topazladder.peering.EstimateFetcher.Limits;
+import topazladder.peering.EstimateFetcher.Cancel;
+import topazladder.peering.EstimateFetcher.Phase;
+import topazladder.peering.EstimateFetcher.Step;
+import topazladder.peering.EstimateFetcher.ScheduleTick;
+import topazladder.peering.PeerCandidate;
+import topazladder.peering.ShareLimiter;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.RequestClass;
 import topazladder.service.Counters;
@@ -45,12 +45,12 @@
     private final InstanceLifecycle instance;
     private final Counters counters;
     private final Peering settings;
-    private final Learning learning;
-    private final Asking asking;
+    private final EstimateExchange learning;
+    private final EstimateFetcher asking;
     private final PeerAsker asker;
     private final PeerServer server;
     private List<byte[]> keys;
-    private Collection<Candidate> peers;
+    private Collection<PeerCandidate> peers;
     private long wake = -1;
     private double began;
     private boolean closed;
@@ -58,7 +58,7 @@
     /** @param hall the member of a hall that speaks over the same link, or null */
     public PeerNode(Vertx vertx, ServiceSettings terms, ExtensionSettings own, RequestDispatcher dispatcher,
             InstanceLifecycle instance,
-            Counters counters, Supplier<HallNode> hall) {
+            Counters counters, Supplier<ClusterNode> hall) {
         this.vertx = vertx;
         this.dispatcher = dispatcher;
         this.instance = instance;
@@ -69,16 +69,16 @@
         long incarnation = System.currentTimeMillis() << 16 ^ ProcessHandle.current().pid();
         Origin here = new Origin(terms.name(), incarnation, terms.terms().admissionSettings().cores(),
                 own.coreSpeed(), digest(terms.terms()));
-        learning = new Learning(here, PeerNode::seconds, settings.excludedKinds());
-        asking = new Asking(terms.name(), incarnation, own.zone(),
-                new Bounds(settings.hedgeAfterSeconds(), settings.attemptTimeoutSeconds(), settings.maxAttempts()),
+        learning = new EstimateExchange(here, PeerNode::seconds, settings.excludedKinds());
+        asking = new EstimateFetcher(terms.name(), incarnation, own.zone(),
+                new Limits(settings.hedgeAfterSeconds(), settings.attemptTimeoutSeconds(), settings.maxAttempts()),
                 new SplittableRandom(terms.seed() ^ incarnation));
         asker = new PeerAsker(vertx, here, settings.attemptTimeoutSeconds(), () -> keys, this);
         server = settings.listen() == null ? null : new PeerServer(vertx, learning, dispatcher::learnedEstimates,
                 instance::phase, counters,
-                new Giving(settings.sharesPerSecond(), settings.maxEventLoopShare()), () -> keys,
+                new ShareLimiter(settings.sharesPerSecond(), settings.maxEventLoopShare()), () -> keys,
                 own.cluster() == null ? null
-                        : (socket, seal, greeting, reader) -> hall.get().take(socket, seal, greeting, reader));
+                        : (socket, seal, greeting, reader) -> hall.get().acceptConnection(socket, seal, greeting, reader));
     }
 
     /** Seconds of a clock that never runs backwards, as ages must not hang on one that is set. */
@@ -110,7 +110,7 @@
             valid.add(p.secondaryKey().bytes());
         }
         keys = valid;
-        peers = p.peers().stream().map(peer -> new Candidate(peer.name(),
+        peers = p.peers().stream().map(peer -> new PeerCandidate(peer.name(),
                 peer.address().host() + ":" + peer.address().port(), peer.zone())).toList();
     }
 
@@ -138,7 +138,7 @@
         take(own.peering());
         LOG.info("{} peers may be asked from now on", peers.size());
         if (asking.phase() == Phase.ASKING) {
-            carryOut(asking.replace(seconds(), peers));
+            carryOut(asking.replacePeers(seconds(), peers));
         }
     }
 
@@ -158,12 +158,12 @@
             return;
         }
         for (Step step : steps) {
-            if (step instanceof Ask ask) {
+            if (step instanceof Fetch ask) {
                 counters.add(Count.PEERS_ASKED);
                 asker.ask(ask.number(), Address.of("peer", ask.peer().address()));
-            } else if (step instanceof Drop drop) {
+            } else if (step instanceof Cancel drop) {
                 asker.drop(drop.number());
-            } else if (step instanceof Wake w) {
+            } else if (step instanceof ScheduleTick w) {
                 vertx.cancelTimer(wake);
                 wake = vertx.setTimer(Math.max(1, Math.round(w.seconds() * 1000)),
                         id -> carryOut(asking.tick(seconds())));
@@ -177,7 +177,7 @@
     /** What came is used as far as it came; what comes once the module has started is told it then. */
     private void over() {
         vertx.cancelTimer(wake);
-        List<LearnedEstimate> fresh = learning.forTheModule();
+        List<LearnedEstimate> fresh = learning.newEstimates();
         dispatcher.applyEstimates(fresh);
         if (!fresh.isEmpty() || asking.phase() == Phase.GIVEN_UP) {
             LOG.info("asking peers is over: {} in {} s, {} facts taken", asking,
@@ -187,21 +187,21 @@
     }
 
     @Override
-    public void heard(int number, Collection<Fact> facts) {
-        asking.heard(number);
-        learning.hear(facts);
+    public void heard(int number, Collection<SharedEstimate> facts) {
+        asking.partReceived(number);
+        learning.receive(facts);
     }
 
     @Override
     public void whole(int number) {
         counters.add(Count.SHARES_RECEIVED);
-        carryOut(asking.learned(seconds(), number));
+        carryOut(asking.shareReceived(seconds(), number));
     }
 
     @Override
     public void later(int number, double comeBackIn) {
         counters.add(Count.SHARES_POSTPONED);
-        carryOut(asking.later(seconds(), number, comeBackIn));
+        carryOut(asking.postponed(seconds(), number, comeBackIn));
     }
 
     @Override
--- a/src/main/java/topazladder/net/peer/PeerServer.java
+++ b/src/main/java/topazladder/net/peer/PeerServer.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.function.Supplier;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.knowledge.Learning;
+import topazladder.knowledge.EstimateExchange;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Frame;
@@ -22,8 +22,8 @@
 import topazladder.net.codec.PeerMessages.Asked;
 import topazladder.net.codec.PeerMessages.Delay;
 import topazladder.net.codec.PeerMessages.Delay.Reason;
-import topazladder.peering.Giving;
-import topazladder.peering.Giving.Turn;
+import topazladder.peering.ShareLimiter;
+import topazladder.peering.ShareLimiter.Decision;
 import topazladder.request.LearnedEstimate;
 import topazladder.service.Counters;
 import topazladder.service.Counters.Count;
@@ -41,11 +41,11 @@
     private static final long LONGEST_MS = 5000;
 
     private final Vertx vertx;
-    private final Learning learning;
+    private final EstimateExchange learning;
     private final Supplier<List<LearnedEstimate>> own;
     private final Supplier<Phase> phase;
     private final Counters counters;
-    private final Giving giving;
+    private final ShareLimiter giving;
     private final Supplier<List<byte[]>> keys;
     private final Greeted members;
     private final NetServer server;
@@ -64,9 +64,9 @@
      * @param own what this instance has learned by itself; nothing while it is cold
      * @param members null where this instance is of no hall
      */
-    public PeerServer(Vertx vertx, Learning learning, Supplier<List<LearnedEstimate>> own, Supplier<Phase> phase,
+    public PeerServer(Vertx vertx, EstimateExchange learning, Supplier<List<LearnedEstimate>> own, Supplier<Phase> phase,
             Counters counters,
-            Giving giving, Supplier<List<byte[]>> keys, Greeted members) {
+            ShareLimiter giving, Supplier<List<byte[]>> keys, Greeted members) {
         this.members = members;
         this.vertx = vertx;
         this.learning = learning;
@@ -161,21 +161,21 @@
                     put(seal, new Delay(Reason.KNOWS_NOTHING, 0)); // as cold as whoever asks
                     return;
                 }
-                Turn turn = giving.ask(now, asked.from().name() + '#' + asked.from().incarnation());
-                if (!turn.now()) {
-                    put(seal, new Delay(Reason.BUSY, turn.comeBackIn()));
+                Decision turn = giving.request(now, asked.from().name() + '#' + asked.from().incarnation());
+                if (!turn.isGranted()) {
+                    put(seal, new Delay(Reason.BUSY, turn.retryAfterSeconds()));
                     return;
                 }
                 counters.add(Count.SHARES_SENT);
-                List<byte[]> chunks = PeerMessages.chunks(learning.toTell(known), now);
+                List<byte[]> chunks = PeerMessages.chunks(learning.createShare(known), now);
                 socket.write(Buffer.buffer(seal.frame(Type.HEADER, 0,
-                        PeerMessages.head(learning.here(), chunks.size()))));
+                        PeerMessages.head(learning.self(), chunks.size()))));
                 for (int i = 0; i < chunks.size(); i++) {
                     socket.write(Buffer.buffer(seal.frame(Type.CHUNK, i, chunks.get(i))));
                 }
                 socket.write(Buffer.buffer(seal.frame(Type.END, chunks.size(), new byte[0])));
                 double took = PeerNode.seconds() - now;
-                giving.took(now + took, took);
+                giving.recordCost(now + took, took);
                 part();
             } catch (MalformedMessageException e) {
                 put(seal, new Delay(Reason.UNREADABLE, 0));
--- a/src/main/java/topazladder/peering/Asking.java
+++ b/src/main/java/topazladder/peering/EstimateFetcher.java
@@ -18,7 +18,7 @@
  * attempts, one hedged attempt beside a slow one, and backoff with jitter after failures. It does no I/O: it is told
  * what became of each attempt and returns the next steps.
  */
-public final class Asking {
+public final class EstimateFetcher {
 
     /**
      * Limits of all attempts.
@@ -27,7 +27,7 @@
      * @param attemptTimeoutSeconds after which an attempt is over, even while its answer arrives
      * @param maxAttempts in all
      */
-    public record Bounds(double hedgeAfterSeconds, double attemptTimeoutSeconds, int maxAttempts) {
+    public record Limits(double hedgeAfterSeconds, double attemptTimeoutSeconds, int maxAttempts) {
     }
 
     /** Printed by name: names stay. */
@@ -46,15 +46,15 @@
     public sealed interface Step {}
 
     /** Ask that peer, and report what becomes of the attempt under its number. */
-    public record Ask(int number, Candidate peer) implements Step {
+    public record Fetch(int number, PeerCandidate peer) implements Step {
     }
 
     /** Abandon that attempt: whatever still arrives on it is not wanted. */
-    public record Drop(int number) implements Step {
+    public record Cancel(int number) implements Step {
     }
 
-    /** Call {@link Asking#tick} after that time; replaces the last such step. */
-    public record Wake(double seconds) implements Step {
+    /** Call {@link LeasePoll#tick} after that time; replaces the last such step. */
+    public record ScheduleTick(double seconds) implements Step {
     }
 
     private static final int MAX_OPEN_ATTEMPTS = 2;
@@ -69,11 +69,11 @@
     private static final double MIN_WAKE_SECONDS = 0.001;
 
     private static final class Attempt {
-        final Candidate peer;
+        final PeerCandidate peer;
         final double startedAt;
         boolean isAnswering;
 
-        Attempt(Candidate peer, double startedAt) {
+        Attempt(PeerCandidate peer, double startedAt) {
             this.peer = peer;
             this.startedAt = startedAt;
         }
@@ -82,13 +82,13 @@
     private final String asker;
     private final long incarnation;
     private final String zone;
-    private final Bounds bounds;
+    private final Limits bounds;
     private final RandomGenerator random;
-    private final Deque<Candidate> queue = new ArrayDeque<>(); // of the current list: not asked yet, or due again
-    private final Map<Candidate, Double> retryAt = new LinkedHashMap<>(); // of the current list
+    private final Deque<PeerCandidate> queue = new ArrayDeque<>(); // of the current list: not asked yet, or due again
+    private final Map<PeerCandidate, Double> retryAt = new LinkedHashMap<>(); // of the current list
     private final Map<Integer, Attempt> open = new LinkedHashMap<>(); // by number; at most MAX_OPEN_ATTEMPTS
-    private final Set<Candidate> withoutShare = new HashSet<>(); // of the current list: answered that they have none
-    private final Map<Candidate, Integer> failures = new HashMap<>(); // of the current list
+    private final Set<PeerCandidate> withoutShare = new HashSet<>(); // of the current list: answered that they have none
+    private final Map<PeerCandidate, Integer> failures = new HashMap<>(); // of the current list
     private Phase phase = Phase.WAITING_TO_START;
     private int attempts;
     private double backoffUntil;
@@ -100,7 +100,7 @@
      * @param asker name of this instance
      * @param zone of this instance, or empty
      */
-    public Asking(String asker, long incarnation, String zone, Bounds bounds, RandomGenerator random) {
+    public EstimateFetcher(String asker, long incarnation, String zone, Limits bounds, RandomGenerator random) {
         this.asker = asker;
         this.incarnation = incarnation;
         this.zone = zone;
@@ -119,20 +119,20 @@
     }
 
     /** Starts to ask these peers. */
-    public List<Step> start(double now, Collection<Candidate> peers) {
+    public List<Step> start(double now, Collection<PeerCandidate> peers) {
         queue.addAll(PeerRanking.of(asker, incarnation, zone, peers));
         phase = Phase.ASKING;
         return advance(now, new ArrayList<>());
     }
 
     /** Replaces the list of peers; open attempts go on, and peers that are no longer listed are not asked again. */
-    public List<Step> replace(double now, Collection<Candidate> peers) {
-        List<Candidate> ranked = PeerRanking.of(asker, incarnation, zone, peers);
+    public List<Step> replacePeers(double now, Collection<PeerCandidate> peers) {
+        List<PeerCandidate> ranked = PeerRanking.of(asker, incarnation, zone, peers);
         queue.clear();
         withoutShare.retainAll(ranked);
         failures.keySet().retainAll(ranked);
         retryAt.keySet().retainAll(ranked);
-        for (Candidate peer : ranked) {
+        for (PeerCandidate peer : ranked) {
             boolean isOpen = open.values().stream().anyMatch(attempt -> attempt.peer.equals(peer));
             if (!isOpen && !withoutShare.contains(peer) && !retryAt.containsKey(peer)
                     && !failures.containsKey(peer)) {
@@ -143,7 +143,7 @@
     }
 
     /** A valid part of an answer has arrived: this attempt is no longer hedged. */
-    public void heard(int number) {
+    public void partReceived(int number) {
         Attempt attempt = open.get(number);
         if (attempt != null) {
             attempt.isAnswering = true;
@@ -151,11 +151,11 @@
     }
 
     /** A whole share has arrived. */
-    public List<Step> learned(double now, int number) {
+    public List<Step> shareReceived(double now, int number) {
         List<Step> steps = new ArrayList<>();
         if (open.remove(number) != null) {
             phase = Phase.LEARNED;
-            open.keySet().forEach(other -> steps.add(new Drop(other)));
+            open.keySet().forEach(other -> steps.add(new Cancel(other)));
             open.clear();
         }
         return steps;
@@ -166,7 +166,7 @@
      *
      * @param seconds until it may be asked again; 0 where it has no share to give
      */
-    public List<Step> later(double now, int number, double seconds) {
+    public List<Step> postponed(double now, int number, double seconds) {
         Attempt attempt = open.remove(number);
         if (attempt != null) {
             if (seconds > 0 && seconds <= MAX_POSTPONEMENT_SECONDS) {
@@ -198,7 +198,7 @@
         List<Step> steps = new ArrayList<>();
         for (Map.Entry<Integer, Attempt> entry : List.copyOf(open.entrySet())) {
             if (now - entry.getValue().startedAt >= bounds.attemptTimeoutSeconds()) {
-                steps.add(new Drop(entry.getKey()));
+                steps.add(new Cancel(entry.getKey()));
                 steps.addAll(failed(now, entry.getKey()));
             }
         }
@@ -209,23 +209,23 @@
         if (phase != Phase.ASKING) {
             return steps;
         }
-        for (Map.Entry<Candidate, Double> entry : List.copyOf(retryAt.entrySet())) {
+        for (Map.Entry<PeerCandidate, Double> entry : List.copyOf(retryAt.entrySet())) {
             if (entry.getValue() <= now) {
                 retryAt.remove(entry.getKey());
                 queue.addFirst(entry.getKey());
             }
         }
         while (attempts < bounds.maxAttempts() && !queue.isEmpty() && mayAsk(now)) {
-            Candidate peer = queue.poll();
+            PeerCandidate peer = queue.poll();
             open.put(++attempts, new Attempt(peer, now));
-            steps.add(new Ask(attempts, peer));
+            steps.add(new Fetch(attempts, peer));
         }
         boolean mayAskMore = attempts < bounds.maxAttempts() && !(queue.isEmpty() && retryAt.isEmpty());
         if (open.isEmpty() && !mayAskMore) {
             phase = Phase.GIVEN_UP;
         } else {
-            steps.removeIf(Wake.class::isInstance);
-            steps.add(new Wake(Math.max(MIN_WAKE_SECONDS, nextDue(now) - now)));
+            steps.removeIf(ScheduleTick.class::isInstance);
+            steps.add(new ScheduleTick(Math.max(MIN_WAKE_SECONDS, nextDue(now) - now)));
         }
         return steps;
     }
--- a/src/main/java/topazladder/peering/Candidate.java
+++ b/src/main/java/topazladder/peering/PeerCandidate.java
@@ -6,5 +6,5 @@
  * @param address numeric, with a port
  * @param zone it runs in, or empty
  */
-public record Candidate(String name, String address, String zone) {
+public record PeerCandidate(String name, String address, String zone) {
 }
--- a/src/main/java/topazladder/peering/PeerRanking.java
+++ b/src/main/java/topazladder/peering/PeerRanking.java
@@ -21,14 +21,14 @@
 
     private PeerRanking() {}
 
-    static List<Candidate> of(String asker, long incarnation, String zone, Collection<Candidate> peers) {
+    static List<PeerCandidate> of(String asker, long incarnation, String zone, Collection<PeerCandidate> peers) {
         return peers.stream().filter(peer -> !peer.name().equals(asker)).distinct()
-                .sorted(Comparator.comparingDouble((Candidate peer) -> -score(asker, incarnation, zone, peer))
-                        .thenComparing(Candidate::name))
+                .sorted(Comparator.comparingDouble((PeerCandidate peer) -> -score(asker, incarnation, zone, peer))
+                        .thenComparing(PeerCandidate::name))
                 .toList();
     }
 
-    private static double score(String asker, long incarnation, String zone, Candidate peer) {
+    private static double score(String asker, long incarnation, String zone, PeerCandidate peer) {
         long hash = HASH.hashStream().putString(asker).putLong(incarnation).putString(peer.name())
                 .putString(peer.address()).getAsLong();
         // Uniform in the open interval (0, 1): the logarithm of 0 is infinite, and that of 1 would divide by zero.
--- a/src/main/java/topazladder/peering/Giving.java
+++ b/src/main/java/topazladder/peering/ShareLimiter.java
@@ -9,7 +9,7 @@
  * rate, and by the part of the event loop's time that shares may take. A peer that asks too early gets a reserved time
  * and is told when to come back; when the reservations reach too far ahead, it is told to ask another peer.
  */
-public final class Giving {
+public final class ShareLimiter {
     /** For which a reservation is kept after its time. */
     private static final double RESERVATION_GRACE_SECONDS = 1;
     /** No reservation is made further ahead: by then the peer's own estimates are better. */
@@ -18,10 +18,10 @@
     /**
      * The answer to a peer that asks.
      *
-     * @param now whether the share is given now
-     * @param comeBackIn seconds after which the peer may ask again; 0 where the share is given now, or not at all
+     * @param isGranted whether the share is given now
+     * @param retryAfterSeconds seconds after which the peer may ask again; 0 where the share is given now, or not at all
      */
-    public record Turn(boolean now, double comeBackIn) {
+    public record Decision(boolean isGranted, double retryAfterSeconds) {
     }
 
     private final double period;
@@ -35,7 +35,7 @@
      *
      * @param loopShare part of the event loop's time that shares may take
      */
-    public Giving(double sharesPerSecond, double loopShare) {
+    public ShareLimiter(double sharesPerSecond, double loopShare) {
         period = 1 / sharesPerSecond;
         this.loopShare = loopShare;
     }
@@ -45,7 +45,7 @@
      *
      * @param asker name and incarnation of the peer
      */
-    public Turn ask(double now, String asker) {
+    public Decision request(double now, String asker) {
         for (Iterator<Double> i = reservations.values().iterator(); i.hasNext();) {
             if (i.next() + RESERVATION_GRACE_SECONDS < now) {
                 i.remove();
@@ -54,26 +54,26 @@
         Double reservedAt = reservations.get(asker);
         if (reservedAt != null) {
             if (now < reservedAt) {
-                return new Turn(false, reservedAt - now); // too early: the reservation stays
+                return new Decision(false, reservedAt - now); // too early: the reservation stays
             }
             reservations.remove(asker);
-            return new Turn(true, 0);
+            return new Decision(true, 0);
         }
         if (nextFreeAt <= now) {
             nextFreeAt = now + period;
-            return new Turn(true, 0);
+            return new Decision(true, 0);
         }
         if (nextFreeAt - now > MAX_RESERVATION_SECONDS) {
-            return new Turn(false, 0);
+            return new Decision(false, 0);
         }
         reservations.put(asker, nextFreeAt);
         double wait = nextFreeAt - now;
         nextFreeAt += period;
-        return new Turn(false, wait);
+        return new Decision(false, wait);
     }
 
     /** Records the event loop's time that a share took, and delays the next one so that the part is kept. */
-    public void took(double now, double seconds) {
+    public void recordCost(double now, double seconds) {
         nextFreeAt = Math.max(nextFreeAt, now + seconds / loopShare);
     }
 
--- a/src/main/java/topazladder/release/Judge.java
+++ b/src/main/java/topazladder/release/CanaryAnalysis.java
@@ -15,7 +15,7 @@
  * frequent looks find no more false differences. The natural spread between instances is accounted for separately, by
  * how far the means of the instances on A lie apart.
  */
-public final class Judge {
+public final class CanaryAnalysis {
     private static final int MIN_SAMPLES = 5;
     /** Number of samples at which the bounds are tightest. */
     private static final double TIGHTEST_AT_SAMPLES = 40;
@@ -28,24 +28,24 @@
     /**
      * By how much B may be worse.
      *
-     * @param payoff drop of the served share of the offered payoff
-     * @param failed rise of the failed share of the requests
-     * @param memory ratio of B's memory to A's
-     * @param error probability that an equally good B is found worse, over the whole rollout
+     * @param maxServedShareDrop drop of the served share of the offered payoff
+     * @param maxFailedShareRise rise of the failed share of the requests
+     * @param maxMemoryRatio ratio of B's memory to A's
+     * @param errorProbability probability that an equally good B is found worse, over the whole rollout
      */
-    public record Terms(double payoff, double failed, double memory, double error) {
-        public static final Terms USUAL = new Terms(0.02, 0.01, 1.5, 0.01);
+    public record Thresholds(double maxServedShareDrop, double maxFailedShareRise, double maxMemoryRatio, double errorProbability) {
+        public static final Thresholds DEFAULT = new Thresholds(0.02, 0.01, 1.5, 0.01);
     }
 
     /**
      * One instance at one moment.
      *
-     * @param moved whether it runs B
-     * @param share part of the offered payoff that it served
-     * @param failed part of the requests that failed
-     * @param megabytes of memory that the process holds
+     * @param isOnB whether it runs B
+     * @param servedShare part of the offered payoff that it served
+     * @param failedShare part of the requests that failed
+     * @param memoryMegabytes of memory that the process holds
      */
-    public record Look(String name, String zone, boolean moved, double share, double failed, double megabytes) {
+    public record Sample(String name, String zone, boolean isOnB, double servedShare, double failedShare, double memoryMegabytes) {
     }
 
     /** What the samples so far show. */
@@ -87,7 +87,7 @@
         }
     }
 
-    private final Terms terms;
+    private final Thresholds terms;
     private final Map<String, Series> payoff = new TreeMap<>(); // by zone, and over all zones
     private final Series failed = new Series();
     private final Series memory = new Series();
@@ -95,35 +95,35 @@
     private String failureReason = "";
 
     /** Creates an analysis without samples. */
-    public Judge(Terms terms) {
+    public CanaryAnalysis(Thresholds terms) {
         this.terms = terms;
     }
 
     /** Adds the samples of all instances that serve at one moment; without any of A, or any of B, they are ignored. */
-    public void addSamples(List<Look> samples) {
-        List<Look> a = samples.stream().filter(sample -> !sample.moved()).toList();
-        List<Look> b = samples.stream().filter(Look::moved).toList();
+    public void addSamples(List<Sample> samples) {
+        List<Sample> a = samples.stream().filter(sample -> !sample.isOnB()).toList();
+        List<Sample> b = samples.stream().filter(Sample::isOnB).toList();
         if (a.isEmpty() || b.isEmpty()) {
             return;
         }
         a.forEach(sample -> servedByInstanceOnA.computeIfAbsent(sample.name(), name -> new Series())
-                .add(sample.share()));
-        payoff.computeIfAbsent(ALL_ZONES, zone -> new Series()).add(mean(b, Look::share) - mean(a, Look::share));
-        failed.add(mean(b, Look::failed) - mean(a, Look::failed));
-        memory.add(mean(b, Look::megabytes) / Math.max(1, mean(a, Look::megabytes)) - 1);
-        List<String> zones = b.stream().map(Look::zone).filter(zone -> !zone.isEmpty()).distinct().toList();
+                .add(sample.servedShare()));
+        payoff.computeIfAbsent(ALL_ZONES, zone -> new Series()).add(mean(b, Sample::servedShare) - mean(a, Sample::servedShare));
+        failed.add(mean(b, Sample::failedShare) - mean(a, Sample::failedShare));
+        memory.add(mean(b, Sample::memoryMegabytes) / Math.max(1, mean(a, Sample::memoryMegabytes)) - 1);
+        List<String> zones = b.stream().map(Sample::zone).filter(zone -> !zone.isEmpty()).distinct().toList();
         for (String zone : zones) {
-            List<Look> aInZone = a.stream().filter(sample -> sample.zone().equals(zone)).toList();
+            List<Sample> aInZone = a.stream().filter(sample -> sample.zone().equals(zone)).toList();
             payoff.computeIfAbsent(zone, z -> new Series())
-                    .add(mean(b.stream().filter(sample -> sample.zone().equals(zone)).toList(), Look::share)
-                            - mean(aInZone.isEmpty() ? a : aInZone, Look::share));
+                    .add(mean(b.stream().filter(sample -> sample.zone().equals(zone)).toList(), Sample::servedShare)
+                            - mean(aInZone.isEmpty() ? a : aInZone, Sample::servedShare));
         }
         instancesOnB = b.size();
     }
 
     private int instancesOnB;
 
-    private static double mean(List<Look> samples, ToDoubleFunction<Look> value) {
+    private static double mean(List<Sample> samples, ToDoubleFunction<Sample> value) {
         return samples.stream().mapToDouble(value).average().orElse(0);
     }
 
@@ -143,11 +143,11 @@
     /** The verdict by all samples so far. */
     public Verdict verdict() {
         // The error is split over all comparisons: payoff in each zone, failures, memory.
-        double error = terms.error() / (payoff.size() + 2);
+        double error = terms.errorProbability() / (payoff.size() + 2);
         double spread = instanceSpread();
         for (Map.Entry<String, Series> entry : payoff.entrySet()) {
             Series series = entry.getValue();
-            if (series.mean + series.radius(error) + spread < -terms.payoff()) {
+            if (series.mean + series.radius(error) + spread < -terms.maxServedShareDrop()) {
                 failureReason = String.format(Locale.ROOT,
                         "B serves a smaller share of the offered payoff than A%s: %.1f%% ± %.1f%% less",
                         entry.getKey().isEmpty() ? "" : " in zone " + entry.getKey(), -100 * series.mean,
@@ -155,18 +155,18 @@
                 return Verdict.FAILED;
             }
         }
-        if (failed.mean - failed.radius(error) > terms.failed()) {
+        if (failed.mean - failed.radius(error) > terms.maxFailedShareRise()) {
             failureReason = String.format(Locale.ROOT, "B fails a larger share of the requests than A: %.1f%% more",
                     100 * failed.mean);
             return Verdict.FAILED;
         }
-        if (memory.mean - memory.radius(error) > terms.memory() - 1) {
+        if (memory.mean - memory.radius(error) > terms.maxMemoryRatio() - 1) {
             failureReason = String.format(Locale.ROOT, "B holds %.1f times the memory of A", 1 + memory.mean);
             return Verdict.FAILED;
         }
         Series all = payoff.get(ALL_ZONES);
         return all == null || all.n < MIN_SAMPLES ? Verdict.INCONCLUSIVE
-                : all.mean > -terms.payoff() && failed.mean < terms.failed() ? Verdict.PASSED : Verdict.INCONCLUSIVE;
+                : all.mean > -terms.maxServedShareDrop() && failed.mean < terms.maxFailedShareRise() ? Verdict.PASSED : Verdict.INCONCLUSIVE;
     }
 
     /** In what B is worse, for operators; empty until {@link #verdict} has found it. */
@@ -185,6 +185,6 @@
         Series all = payoff.get(ALL_ZONES);
         return all == null ? "nothing compared yet" : String.format(Locale.ROOT,
                 "payoff of B against A %+.2f%% ± %.2f%% after %d samples", 100 * all.mean,
-                100 * (Math.min(1, all.radius(terms.error())) + instanceSpread()), all.n);
+                100 * (Math.min(1, all.radius(terms.errorProbability())) + instanceSpread()), all.n);
     }
 }
--- a/src/main/java/topazladder/release/Place.java
+++ b/src/main/java/topazladder/release/RolloutTarget.java
@@ -5,12 +5,12 @@
  *
  * @param name of the instance
  * @param zone it runs in, or empty
- * @param votes whether it is a voter of the consensus group; voters are updated one at a time
+ * @param isVoter whether it is a voter of the consensus group; voters are updated one at a time
  * @param wave in which it is updated
  * @param stage how far its update is
  * @param attempt number of its last request for a grant; 0 before the first
  */
-public record Place(String name, String zone, boolean votes, int wave, Stage stage, int attempt) {
+public record RolloutTarget(String name, String zone, boolean isVoter, int wave, Stage stage, int attempt) {
 
     /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Stage {
@@ -22,7 +22,7 @@
         MOVED
     }
 
-    Place inStage(Stage nextStage, int nextAttempt) {
-        return new Place(name, zone, votes, wave, nextStage, nextAttempt);
+    RolloutTarget inStage(Stage nextStage, int nextAttempt) {
+        return new RolloutTarget(name, zone, isVoter, wave, nextStage, nextAttempt);
     }
 }
--- a/src/main/java/topazladder/replication/ClusterReplica.java
+++ b/src/main/java/topazladder/replication/ClusterReplica.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.function.DoubleSupplier;
 import java.util.random.RandomGenerator;
-import topazladder.below.Verdicts;
+import topazladder.below.OutlierDetector;
 import topazladder.consensus.ConsensusReplica;
 import topazladder.consensus.VoterEndpoint;
 import topazladder.consensus.VoterStore;
@@ -49,7 +49,7 @@
      * @param outlierDetector decides on ejections at the leader
      */
     public record Domains(ClusterState state, LeaseManager leaseManager, DisruptionController disruptionController,
-            Verdicts outlierDetector) {
+            OutlierDetector outlierDetector) {
     }
 
     private final ClusterState state;
@@ -122,7 +122,7 @@
     }
 
     /** Whether this voter leads and has applied every command that earlier leaders committed. */
-    public boolean leading() {
+    public boolean isLeader() {
         return consensus.isLeader();
     }
 
@@ -132,12 +132,12 @@
     }
 
     /** The identity of this voter. */
-    public VoterEndpoint here() {
-        return consensus.here();
+    public VoterEndpoint localEndpoint() {
+        return consensus.localEndpoint();
     }
 
     /** The voters of the committed configuration, ordered by identity. */
-    public Collection<VoterEndpoint> voting() {
+    public Collection<VoterEndpoint> committedVoters() {
         return consensus.voting();
     }
 
--- a/src/main/java/topazladder/replication/ClusterState.java
+++ b/src/main/java/topazladder/replication/ClusterState.java
@@ -7,15 +7,15 @@
 import topazladder.disruption.DisruptionStateMachine;
 import topazladder.lease.LeaseCommand;
 import topazladder.lease.LeaseStateMachine;
-import topazladder.release.Release;
-import topazladder.release.ReleaseLedger;
-import topazladder.release.ReleaseOp;
+import topazladder.release.Rollout;
+import topazladder.release.RolloutStateMachine;
+import topazladder.release.RolloutCommand;
 
 /**
  * The replicated state of all domains, as of the commands applied here: which member holds which lease, what is
  * disrupted, and how far a rollout has progressed.
  */
-public record ClusterState(LeaseStateMachine leases, DisruptionStateMachine disruptions, ReleaseLedger rollouts) {
+public record ClusterState(LeaseStateMachine leases, DisruptionStateMachine disruptions, RolloutStateMachine rollouts) {
 
     /** Creates an empty state. */
     public ClusterState() {
@@ -23,14 +23,14 @@
     }
 
     private ClusterState(LeaseStateMachine leases, DisruptionStateMachine disruptions) {
-        this(leases, disruptions, new ReleaseLedger(leases, disruptions));
+        this(leases, disruptions, new RolloutStateMachine(leases, disruptions));
     }
 
     /** The state machines of all domains, to be registered with a replica. */
     public StateMachineRegistry stateMachines() {
         return new StateMachineRegistry(List.of(
-                new ReplicatedStateMachine<>(ReleaseOp.class, Release.class, rollouts::apply, rollouts::release,
-                        rollouts::replace, null),
+                new ReplicatedStateMachine<>(RolloutCommand.class, Rollout.class, rollouts::apply, rollouts::rollout,
+                        rollouts::restore, null),
                 new ReplicatedStateMachine<>(DisruptionCommand.class, DisruptionStateMachine.Snapshot.class,
                         disruptions::apply, disruptions::snapshot, disruptions::restore,
                         new DisruptionStateMachine().snapshot()),
--- a/src/main/java/topazladder/replication/DisruptionReplication.java
+++ b/src/main/java/topazladder/replication/DisruptionReplication.java
@@ -17,7 +17,7 @@
 import topazladder.disruption.DisruptionTarget;
 import topazladder.disruption.LoadReport;
 import topazladder.lease.MemberIdentity;
-import topazladder.release.Release;
+import topazladder.release.Rollout;
 
 /**
  * Disruptions at the leader: proposes the commands that the {@link DisruptionController} decides on, and tells members
@@ -30,11 +30,11 @@
     /** Sends messages to members; any of them may be lost. */
     public interface Messages {
 
-        /** Tells a member that it may shut down under that token. The member asks for its {@link #go} first. */
-        void mayGo(String member, long token);
+        /** Tells a member that it may shut down under that token. The member asks for its {@link #shutDown} first. */
+        void grantShutdown(String member, long token);
 
         /** Tells a member to shut down now and to restart in that version; empty to keep its version. */
-        void go(String member, long token, String version);
+        void shutDown(String member, long token, String version);
     }
 
     private final ReplicatedLog log;
@@ -75,11 +75,11 @@
 
     /** Records a member's recent load, and the schema version that it reads. */
     public void loadReported(MemberIdentity from, int schema, LoadReport load, boolean steady) {
-        controller.loadReported(log.now(), instance(from.name()), from.incarnation(), schema, load, steady);
+        controller.loadReported(log.now(), instanceTarget(from.name()), from.incarnation(), schema, load, steady);
     }
 
     /** The instance of that name, with its zone if it has been observed. */
-    public DisruptionTarget instance(String name) {
+    public DisruptionTarget instanceTarget(String name) {
         DisruptionTarget withoutZone = new DisruptionTarget(DisruptionTarget.Kind.INSTANCE, name, "");
         return observations.keySet().stream().filter(withoutZone::equals).findFirst().orElse(withoutZone);
     }
@@ -89,23 +89,23 @@
         if (!log.isLeader()) {
             return;
         }
-        DisruptionTarget instance = instance(from.name());
+        DisruptionTarget instance = instanceTarget(from.name());
         propose(new DisruptionCommand.Leaving(instance, token, from.incarnation(), ""), outcome -> {
             if (outcome.isApplied()) {
-                Disruption disruption = state.disruptions().get(instance(from.name()));
-                messages.go(from.name(), token, disruption == null ? ""
+                Disruption disruption = state.disruptions().get(instanceTarget(from.name()));
+                messages.shutDown(from.name(), token, disruption == null ? ""
                         : state.rollouts().versionFor(from.name(), disruption.requestId()));
             }
         });
     }
 
     /** Records that a member shuts down without a grant, as something outside the cluster has told it to. */
-    public void leaving(MemberIdentity from, String requestedBy) {
-        Disruption disruption = state.disruptions().get(instance(from.name()));
+    public void shutdownReported(MemberIdentity from, String requestedBy) {
+        Disruption disruption = state.disruptions().get(instanceTarget(from.name()));
         boolean alreadyRecorded = disruption != null && disruption.phase() == Disruption.Phase.GONE
                 && disruption.incarnation() == from.incarnation();
         if (log.isLeader() && !alreadyRecorded) {
-            propose(new DisruptionCommand.Leaving(instance(from.name()), 0, from.incarnation(), requestedBy),
+            propose(new DisruptionCommand.Leaving(instanceTarget(from.name()), 0, from.incarnation(), requestedBy),
                     outcome -> {});
         }
     }
@@ -153,7 +153,7 @@
         for (Disruption disruption : state.disruptions().disruptions()) {
             boolean awaitsShutdown = disruption.phase() == Disruption.Phase.GRANTED || isLeavingButRunning(disruption);
             if (awaitsShutdown && disruption.target().kind() == DisruptionTarget.Kind.INSTANCE) {
-                messages.mayGo(disruption.target().name(), disruption.token());
+                messages.grantShutdown(disruption.target().name(), disruption.token());
             }
         }
     }
@@ -171,7 +171,7 @@
     }
 
     private boolean isRolloutHalted() {
-        Release release = state.rollouts().release();
-        return release != null && release.phase() == Release.Phase.HALTED;
+        Rollout release = state.rollouts().rollout();
+        return release != null && release.phase() == Rollout.Phase.HALTED;
     }
 }
--- a/src/main/java/topazladder/replication/EjectionReplication.java
+++ b/src/main/java/topazladder/replication/EjectionReplication.java
@@ -1,11 +1,11 @@
 package topazladder.replication;
 
-import topazladder.below.Verdicts;
+import topazladder.below.OutlierDetector;
 import topazladder.consensus.LeaderService;
 import topazladder.consensus.ReplicatedLog;
 
 /**
- * Ejection of dependency endpoints at the leader: proposes the commands that {@link Verdicts} decides on from the call
+ * Ejection of dependency endpoints at the leader: proposes the commands that {@link OutlierDetector} decides on from the call
  * outcomes that members report.
  */
 final class EjectionReplication implements LeaderService {
@@ -13,10 +13,10 @@
     private static final int EJECTION_SCHEMA = 3;
 
     private final ReplicatedLog log;
-    private final Verdicts outlierDetector;
+    private final OutlierDetector outlierDetector;
     private final VoterSchemas schemas;
 
-    EjectionReplication(ReplicatedLog log, Verdicts outlierDetector, VoterSchemas schemas) {
+    EjectionReplication(ReplicatedLog log, OutlierDetector outlierDetector, VoterSchemas schemas) {
         this.log = log;
         this.outlierDetector = outlierDetector;
         this.schemas = schemas;
@@ -24,18 +24,18 @@
 
     @Override
     public void becomeLeader(double now) {
-        outlierDetector.lead(now);
+        outlierDetector.becomeLeader(now);
     }
 
     @Override
     public void stepDown() {
-        outlierDetector.resign();
+        outlierDetector.stepDown();
     }
 
     @Override
     public void tick(double now) {
         if (schemas.majorityReads(EJECTION_SCHEMA)) {
-            outlierDetector.tick(now).forEach(command -> log.propose(command, outlierDetector::over));
+            outlierDetector.tick(now).forEach(command -> log.propose(command, outlierDetector::commandCompleted));
         }
     }
 }
--- a/src/main/java/topazladder/replication/RolloutReplication.java
+++ b/src/main/java/topazladder/replication/RolloutReplication.java
@@ -9,9 +9,9 @@
 import topazladder.consensus.ConsensusReplica;
 import topazladder.disruption.DisruptionController;
 import topazladder.disruption.DisruptionTarget;
-import topazladder.release.ReleaseLedger;
-import topazladder.release.ReleaseOp;
-import topazladder.release.View;
+import topazladder.release.RolloutStateMachine;
+import topazladder.release.RolloutCommand;
+import topazladder.release.RolloutStatus;
 
 /** Rollouts at the leader: the status for the rollout controller and operators, and the commands that they propose. */
 public final class RolloutReplication {
@@ -32,15 +32,15 @@
     }
 
     /** The status from which the rollout controller decides its next steps. */
-    public View view() {
+    public RolloutStatus status() {
         DisruptionController controller = disruptions.controller();
         Map<DisruptionTarget, String> blocked = controller.blockedReasons();
-        List<View.Sight> members = new ArrayList<>();
-        disruptions.observations().forEach((instance, observation) -> members.add(new View.Sight(instance.name(),
+        List<RolloutStatus.InstanceStatus> members = new ArrayList<>();
+        disruptions.observations().forEach((instance, observation) -> members.add(new RolloutStatus.InstanceStatus(instance.name(),
                 instance.zone(), observation.health(), observation.incarnation(), state.disruptions().get(instance),
                 blocked.get(instance),
                 controller.loadReport(instance, observation.incarnation()))));
-        return new View(state.rollouts().release(), List.copyOf(members), replica.here().name(),
+        return new RolloutStatus(state.rollouts().rollout(), List.copyOf(members), replica.localEndpoint().name(),
                 schemas.majorityReads(ADDITIONS_SCHEMA));
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Proposes the rollout controller's commands in order, and reports the status once all of them are committed. */
-    public void conduct(List<ReleaseOp> commands, Consumer<View> then) {
+    public void proposeAll(List<RolloutCommand> commands, Consumer<RolloutStatus> then) {
         CompletableFuture<?>[] outcomes = commands.stream().map(this::withLeaderKnowledge).filter(Objects::nonNull)
                 .map(replica::replicate).toArray(CompletableFuture[]::new);
         CompletableFuture.allOf(outcomes).whenComplete((done, failure) -> {
@@ -58,24 +58,24 @@
                 // The rollout controller repeats its commands, whichever voter leads by then.
                 replica.replicationFailed(failure);
             } else {
-                then.accept(view());
+                then.accept(status());
             }
         });
     }
 
     /** Adds what only the leader knows to a command; null if a majority of the voters could not read it. */
-    private ReleaseOp withLeaderKnowledge(ReleaseOp command) {
-        if (!(command instanceof ReleaseOp.AddPlace addition)) {
+    private RolloutCommand withLeaderKnowledge(RolloutCommand command) {
+        if (!(command instanceof RolloutCommand.AddTarget addition)) {
             return command;
         }
-        boolean votes = replica.voting().stream().anyMatch(voter -> voter.name().equals(addition.place()));
-        return schemas.majorityReads(ADDITIONS_SCHEMA) ? addition.withVotes(votes) : null;
+        boolean votes = replica.voting().stream().anyMatch(voter -> voter.name().equals(addition.instance()));
+        return schemas.majorityReads(ADDITIONS_SCHEMA) ? addition.withVoter(votes) : null;
     }
 
     /** Proposes an operator's command, and reports its outcome, or that the outcome is unknown. */
-    public void propose(ReleaseOp command, Consumer<ReleaseLedger.Outcome> then) {
-        replica.<ReleaseLedger.Outcome>replicate(command).whenComplete((outcome, failure) -> then.accept(
+    public void propose(RolloutCommand command, Consumer<RolloutStateMachine.Outcome> then) {
+        replica.<RolloutStateMachine.Outcome>replicate(command).whenComplete((outcome, failure) -> then.accept(
                 failure == null ? outcome
-                        : new ReleaseLedger.Outcome(0, ProposalFailures.indeterminate(failure))));
+                        : new RolloutStateMachine.Outcome(0, ProposalFailures.indeterminate(failure))));
     }
 }
--- a/src/main/java/topazladder/request/LearnedEstimate.java
+++ b/src/main/java/topazladder/request/LearnedEstimate.java
@@ -7,9 +7,9 @@
  * @param subject name of the request class that the estimate applies to, or empty
  * @param value the estimate, in the unit of its kind
  * @param weight number of samples behind the value, counting those that still contribute to it
- * @param age seconds since the last sample
+ * @param ageSeconds seconds since the last sample
  */
-public record LearnedEstimate(Kind kind, String subject, double value, double weight, double age) {
+public record LearnedEstimate(Kind kind, String subject, double value, double weight, double ageSeconds) {
 
     /** The measured quantity. */
     public enum Kind {
--- a/src/main/java/topazladder/rig/HallRig.java
+++ b/src/main/java/topazladder/rig/HallRig.java
@@ -19,8 +19,8 @@
 import topazladder.faults.Fault;
 import topazladder.faults.Links;
 import topazladder.faults.Schedule;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command.Kind;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command.Kind;
 import topazladder.net.hall.LinkTraffic;
 
 /**
@@ -368,14 +368,14 @@
 
     /** What a member says of itself and its cluster, or null where it does not answer. */
     public JsonObject status(int member) throws InterruptedException {
-        Saying.Told told = ask(member, Kind.STATUS, "", "");
+        ClusterMessage.CommandResponse told = ask(member, Kind.STATUS, "", "");
         return told.done() ? new JsonObject(told.text()) : null;
     }
 
     /** What the links between members have cost one, since its start; nothing where it does not answer. */
     public LinkTraffic.Totals traffic(int member) throws InterruptedException {
         JsonObject status = status(member);
-        return status == null ? LinkTraffic.Totals.NONE : LinkTraffic.Totals.of(status.getJsonObject("traffic"));
+        return status == null ? LinkTraffic.Totals.NONE : LinkTraffic.Totals.fromJson(status.getJsonObject("traffic"));
     }
 
     private static String leaderIn(JsonObject status) {
@@ -407,7 +407,7 @@
     }
 
     /** A command straight to one process, past all relays. */
-    public Saying.Told ask(int member, Kind kind, String duty, String text) throws InterruptedException {
+    public ClusterMessage.CommandResponse ask(int member, Kind kind, String duty, String text) throws InterruptedException {
         return processes.ask(member, kind, duty, text);
     }
 
--- a/src/main/java/topazladder/rig/HollowMembers.java
+++ b/src/main/java/topazladder/rig/HollowMembers.java
@@ -14,13 +14,13 @@
 import topazladder.config.ServiceSettings;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.disruption.ThroughputMeter;
-import topazladder.knowledge.Learning;
+import topazladder.knowledge.EstimateExchange;
 import topazladder.knowledge.Origin;
-import topazladder.membership.Standing;
-import topazladder.net.hall.HallNode;
+import topazladder.membership.MemberStatus;
+import topazladder.net.hall.ClusterNode;
 import topazladder.net.hall.LinkTraffic;
 import topazladder.net.peer.PeerServer;
-import topazladder.peering.Giving;
+import topazladder.peering.ShareLimiter;
 import topazladder.service.Counters;
 import topazladder.service.DependencyCircuitBreaker;
 import topazladder.service.InstanceLifecycle.Phase;
@@ -48,7 +48,7 @@
         private final Vertx vertx;
         private final ServiceSettings terms;
         private final ExtensionSettings own;
-        private HallNode node; // null while it is down
+        private ClusterNode node; // null while it is down
         private PeerServer server;
         private LinkTraffic.Totals before = LinkTraffic.Totals.NONE; // of its earlier lives
 
@@ -61,13 +61,13 @@
 
         private void start() {
             Counters counters = new Counters();
-            node = new HallNode(vertx, terms, own, () -> Phase.SERVING, counters, () -> List.of(key),
+            node = new ClusterNode(vertx, terms, own, () -> Phase.SERVING, counters, () -> List.of(key),
                     notice -> restart(Math.round(notice * 1000)), () -> new ThroughputMeter.Totals(0, 0, 0),
                     queue -> null,
                     () -> null, new DependencyCircuitBreaker(new SplittableRandom(1)));
-            server = new PeerServer(vertx, new Learning(new Origin(terms.name(), 1, CORES, 1, 0),
+            server = new PeerServer(vertx, new EstimateExchange(new Origin(terms.name(), 1, CORES, 1, 0),
                     () -> System.nanoTime() / 1e9, List.of()), List::of, () -> Phase.SERVING, counters,
-                    new Giving(1, 0.01), () -> List.of(key), node::take);
+                    new ShareLimiter(1, 0.01), () -> List.of(key), node::acceptConnection);
             server.listen(new Address("127.0.0.1", own.peering().listen().port()));
             node.open();
         }
@@ -75,7 +75,7 @@
         /** Ends, in order or without a word. */
         private void stop(boolean inOrder) {
             if (node != null) {
-                HallNode ended = node;
+                ClusterNode ended = node;
                 node = null;
                 if (inOrder) {
                     ended.startShutdown();
@@ -102,15 +102,15 @@
             if (node == null) {
                 return new HollowSample(0, 0, 0, 0, before, 0);
             }
-            long notAlive = node.member().membership().others().stream()
-                    .filter(s -> s.state() != Standing.State.ALIVE).count();
-            return new HollowSample(1, node.member().answeredAt() > since ? 1 : 0,
-                    node.member().membership().others().size(), notAlive, before.plus(node.traffic()), 0);
+            long notAlive = node.member().membership().otherMembers().stream()
+                    .filter(s -> s.state() != MemberStatus.State.ALIVE).count();
+            return new HollowSample(1, node.member().lastResponseAt() > since ? 1 : 0,
+                    node.member().membership().otherMembers().size(), notAlive, before.plus(node.traffic()), 0);
         }
 
         private boolean knowsToBeGone(String name) {
-            Standing s = node.member().membership().other(name);
-            return s == null || !s.there();
+            MemberStatus s = node.member().membership().member(name);
+            return s == null || !s.isPresent();
         }
     }
 
@@ -177,7 +177,7 @@
     long answeredSince(double seconds) throws Exception {
         long answered = 0;
         for (Hollow h : members) {
-            answered += OnLoop.get(h.vertx, () -> h.node != null && h.node.member().answeredAt() > seconds) ? 1 : 0;
+            answered += OnLoop.get(h.vertx, () -> h.node != null && h.node.member().lastResponseAt() > seconds) ? 1 : 0;
         }
         return answered;
     }
@@ -186,8 +186,8 @@
     List<String> unanswered(double seconds) throws Exception {
         List<String> all = new ArrayList<>();
         for (Hollow h : members) {
-            String told = OnLoop.get(h.vertx, () -> h.node == null || h.node.member().answeredAt() > seconds ? null
-                    : h.node.told());
+            String told = OnLoop.get(h.vertx, () -> h.node == null || h.node.member().lastResponseAt() > seconds ? null
+                    : h.node.describe());
             if (told != null) {
                 all.add(told);
             }
--- a/src/main/java/topazladder/rig/HollowSample.java
+++ b/src/main/java/topazladder/rig/HollowSample.java
@@ -24,12 +24,12 @@
 
     JsonObject json() {
         return new JsonObject().put("members", members).put("answered", answered).put("known", known)
-                .put("notAlive", notAlive).put("traffic", traffic.json()).put("heapBytes", heapBytes);
+                .put("notAlive", notAlive).put("traffic", traffic.toJson()).put("heapBytes", heapBytes);
     }
 
     static HollowSample of(JsonObject json) {
         return new HollowSample(json.getInteger("members"), json.getInteger("answered"), json.getLong("known"),
-                json.getLong("notAlive"), LinkTraffic.Totals.of(json.getJsonObject("traffic")),
+                json.getLong("notAlive"), LinkTraffic.Totals.fromJson(json.getJsonObject("traffic")),
                 json.getLong("heapBytes"));
     }
 }
--- a/src/main/java/topazladder/rig/RecoveryCheck.java
+++ b/src/main/java/topazladder/rig/RecoveryCheck.java
@@ -8,8 +8,8 @@
 import java.util.Locale;
 import java.util.function.DoubleSupplier;
 import java.util.function.IntToDoubleFunction;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command.Kind;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command.Kind;
 
 /**
  * Waits until a rig's cluster has come right again: each duty is done by somebody, and each voter votes. Starts what
@@ -74,7 +74,7 @@
     }
 
     private boolean votes(int voter) throws InterruptedException {
-        Saying.Told told = processes.ask(voter, Kind.STATUS, "", "");
+        ClusterMessage.CommandResponse told = processes.ask(voter, Kind.STATUS, "", "");
         return told.done() && "SEATED".equals(new JsonObject(told.text()).getJsonObject("group").getString("vote"));
     }
 
--- a/src/main/java/topazladder/rig/ReleasePlay.java
+++ b/src/main/java/topazladder/rig/ReleasePlay.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.DoubleSupplier;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command.Kind;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command.Kind;
 
 /** An operator who takes a rig's cluster from one version to another, and what was wrong with it in the end. */
 final class ReleasePlay {
@@ -45,7 +45,7 @@
         }
         String said = "";
         while (clock.getAsDouble() - begun < MOST_START) {
-            Saying.Told told = processes.ask(asked, Kind.RELEASE_START, "", text);
+            ClusterMessage.CommandResponse told = processes.ask(asked, Kind.RELEASE_START, "", text);
             said = told.text();
             if (told.done() || said.contains("under way")) {
                 break;
@@ -65,7 +65,7 @@
     List<String> finish() throws Exception {
         JsonObject status = new JsonObject();
         while (clock.getAsDouble() - begun < MOST_RELEASE) {
-            Saying.Told told = processes.ask(0, Kind.RELEASE_STATUS, "", "");
+            ClusterMessage.CommandResponse told = processes.ask(0, Kind.RELEASE_STATUS, "", "");
             status = told.done() ? new JsonObject(told.text()) : status;
             if ("DONE".equals(status.getString("phase"))) {
                 break;
--- a/src/main/java/topazladder/rig/RigProcesses.java
+++ b/src/main/java/topazladder/rig/RigProcesses.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.TimeUnit;
 import topazladder.config.ExtensionSettingsFile;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command.Kind;
-import topazladder.net.hall.FleetClient;
-import topazladder.net.hall.Founding;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command.Kind;
+import topazladder.net.hall.OperatorClient;
+import topazladder.net.hall.VoterStoreCreator;
 
 /**
  * The processes of one rig: starts, signals, ends, and operators' commands to them. Called by the thread that plays a
@@ -98,7 +98,7 @@
     }
 
     void found(int i, long formed) {
-        Founding.found(RigSettings.name(i), ExtensionSettingsFile.of(settings.of(i, version(i)), folder).cluster(),
+        VoterStoreCreator.create(RigSettings.name(i), ExtensionSettingsFile.of(settings.of(i, version(i)), folder).cluster(),
                 formed);
     }
 
@@ -182,10 +182,10 @@
     }
 
     /** A command straight to one process, past all relays. */
-    Saying.Told ask(int member, Kind kind, String duty, String text) throws InterruptedException {
+    ClusterMessage.CommandResponse ask(int member, Kind kind, String duty, String text) throws InterruptedException {
         try {
-            return FleetClient.ask(new Address("127.0.0.1", ports.members(member)),
-                    Files.readAllBytes(folder.resolve("key")), new Saying.Command(kind, duty, text));
+            return OperatorClient.send(new Address("127.0.0.1", ports.members(member)),
+                    Files.readAllBytes(folder.resolve("key")), new ClusterMessage.Command(kind, duty, text));
         } catch (IOException e) {
             throw new IllegalStateException(e);
         }
--- a/src/main/java/topazladder/rig/ScaleCluster.java
+++ b/src/main/java/topazladder/rig/ScaleCluster.java
@@ -117,7 +117,7 @@
                 throw new IOException("n" + i + " does not tell its status");
             }
             JsonObject group = status.getJsonObject("group", new JsonObject());
-            processes.add(new ProcessReading(LinkTraffic.Totals.of(status.getJsonObject("traffic")), rig.usage(i),
+            processes.add(new ProcessReading(LinkTraffic.Totals.fromJson(status.getJsonObject("traffic")), rig.usage(i),
                     status.getJsonArray("members").size() - 1, group.getLong("committed", 0L),
                     group.getBoolean("leading", false)));
         }
--- a/src/test/java/topazladder/HallServiceTest.java
+++ b/src/test/java/topazladder/HallServiceTest.java
@@ -26,9 +26,9 @@
 import topazladder.config.ExtensionSettingsFile;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command;
-import topazladder.hall.Saying.Command.Kind;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command;
+import topazladder.hall.ClusterMessage.Command.Kind;
 import topazladder.hall.proto.Greeting;
 import topazladder.hall.proto.HallMessage;
 import topazladder.hall.proto.Nothing;
@@ -37,8 +37,8 @@
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerFrames.Seal;
 import topazladder.net.codec.PeerFrames.Type;
-import topazladder.net.hall.FleetClient;
-import topazladder.net.hall.Founding;
+import topazladder.net.hall.OperatorClient;
+import topazladder.net.hall.VoterStoreCreator;
 
 /**
  * A service instance that is its hall's one voter: its duty, the link between members, and what comes there that
@@ -72,7 +72,7 @@
         ExtensionSettings own = settings("voters: \"n1\" folder: \"voter\" heartbeat: 0.1"
                 + " duties { name: \"price-clock\" lease: 1"
                 + " touch { address: \"127.0.0.1:" + touched.getLocalPort() + "\" every: 0.02 } }");
-        Founding.found("n1", own.cluster(), 0);
+        VoterStoreCreator.create("n1", own.cluster(), 0);
         runtime = new StandInLineServer();
         service = ServiceInstanceFixture.start(
                 ServiceInstanceFixture.oneClassSettings(LoopbackPorts.free(), runtime, 2000), own, runtime, exit);
@@ -95,8 +95,8 @@
         return Long.parseLong(w[2]);
     }
 
-    private Saying.Told ask(byte[] key, Kind kind, String duty, String text) throws InterruptedException {
-        return FleetClient.ask(new Address("127.0.0.1", port), key, new Command(kind, duty, text));
+    private ClusterMessage.CommandResponse ask(byte[] key, Kind kind, String duty, String text) throws InterruptedException {
+        return OperatorClient.send(new Address("127.0.0.1", port), key, new Command(kind, duty, text));
     }
 
     @Test
@@ -124,7 +124,7 @@
 
     @Test
     void whoeverHasAnotherKeyIsNotAnsweredAndChangesNothing() throws Exception {
-        Saying.Told told = ask("another key of enough bytes".getBytes(StandardCharsets.US_ASCII), Kind.HALT,
+        ClusterMessage.CommandResponse told = ask("another key of enough bytes".getBytes(StandardCharsets.US_ASCII), Kind.HALT,
                 "price-clock", "");
         assertThat(told.done()).isFalse();
         assertThat(told.text()).contains("no answer");
@@ -174,7 +174,7 @@
 
         /** Asks for the status on this link and waits for the first frame that comes back. */
         void isHeard(int number) throws IOException {
-            say(seal.frame(Type.SAY, number, HallMessages.bytes(new Saying.Order(9,
+            say(seal.frame(Type.SAY, number, HallMessages.bytes(new ClusterMessage.CommandRequest(9,
                     new Command(Kind.STATUS, "", "")))));
             byte[] frame = new byte[in.readInt()];
             in.readFully(frame);
@@ -188,7 +188,7 @@
     }
 
     private static byte[] nudge() {
-        return HallMessages.bytes(new Saying.Nudge());
+        return HallMessages.bytes(new ClusterMessage.WakeUp());
     }
 
     @Test
@@ -208,7 +208,7 @@
     void aRecordedConnectionIsWorthNothingOnAnother() throws Exception {
         byte[] recorded;
         try (Link link = new Link().greeted()) {
-            link.say(link.seal.frame(Type.SAY, 1, HallMessages.bytes(new Saying.Order(1,
+            link.say(link.seal.frame(Type.SAY, 1, HallMessages.bytes(new ClusterMessage.CommandRequest(1,
                     new Command(Kind.STATUS, "", "")))));
             recorded = link.sent.toByteArray();
         }
@@ -238,10 +238,10 @@
     @Test
     void aFolderThatIsFoundedIsNotFoundedAgainButFormedAnew() throws Exception {
         ExtensionSettings own = settings("voters: \"n1\" folder: \"other\"");
-        Founding.found("n1", own.cluster(), 0);
-        assertThatThrownBy(() -> Founding.found("n1", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class)
+        VoterStoreCreator.create("n1", own.cluster(), 0);
+        assertThatThrownBy(() -> VoterStoreCreator.create("n1", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class)
                 .hasMessageContaining("--formed 1");
-        assertThat(Founding.found("n1", own.cluster(), 1)).contains("formed=1");
-        assertThatThrownBy(() -> Founding.found("n9", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class);
+        assertThat(VoterStoreCreator.create("n1", own.cluster(), 1)).contains("formed=1");
+        assertThatThrownBy(() -> VoterStoreCreator.create("n9", own.cluster(), 0)).isInstanceOf(InvalidSettingsException.class);
     }
 }
--- a/src/test/java/topazladder/RolloutPlanFileTest.java
+++ b/src/test/java/topazladder/RolloutPlanFileTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import topazladder.config.InvalidSettingsException;
 import topazladder.config.RolloutPlanFile;
-import topazladder.release.Plan;
+import topazladder.release.RolloutPlan;
 
 class RolloutPlanFileTest {
     private static final String WAVES = " waves { most: 1 }";
@@ -21,10 +21,10 @@
 
     @Test
     void theExampleIsAPlan() throws IOException {
-        Plan p = RolloutPlanFile.of(Files.readString(Path.of("deploy/release.example.txtpb")));
+        RolloutPlan p = RolloutPlanFile.of(Files.readString(Path.of("deploy/release.example.txtpb")));
         assertThat(p.waves()).hasSize(3);
-        assertThat(p.target(false)).isEqualTo("2026.12");
-        assertThat(p.target(true)).isEqualTo("2026.11");
+        assertThat(p.targetVersion(false)).isEqualTo("2026.12");
+        assertThat(p.targetVersion(true)).isEqualTo("2026.11");
     }
 
     @Test
--- a/src/test/java/topazladder/admission/RandomTraffic.java
+++ b/src/test/java/topazladder/admission/RandomTraffic.java
@@ -141,7 +141,7 @@
     private void exchangeEstimates() {
         for (LearnedEstimate estimate : controller.learnedEstimates(now)) {
             write("estimate " + estimate.kind().ordinal() + " " + estimate.subject() + " " + estimate.value() + " "
-                    + estimate.weight() + " " + estimate.age());
+                    + estimate.weight() + " " + estimate.ageSeconds());
         }
         record(controller.learn(now, List.of(
                 new LearnedEstimate(Kind.RUN_TIME, "read", random.nextDouble(), random.nextInt(20), 1),
--- a/src/test/java/topazladder/below/VerdictsTest.java
+++ b/src/test/java/topazladder/below/OutlierDetectorTest.java
@@ -15,10 +15,10 @@
 import topazladder.disruption.DisruptionTarget;
 
 /** Outlier detection at the leader, with a state machine and a disruption controller that applies its commands. */
-class VerdictsTest {
+class OutlierDetectorTest {
     private static final List<String> SERVERS = List.of("a", "b", "c", "d");
     private final DisruptionStateMachine stateMachine = new DisruptionStateMachine();
-    private final Verdicts verdicts = new Verdicts(stateMachine);
+    private final OutlierDetector verdicts = new OutlierDetector(stateMachine);
     private final DisruptionController controller = new DisruptionController(stateMachine, 1);
     private double now = 10;
 
@@ -26,24 +26,24 @@
     void setUp() {
         stateMachine.apply(new DisruptionCommand.SetBudgets(
                 List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", 1, 1))));
-        verdicts.lead(now);
+        verdicts.becomeLeader(now);
         controller.becomeLeader(now, 0);
-        now += Verdicts.AFTERMATH_SECONDS;
+        now += OutlierDetector.AFTERMATH_SECONDS;
     }
 
     /** Lets time pass while each instance reports the given endpoints as unhealthy and all others as healthy. */
     private void pass(double seconds, List<Set<String>> illByInstance) {
         for (double end = now + seconds; now < end; now += 0.25) {
             for (int i = 0; i < illByInstance.size(); i++) {
-                List<Report> reports = new ArrayList<>();
+                List<EndpointReport> reports = new ArrayList<>();
                 for (String s : SERVERS) {
-                    reports.add(new Report(s, illByInstance.get(i).contains(s) ? Look.ILL : Look.WELL, 10, 0));
+                    reports.add(new EndpointReport(s, illByInstance.get(i).contains(s) ? EndpointHealth.ILL : EndpointHealth.WELL, 10, 0));
                 }
-                verdicts.says(now, "n" + i, reports);
+                verdicts.handleReports(now, "n" + i, reports);
             }
             verdicts.tick(now).forEach(command -> {
                 stateMachine.apply(command);
-                verdicts.over(command);
+                verdicts.commandCompleted(command);
             });
             controller.tick(now).forEach(command -> {
                 stateMachine.apply(command);
@@ -64,15 +64,15 @@
     void endpointThatMostFindUnhealthyIsEjectedAndReturnsOnceItIsHealthy() {
         pass(2, foundByAll(Set.of("a")));
         assertThat(disruption("a").phase()).isEqualTo(Disruption.Phase.GRANTED);
-        assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
-            assertThat(w.kind()).isEqualTo(Word.Kind.OUT);
+        assertThat(verdicts.directives(now, "n0")).singleElement().satisfies(w -> {
+            assertThat(w.kind()).isEqualTo(EjectionDirective.Kind.OUT);
             assertThat(w.token()).isPositive();
         });
         pass(3, foundByAll(Set.of()));
         assertThat(disruption("a").phase()).as("tried after its first backoff").isEqualTo(Disruption.Phase.RETURNING);
         pass(SlowStart.durationSeconds() + 1, foundByAll(Set.of()));
         assertThat(disruption("a")).isNull();
-        assertThat(verdicts.words(now, "n0")).isEmpty();
+        assertThat(verdicts.directives(now, "n0")).isEmpty();
     }
 
     @Test
@@ -97,8 +97,8 @@
     void singleObserverMayEjectOnlyForItself() {
         pass(3, List.of(Set.of("a"), Set.of(), Set.of(), Set.of(), Set.of()));
         assertThat(disruption("a")).isNull();
-        assertThat(verdicts.words(now, "n0")).containsExactly(new Word("a", Word.Kind.AVOID, 0, 0));
-        assertThat(verdicts.words(now, "n1")).isEmpty();
+        assertThat(verdicts.directives(now, "n0")).containsExactly(new EjectionDirective("a", EjectionDirective.Kind.MAY_EJECT, 0, 0));
+        assertThat(verdicts.directives(now, "n1")).isEmpty();
     }
 
     @Test
@@ -108,7 +108,7 @@
         // Five permissions count as a fifth of an endpoint each, which uses up the budget of one.
         long permissions = 0;
         for (int i = 0; i < 5; i++) {
-            permissions += verdicts.words(now, "n" + i).size();
+            permissions += verdicts.directives(now, "n" + i).size();
         }
         assertThat(permissions).isEqualTo(5);
     }
@@ -120,7 +120,7 @@
                 Disruption.Reason.OPERATOR, "operator", "me"));
         pass(2, List.of(Set.of("a"), Set.of("b"), Set.of(), Set.of(), Set.of()));
         assertThat(disruption("d").phase()).isEqualTo(Disruption.Phase.GRANTED);
-        assertThat(verdicts.words(now, "n0")).extracting(Word::kind).containsExactly(Word.Kind.OUT);
+        assertThat(verdicts.directives(now, "n0")).extracting(EjectionDirective::kind).containsExactly(EjectionDirective.Kind.OUT);
     }
 
     @Test
@@ -174,9 +174,9 @@
         now += 1;
         stateMachine.apply(new DisruptionCommand.Rejoin(
                 new DisruptionTarget(DisruptionTarget.Kind.DEPENDENCY, "a", "")));
-        assertThat(verdicts.words(now, "n0")).singleElement().satisfies(w -> {
-            assertThat(w.kind()).isEqualTo(Word.Kind.RETURNING);
-            assertThat(w.age()).isZero();
+        assertThat(verdicts.directives(now, "n0")).singleElement().satisfies(w -> {
+            assertThat(w.kind()).isEqualTo(EjectionDirective.Kind.RETURNING);
+            assertThat(w.ageSeconds()).isZero();
         });
     }
 
@@ -200,11 +200,11 @@
 
     @Test
     void reportsExpire() {
-        List<Report> reports = List.of(new Report("a", Look.ILL, 9, 9), new Report("b", Look.WELL, 9, 0));
-        verdicts.says(now, "n0", reports);
-        verdicts.says(now, "n1", reports);
-        now += Verdicts.REPORT_VALIDITY_SECONDS + 1;
+        List<EndpointReport> reports = List.of(new EndpointReport("a", EndpointHealth.ILL, 9, 9), new EndpointReport("b", EndpointHealth.WELL, 9, 0));
+        verdicts.handleReports(now, "n0", reports);
+        verdicts.handleReports(now, "n1", reports);
+        now += OutlierDetector.REPORT_VALIDITY_SECONDS + 1;
         assertThat(verdicts.tick(now)).isEmpty();
-        assertThat(verdicts.watches("n0")).isFalse();
+        assertThat(verdicts.hasReported("n0")).isFalse();
     }
 }
--- a/src/test/java/topazladder/below/SlowStartFleetTest.java
+++ b/src/test/java/topazladder/below/SlowStartFleetTest.java
@@ -28,7 +28,7 @@
 
     private final Deque<double[]> inFlight = new ArrayDeque<>(); // sender, endpoint, time of the answer
     private final List<Double> arrivals = new ArrayList<>(); // times of the calls to the first endpoint
-    private Use[] senders;
+    private EndpointSelector[] senders;
     private double[] rates;
     private RandomGenerator random;
     private double now;
@@ -46,16 +46,16 @@
     @CsvSource({"2,3", "20,3", "30,3", "30,4"})
     void halfOfTheSendersLearnOfTheReturnLateAndOneNever(int processes, long seed) {
         start(processes, seed);
-        for (Use sender : senders) {
-            sender.told(now, 1, List.of(new Word("a", Word.Kind.OUT, 1, 0)));
+        for (EndpointSelector sender : senders) {
+            sender.applyDirectives(now, 1, List.of(new EjectionDirective("a", EjectionDirective.Kind.OUT, 1, 0)));
         }
         double returnedAt = now;
         for (int second = 0; second < 10; second++) {
             for (int i = 0; i < processes - 1; i++) { // the last one is told nothing more
                 if (i % 2 == 0 || second >= 3) {
-                    senders[i].told(now, 1, List.of(new Word("a", Word.Kind.RETURNING, 1, now - returnedAt)));
+                    senders[i].applyDirectives(now, 1, List.of(new EjectionDirective("a", EjectionDirective.Kind.RETURNING, 1, now - returnedAt)));
                 } else {
-                    senders[i].told(now, 1, List.of(new Word("a", Word.Kind.OUT, 1, 0)));
+                    senders[i].applyDirectives(now, 1, List.of(new EjectionDirective("a", EjectionDirective.Kind.OUT, 1, 0)));
                 }
             }
             play(1);
@@ -76,7 +76,7 @@
         }
         play(1);
         for (int i = 0; i < late; i++) {
-            senders[i].told(now, 1, List.of(new Word("a", Word.Kind.RETURNING, 1, now - returnedAt)));
+            senders[i].applyDirectives(now, 1, List.of(new EjectionDirective("a", EjectionDirective.Kind.RETURNING, 1, now - returnedAt)));
         }
         play(7);
         assertLoadWithinCapacitySince(returnedAt);
@@ -97,7 +97,7 @@
     private void start(int processes, long seed) {
         System.out.println("seed " + seed);
         random = new SplittableRandom(seed);
-        senders = new Use[processes];
+        senders = new EndpointSelector[processes];
         rates = new double[processes];
         double sum = 0;
         for (int i = 0; i < processes; i++) {
@@ -110,14 +110,14 @@
         }
     }
 
-    private static Use use(long seed) {
-        return new Use(new Use.Terms(SERVERS, 0.25), new SplittableRandom(seed));
+    private static EndpointSelector use(long seed) {
+        return new EndpointSelector(new EndpointSelector.Settings(SERVERS, 0.25), new SplittableRandom(seed));
     }
 
     private void ejectAndReturn(long term, long token, double age) {
-        for (Use sender : senders) {
-            sender.told(now, term, List.of(new Word("a", Word.Kind.OUT, token, 0)));
-            sender.told(now, term, List.of(new Word("a", Word.Kind.RETURNING, token, age)));
+        for (EndpointSelector sender : senders) {
+            sender.applyDirectives(now, term, List.of(new EjectionDirective("a", EjectionDirective.Kind.OUT, token, 0)));
+            sender.applyDirectives(now, term, List.of(new EjectionDirective("a", EjectionDirective.Kind.RETURNING, token, age)));
         }
     }
 
@@ -126,7 +126,7 @@
             now += TIME_STEP;
             while (!inFlight.isEmpty() && inFlight.peek()[2] <= now) {
                 double[] call = inFlight.poll();
-                senders[(int) call[0]].ended(now, (int) call[1], How.ANSWERED);
+                senders[(int) call[0]].callEnded(now, (int) call[1], CallOutcome.ANSWERED);
             }
             for (int i = 0; i < senders.length; i++) {
                 for (double left = rates[i] * TIME_STEP; random.nextDouble() < left; left--) {
--- a/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/BelowWorldTest.java
@@ -5,7 +5,7 @@
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import topazladder.below.Use;
+import topazladder.below.EndpointSelector;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionTarget;
 import topazladder.emulator.hall.Servers.Kind;
@@ -22,13 +22,13 @@
 
     private static HallWorld world(Servers servers, Fault... faults) {
         Schedule s = new Schedule(1, MEMBERS, 3, Collections.nCopies(MEMBERS, 1.0), List.of(faults), 0);
-        return new HallWorld(s, new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
+        return new HallWorld(s, new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("below", DisruptionTarget.Kind.DEPENDENCY, "", 1, 1))).calling(servers),
                 Plant.NONE).open();
     }
 
     private static Servers servers(Trouble... troubles) {
-        return new Servers(SERVERS, 1, 0.25, List.of(troubles), Use::new);
+        return new Servers(SERVERS, 1, 0.25, List.of(troubles), EndpointSelector::new);
     }
 
     private static void good(HallWorld world, Servers servers, double until) {
@@ -85,8 +85,8 @@
                 new Fault(14, Fault.Kind.KILL, 1, -1, 35, 0), new Fault(14, Fault.Kind.KILL, 2, -1, 35, 0));
         world.time().runUntil(45);
         for (int i : new int[] {3, 4}) {
-            assertThat(world.node(i).use().state("s3")).isIn(Use.State.OWN_OUT, Use.State.OWN_RETURNING);
-            assertThat(world.node(i).use().state("s1")).isEqualTo(Use.State.IN_USE);
+            assertThat(world.node(i).use().state("s3")).isIn(EndpointSelector.State.OWN_OUT, EndpointSelector.State.OWN_RETURNING);
+            assertThat(world.node(i).use().state("s1")).isEqualTo(EndpointSelector.State.IN_USE);
         }
         good(world, servers, 160);
     }
--- a/src/test/java/topazladder/emulator/hall/HallWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/HallWorldTest.java
@@ -10,7 +10,7 @@
 import topazladder.faults.Fault;
 import topazladder.faults.Fault.Kind;
 import topazladder.faults.Schedule;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 import topazladder.lease.LeaseCommand;
 import topazladder.membership.Membership;
 import topazladder.net.codec.HallMessages;
@@ -29,7 +29,7 @@
     }
 
     private static HallWorld.Setup setup(Schedule s) {
-        return new HallWorld.Setup(s.processes(), s.voters(), 3, 2, 0.2, new Membership.Terms(0.5, 3, 3600));
+        return new HallWorld.Setup(s.processes(), s.voters(), 3, 2, 0.2, new Membership.Settings(0.5, 3, 3600));
     }
 
     private static HallWorld.Outcome play(Schedule s) {
@@ -107,8 +107,8 @@
         HallWorld world = new HallWorld(s, setup(s), Plant.NONE).open();
         world.time().runUntil(s.length());
         assertThat(world.outcome().good()).isTrue();
-        assertThat(world.node(1).voter().replica().voting()).hasSize(3)
-                .anyMatch(e -> e.name().equals("n0") && e.birth() != 0);
+        assertThat(world.node(1).voter().replica().committedVoters()).hasSize(3)
+                .anyMatch(e -> e.name().equals("n0") && e.folderId() != 0);
     }
 
     @Test
@@ -160,7 +160,7 @@
         world.changeVoters(0, 3, 4);
         world.time().runUntil(38);
         for (int i : new int[] {0, 3, 4}) {
-            assertThat(world.node(i).voter().replica().voting()).extracting(e -> e.name())
+            assertThat(world.node(i).voter().replica().committedVoters()).extracting(e -> e.name())
                     .containsExactlyInAnyOrder("n0", "n3", "n4");
         }
         // One of the first voters is gone for good: the others go on.
@@ -190,7 +190,7 @@
 
     private static int holderOf(HallWorld world) {
         for (int i = 0; i < 5; i++) {
-            if (world.node(i).member().token("duty-0").isPresent()) {
+            if (world.node(i).member().fencingToken("duty-0").isPresent()) {
                 return i;
             }
         }
@@ -199,13 +199,13 @@
 
     private static void propose(HallWorld world, LeaseCommand op) {
         for (int i = 0; i < 3; i++) {
-            if (world.node(i).voter().replica().leading()) {
+            if (world.node(i).voter().replica().isLeader()) {
                 world.node(i).voter().propose(op, o -> assertThat(o.isApplied()).as(o.rejection()).isTrue());
             }
         }
     }
 
-    private static Saying thereAndBack(Saying what) {
+    private static ClusterMessage thereAndBack(ClusterMessage what) {
         try {
             return HallMessages.saying(HallMessages.bytes(what));
         } catch (MalformedMessageException e) {
--- a/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
+++ b/src/test/java/topazladder/emulator/hall/OutsWorldTest.java
@@ -21,7 +21,7 @@
     }
 
     private static Played play(Schedule s, int budget, Plant plant) {
-        HallWorld.Setup setup = new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
+        HallWorld.Setup setup = new HallWorld.Setup(MEMBERS, 3, 1, 2, 0.2, new Membership.Settings(0.3, 3, 3600),
                 List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", budget, 1)));
         HallWorld world = new HallWorld(s, setup, plant).open();
         // Each is asked to go out once and again, so that some asks fall into any trouble.
@@ -58,7 +58,7 @@
     void oneWhoseWordWasWrittenDownByALeaderThatDiedThenGoesUnderTheNextOne() {
         for (int steps = 0; steps < 40; steps++) {
             HallWorld world = new HallWorld(new Schedule(1, 5, 3, List.of(1.0, 1.0, 1.0, 1.0, 1.0), List.of(), 0),
-                    new HallWorld.Setup(5, 3, 1, 2, 0.2, new Membership.Terms(0.3, 3, 3600),
+                    new HallWorld.Setup(5, 3, 1, 2, 0.2, new Membership.Settings(0.3, 3, 3600),
                             List.of(new DisruptionBudget("hall", Kind.INSTANCE, "", 1, 1))),
                     Plant.NONE).open();
             world.time().runUntil(10);
--- a/src/test/java/topazladder/hall/MemberNodeTest.java
+++ b/src/test/java/topazladder/hall/ClusterMemberTest.java
@@ -10,40 +10,40 @@
 import topazladder.lease.MemberIdentity;
 import topazladder.membership.Gossip;
 import topazladder.membership.Membership;
-import topazladder.membership.Standing;
+import topazladder.membership.MemberStatus;
 
 /** One member with a manual clock, whose messages are recorded. */
-class MemberNodeTest {
-    private record Sent(String to, String address, Saying message) {
+class ClusterMemberTest {
+    private record Sent(String to, String address, ClusterMessage message) {
     }
 
     private final List<Sent> sent = new ArrayList<>();
     private final List<Runnable> timers = new ArrayList<>();
     private double now = 1;
-    private final MemberNode member = new MemberNode(new HallTerms("c1", "127.0.0.1:9", "", List.of("127.0.0.1:1"),
-            List.of("n0", "n1", "n2"), 0.15, List.of(), false, new Membership.Terms(2, 3, 3600), List.of(), 3),
+    private final ClusterMember member = new ClusterMember(new MemberSettings("c1", "127.0.0.1:9", "", List.of("127.0.0.1:1"),
+            List.of("n0", "n1", "n2"), 0.15, List.of(), false, new Membership.Settings(2, 3, 3600), List.of(), 3),
             new LeaseHolder(new MemberIdentity("c1", 7)), (delaySeconds, task) -> timers.add(task), () -> now,
             new SplittableRandom(1),
-            new MemberNode.World() {
+            new ClusterMember.Environment() {
                 @Override
-                public void say(String to, String address, Saying message) {
+                public void sendMessage(String to, String address, ClusterMessage message) {
                     sent.add(new Sent(to, address, message));
                 }
 
                 @Override
-                public void start(String leaseName, long token) {
+                public void startTask(String leaseName, long token) {
                     throw new AssertionError("the member holds no lease, but starts " + leaseName);
                 }
 
                 @Override
-                public void stop(String leaseName, long token, double withinSeconds) {
+                public void stopTask(String leaseName, long token, double withinSeconds) {
                     throw new AssertionError("the member holds no lease, but stops " + leaseName);
                 }
             });
 
     private void learnOf(String name, String address) {
-        member.heard(name, new Saying.Membership(new Gossip.Ping(1, List.of(new Standing(name, address, "", 1, 0,
-                Standing.State.ALIVE, true, "")))));
+        member.handle(name, new ClusterMessage.MembershipGossip(new Gossip.Ping(1, List.of(new MemberStatus(name, address, "", 1, 0,
+                MemberStatus.State.ALIVE, true, "")))));
     }
 
     private void advance(double seconds) {
@@ -62,12 +62,12 @@
     void pollsALeaderUnknownToGossipAtTheAddressInTheHint() {
         member.open();
         learnOf("n1", "127.0.0.1:1");
-        member.well(true);
+        member.setHealthy(true);
         advance(5);
         sent.clear();
-        member.heard("n1", new Saying.LeaderIs("n0", "127.0.0.1:4"));
+        member.handle("n1", new ClusterMessage.LeaderHint("n0", "127.0.0.1:4"));
         advance(1);
-        assertThat(sent).filteredOn(s -> s.message() instanceof Saying.Asking).isNotEmpty()
+        assertThat(sent).filteredOn(s -> s.message() instanceof ClusterMessage.LeasePoll).isNotEmpty()
                 .allMatch(s -> s.to().equals("n0") && "127.0.0.1:4".equals(s.address()));
     }
 
@@ -80,19 +80,19 @@
     void pollsASeedWhereNoVotersAddressIsKnown() {
         member.open();
         learnOf("c2", "127.0.0.1:22");
-        member.well(true);
+        member.setHealthy(true);
         sent.clear();
         advance(5);
-        assertThat(sent).filteredOn(s -> s.message() instanceof Saying.Asking).isNotEmpty()
+        assertThat(sent).filteredOn(s -> s.message() instanceof ClusterMessage.LeasePoll).isNotEmpty()
                 .allMatch(s -> s.to().isEmpty() && "127.0.0.1:1".equals(s.address()));
         // The seed does not vote, and answers with a hint.
         sent.clear();
-        member.heard("c3", new Saying.LeaderIs("n0", "127.0.0.1:4"));
+        member.handle("c3", new ClusterMessage.LeaderHint("n0", "127.0.0.1:4"));
         advance(3);
-        assertThat(sent).filteredOn(s -> s.message() instanceof Saying.Asking).extracting(Sent::address)
+        assertThat(sent).filteredOn(s -> s.message() instanceof ClusterMessage.LeasePoll).extracting(Sent::address)
                 .contains("127.0.0.1:4");
-        member.heard("n0", new Saying.Nudge());
-        assertThat(member.elsewhere()).isEqualTo(new Saying.LeaderIs("n0", "127.0.0.1:4"));
+        member.handle("n0", new ClusterMessage.WakeUp());
+        assertThat(member.leaderHint()).isEqualTo(new ClusterMessage.LeaderHint("n0", "127.0.0.1:4"));
     }
 
     @Test
@@ -101,23 +101,23 @@
         for (int i = 0; i < 3; i++) {
             learnOf("n" + i, "127.0.0.1:" + i);
         }
-        member.well(true);
+        member.setHealthy(true);
         advance(3);
         sent.clear();
         // Every hint names n9, which does not answer.
         for (int i = 0; i < 20; i++) {
-            member.heard("n0", new Saying.LeaderIs("n9", "127.0.0.1:99"));
+            member.handle("n0", new ClusterMessage.LeaderHint("n9", "127.0.0.1:99"));
             advance(2);
         }
-        assertThat(sent.stream().filter(s -> s.message() instanceof Saying.Asking).map(Sent::to).distinct())
+        assertThat(sent.stream().filter(s -> s.message() instanceof ClusterMessage.LeasePoll).map(Sent::to).distinct())
                 .contains("n0", "n1", "n2", "n9");
     }
 
     @Test
     void addsTheLeadersAddressToAHintWhereItIsKnown() {
         learnOf("n2", "127.0.0.1:22");
-        assertThat(member.located(new Saying.LeaderIs("n2"))).isEqualTo(new Saying.LeaderIs("n2", "127.0.0.1:22"));
-        assertThat(member.located(new Saying.LeaderIs("n0"))).isEqualTo(new Saying.LeaderIs("n0"));
-        assertThat(member.located(new Saying.Nudge())).isEqualTo(new Saying.Nudge());
+        assertThat(member.withLeaderAddress(new ClusterMessage.LeaderHint("n2"))).isEqualTo(new ClusterMessage.LeaderHint("n2", "127.0.0.1:22"));
+        assertThat(member.withLeaderAddress(new ClusterMessage.LeaderHint("n0"))).isEqualTo(new ClusterMessage.LeaderHint("n0"));
+        assertThat(member.withLeaderAddress(new ClusterMessage.WakeUp())).isEqualTo(new ClusterMessage.WakeUp());
     }
 }
--- a/src/test/java/topazladder/lease/LeaseTest.java
+++ b/src/test/java/topazladder/lease/LeaseClockDriftTest.java
@@ -13,7 +13,7 @@
  * expire while its holder still takes it for valid. One leader and one holder run with clocks of different rates, and
  * messages between them are delayed, duplicated or lost.
  */
-class LeaseTest {
+class LeaseClockDriftTest {
     private static final LeaseSettings PROBE = new LeaseSettings("probe", 2, 3);
     private static final MemberIdentity MEMBER = new MemberIdentity("n1", 7);
     private static final double STEP_SECONDS = 0.005;
--- a/src/test/java/topazladder/membership/MembershipTest.java
+++ b/src/test/java/topazladder/membership/MembershipTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 import topazladder.emulator.Timeline;
-import topazladder.membership.Standing.State;
+import topazladder.membership.MemberStatus.State;
 
 /** Failure detection under message loss, process pauses, network partitions and restarts, in virtual time. */
 class MembershipTest {
@@ -41,21 +41,21 @@
             random = new SplittableRandom(seed);
         }
 
-        static Standing alive(String name, long processIncarnation) {
-            return new Standing(name, name, "", processIncarnation, 0, State.ALIVE, true, "");
+        static MemberStatus alive(String name, long processIncarnation) {
+            return new MemberStatus(name, name, "", processIncarnation, 0, State.ALIVE, true, "");
         }
 
         void start(String name, long processIncarnation, String seed) {
             dead.remove(name);
             Membership member =
-                    new Membership(Membership.Terms.USUAL, alive(name, processIncarnation), random.split());
+                    new Membership(Membership.Settings.DEFAULTS, alive(name, processIncarnation), random.split());
             members.put(name, member);
             carryOut(name, member, member.join(time.getAsDouble(), List.of(seed)));
             scheduleTick(name, member);
         }
 
         private void scheduleTick(String name, Membership member) {
-            time.schedule(member.next(time.getAsDouble()), () -> run(name, member, () -> {
+            time.schedule(member.secondsUntilTick(time.getAsDouble()), () -> run(name, member, () -> {
                 carryOut(name, member, member.tick(time.getAsDouble()));
                 scheduleTick(name, member);
             }));
@@ -82,9 +82,9 @@
 
         private void carryOut(String from, Membership member, List<Membership.Step> steps) {
             for (Membership.Step step : steps) {
-                if (step instanceof Membership.Step.Say send) {
+                if (step instanceof Membership.Step.Send send) {
                     messagesSent.merge(from, 1, Integer::sum);
-                    mostUpdates = Math.max(mostUpdates, send.what().news().size());
+                    mostUpdates = Math.max(mostUpdates, send.message().updates().size());
                     String to = send.address();
                     if (random.nextDouble() < loss
                             || !partitions.getOrDefault(from, 0).equals(partitions.getOrDefault(to, 0))) {
@@ -94,13 +94,13 @@
                         Membership receiver = members.get(to);
                         if (receiver != null) {
                             run(to, receiver, () -> carryOut(to, receiver,
-                                    receiver.heard(time.getAsDouble(), from, send.what())));
+                                    receiver.handleMessage(time.getAsDouble(), from, send.message())));
                         }
                     });
-                } else if (step instanceof Membership.Step.Changed change && change.now().state() == State.GONE
-                        && !dead.contains(change.now().name()) && !paused.contains(change.now().name())
+                } else if (step instanceof Membership.Step.StatusChanged change && change.current().state() == State.GONE
+                        && !dead.contains(change.current().name()) && !paused.contains(change.current().name())
                         && partitions.getOrDefault(from, 0)
-                                .equals(partitions.getOrDefault(change.now().name(), 0))) {
+                                .equals(partitions.getOrDefault(change.current().name(), 0))) {
                     falselyGone++;
                 }
             }
@@ -115,7 +115,7 @@
         }
 
         State stateSeenBy(String observer, String name) {
-            Standing s = members.get(observer).other(name);
+            MemberStatus s = members.get(observer).member(name);
             return s == null ? null : s.state();
         }
     }
@@ -182,10 +182,10 @@
             cluster.resume("n3");
             cluster.time.runUntil(cluster.time.getAsDouble() + 0.2);
         }
-        assertThat(cluster.members.get("n3").health()).isGreaterThan(2);
+        assertThat(cluster.members.get("n3").healthScore()).isGreaterThan(2);
         assertThat(cluster.falselyGone).isZero();
         cluster.time.runUntil(cluster.time.getAsDouble() + 60);
-        assertThat(cluster.members.get("n3").health()).isLessThan(2);
+        assertThat(cluster.members.get("n3").healthScore()).isLessThan(2);
         cluster.members.forEach((name, m) -> assertThat(cluster.stateSeenBy(name, "n3")).as(name)
                 .isEqualTo(State.ALIVE));
     }
@@ -202,34 +202,34 @@
         cluster.time.runUntil(40);
         cluster.messagesSent.clear();
         cluster.time.runUntil(100);
-        assertThat(cluster.mostUpdates).isLessThanOrEqualTo(Membership.MOST_NEWS);
+        assertThat(cluster.mostUpdates).isLessThanOrEqualTo(Membership.MAX_UPDATES_PER_MESSAGE);
         return cluster.messagesSent.values().stream().mapToInt(n -> n).sum() / 60.0 / count;
     }
 
     @Provide
-    Arbitrary<Standing> statuses() {
+    Arbitrary<MemberStatus> statuses() {
         return Combinators.combine(Arbitraries.longs().between(1, 2), Arbitraries.longs().between(0, 2),
                 Arbitraries.of(State.class)).as(
-                        (processIncarnation, incarnation, state) -> new Standing("n1", "n1", "", processIncarnation,
+                        (processIncarnation, incarnation, state) -> new MemberStatus("n1", "n1", "", processIncarnation,
                                 incarnation, state, true, ""));
     }
 
     @Property(seed = "20261201", tries = 300)
-    void exactlyOneOfTwoDifferentStatusesOverrulesTheOther(@ForAll("statuses") Standing a,
-            @ForAll("statuses") Standing b) {
-        assertThat(a.overrules(b) && b.overrules(a)).isFalse();
-        assertThat(a.overrules(b) || b.overrules(a) || a.equals(b)).isTrue();
+    void exactlyOneOfTwoDifferentStatusesOverrulesTheOther(@ForAll("statuses") MemberStatus a,
+            @ForAll("statuses") MemberStatus b) {
+        assertThat(a.overrides(b) && b.overrides(a)).isFalse();
+        assertThat(a.overrides(b) || b.overrides(a) || a.equals(b)).isTrue();
     }
 
     @Test
     void memberRefutesAFalseUpdateAboutItself() {
         Membership member =
-                new Membership(Membership.Terms.USUAL, SimulatedCluster.alive("n1", 4), new SplittableRandom(1));
+                new Membership(Membership.Settings.DEFAULTS, SimulatedCluster.alive("n1", 4), new SplittableRandom(1));
         member.join(0, List.of());
-        member.heard(1, "n2", new Gossip.Ping(1, List.of(SimulatedCluster.alive("n2", 1),
-                SimulatedCluster.alive("n1", 4).as(State.GONE))));
+        member.handleMessage(1, "n2", new Gossip.Ping(1, List.of(SimulatedCluster.alive("n2", 1),
+                SimulatedCluster.alive("n1", 4).withState(State.GONE))));
         assertThat(member.self().incarnation()).isEqualTo(1);
         assertThat(member.self().state()).isEqualTo(State.ALIVE);
-        assertThat(member.health()).isEqualTo(1);
+        assertThat(member.healthScore()).isEqualTo(1);
     }
 }
--- a/src/test/java/topazladder/net/ReturningServerTest.java
+++ b/src/test/java/topazladder/net/ReturningServerTest.java
@@ -16,9 +16,9 @@
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import topazladder.below.How;
-import topazladder.below.Use;
-import topazladder.below.Word;
+import topazladder.below.CallOutcome;
+import topazladder.below.EndpointSelector;
+import topazladder.below.EjectionDirective;
 import topazladder.config.ServiceSettings.Address;
 import topazladder.config.SettingsReader;
 import topazladder.net.codec.LineReader;
@@ -71,7 +71,7 @@
         private final RandomGenerator chance = new SplittableRandom(SEED);
         private final List<Double> ledger = new ArrayList<>(); // when each call came to the first server
         private final List<Double> starts = new ArrayList<>();
-        private final List<Use> uses = new ArrayList<>();
+        private final List<EndpointSelector> uses = new ArrayList<>();
         private int calls;
 
         Fleet(int processes) throws Exception {
@@ -95,7 +95,7 @@
             double all = sum;
             vertx.runOnContext(v -> {
                 for (int i = 0; i < processes; i++) {
-                    Use use = new Use(new Use.Terms(SERVERS, 0.25), new SplittableRandom(chance.nextLong()));
+                    EndpointSelector use = new EndpointSelector(new EndpointSelector.Settings(SERVERS, 0.25), new SplittableRandom(chance.nextLong()));
                     uses.add(use);
                     DependencyClient client = new DependencyClient(vertx, null, 32, counters);
                     client.choose(new UseBackedChoice(use, addresses, ReturningServerTest.this::now));
@@ -121,18 +121,18 @@
             double start = now();
             starts.add(start);
             for (int i = 0; i < uses.size(); i++) {
-                Use use = uses.get(i);
-                use.told(now(), term, List.of(new Word("a", Word.Kind.OUT, token, 0)));
+                EndpointSelector use = uses.get(i);
+                use.applyDirectives(now(), term, List.of(new EjectionDirective("a", EjectionDirective.Kind.OUT, token, 0)));
                 if (i % 4 == 3) {
-                    vertx.setTimer(2000, id -> use.told(now(), term, back(token, start)));
+                    vertx.setTimer(2000, id -> use.applyDirectives(now(), term, back(token, start)));
                 } else {
-                    use.told(now(), term, back(token, start));
+                    use.applyDirectives(now(), term, back(token, start));
                 }
             }
         }
 
-        private List<Word> back(long token, double start) {
-            return List.of(new Word("a", Word.Kind.RETURNING, token, now() - start));
+        private List<EjectionDirective> back(long token, double start) {
+            return List.of(new EjectionDirective("a", EjectionDirective.Kind.RETURNING, token, now() - start));
         }
 
         private int serve(boolean kept) throws Exception {
@@ -184,7 +184,7 @@
         return COLD * t + (1 - COLD) * t * t / (2 * WARM_AFTER);
     }
 
-    private record UseBackedChoice(Use use, List<Address> addresses, DoubleSupplier clock)
+    private record UseBackedChoice(EndpointSelector use, List<Address> addresses, DoubleSupplier clock)
             implements
                 DependencyEndpointChoice {
         @Override
@@ -199,17 +199,17 @@
 
         @Override
         public boolean isInUse(int endpoint) {
-            return use.state(SERVERS.get(endpoint)) != Use.State.OUT;
+            return use.state(SERVERS.get(endpoint)) != EndpointSelector.State.OUT;
         }
 
         @Override
-        public void callEnded(int endpoint, How how) {
-            use.ended(clock.getAsDouble(), endpoint, how);
+        public void callEnded(int endpoint, CallOutcome how) {
+            use.callEnded(clock.getAsDouble(), endpoint, how);
         }
 
         @Override
         public void callAbandoned(int endpoint) {
-            use.dropped(endpoint);
+            use.callAbandoned(endpoint);
         }
 
         @Override
