--- a/src/test/java/topazladder/net/hall/OutboundLinksTest.java
+++ b/src/test/java/topazladder/net/hall/OutboundLinksTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.hall.Saying;
+import topazladder.hall.ClusterMessage;
 
 @Timeout(30)
 class OutboundLinksTest {
@@ -27,7 +27,7 @@
                 OutboundLinks links = new OutboundLinks(vertx, new GreetingCodec.Identity("n1", 1),
                         () -> List.of(new byte[32]), (from, message) -> {}, new LinkTraffic());
                 vertx.setPeriodic(1, 50, id -> links.send(new Address("127.0.0.1", silent.getLocalPort()),
-                        new Saying.Nudge()));
+                        new ClusterMessage.WakeUp()));
             });
             try (Socket first = silent.accept(); Socket second = silent.accept()) {
                 assertThat(first.getInputStream().read()).as("end of the first connection").isEqualTo(-1);
--- a/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
+++ b/src/test/java/topazladder/net/hall/SqliteVoterStoreTest.java
@@ -38,9 +38,9 @@
 
     private SqliteVoterStore foundedStore() throws IOException {
         SqliteVoterStore store = new SqliteVoterStore(folder);
-        assertThat(store.founding()).isNull();
+        assertThat(store.identity()).isNull();
         assertThat(store.restored()).isNull();
-        store.found(new VoterStore.Founding(N0, List.of(N0, N1), 3));
+        store.initialize(new VoterStore.VoterIdentity(N0, List.of(N0, N1), 3));
         store.persistAndFlushLocalEndpoint(MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(N0)
                 .setVoting(true).build());
         store.persistAndFlushInitialGroupMembers(MODEL.createRaftGroupMembersViewBuilder().setLogIndex(0)
@@ -62,7 +62,7 @@
             store.persistLogEntries(List.of(entry(4, new LeaseCommand.Resume("probe"))));
         }
         try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
-            assertThat(store.founding()).isEqualTo(new VoterStore.Founding(N0, List.of(N0, N1), 3));
+            assertThat(store.identity()).isEqualTo(new VoterStore.VoterIdentity(N0, List.of(N0, N1), 3));
             RestoredRaftState restored = store.restored();
             assertThat(restored.getTermPersistentState().getTerm()).isEqualTo(2);
             assertThat(restored.getTermPersistentState().getVotedFor()).isEqualTo(N1);
@@ -117,7 +117,7 @@
         try (SqliteVoterStore store = foundedStore()) {
             assertThatThrownBy(() -> new SqliteVoterStore(folder)).isInstanceOf(IOException.class)
                     .hasMessageContaining("another process");
-            assertThat(store.founding()).isNotNull();
+            assertThat(store.identity()).isNotNull();
         }
         new SqliteVoterStore(folder).close();
     }
@@ -135,8 +135,8 @@
         try (SqliteVoterStore store = foundedStore()) {
             store.persistLogEntries(List.of(entry(1, new LeaseCommand.BeginLeadership("n0", 1))));
             store.flush();
-            store.found(new VoterStore.Founding(N1, List.of(N1), 4));
-            assertThat(store.founding().groupGeneration()).isEqualTo(4);
+            store.initialize(new VoterStore.VoterIdentity(N1, List.of(N1), 4));
+            assertThat(store.identity().groupGeneration()).isEqualTo(4);
             assertThat(store.restored()).isNull();
         }
     }
--- a/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
+++ b/src/test/java/topazladder/net/hall/StoreOfEarlierReleaseTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import topazladder.below.Verdicts;
+import topazladder.below.OutlierDetector;
 import topazladder.consensus.VoterEndpoint;
-import topazladder.consensus.VoterStore.Founding;
+import topazladder.consensus.VoterStore.VoterIdentity;
 import topazladder.disruption.Disruption;
 import topazladder.disruption.DisruptionBudget;
 import topazladder.disruption.DisruptionController;
@@ -30,7 +30,7 @@
 import topazladder.lease.LeaseState;
 import topazladder.lease.LeaseStateMachine;
 import topazladder.lease.MemberIdentity;
-import topazladder.release.Release;
+import topazladder.release.Rollout;
 import topazladder.replication.ClusterReplica;
 import topazladder.replication.ClusterState;
 
@@ -69,7 +69,7 @@
     @Test
     void readsIdentityTermVoteSnapshotAndLog() throws IOException {
         try (SqliteVoterStore store = new SqliteVoterStore(folder)) {
-            assertThat(store.founding()).isEqualTo(new Founding(N0, List.of(N0), 2));
+            assertThat(store.identity()).isEqualTo(new VoterIdentity(N0, List.of(N0), 2));
 
             RestoredRaftState restored = store.restored();
             RaftTermPersistentState term = restored.getTermPersistentState();
@@ -98,10 +98,10 @@
                             Disruption.Phase.ASKED, "second", 0, 0, 2, "an operator"));
             assertThat(state.disruptions().capacities()).isEqualTo(Map.of(TARGET_N1, 12.5, TARGET_N2, 9.25));
             assertThat(state.disruptions().budgets()).containsExactlyElementsOf(SETTINGS.budgets());
-            Release rollout = state.rollouts().release();
-            assertThat(rollout.phase()).isEqualTo(Release.Phase.RUNNING);
+            Rollout rollout = state.rollouts().rollout();
+            assertThat(rollout.phase()).isEqualTo(Rollout.Phase.RUNNING);
             assertThat(rollout.plan().to()).isEqualTo("B");
-            assertThat(rollout.places()).extracting(place -> place.name()).containsExactly("n1", "n2");
+            assertThat(rollout.targets()).extracting(place -> place.name()).containsExactly("n1", "n2");
         }
     }
 
@@ -132,10 +132,10 @@
         ClusterState state = new ClusterState();
         ClusterReplica replica = new ClusterReplica(store, SETTINGS, time, time, new SplittableRandom(7),
                 new EnvironmentWithoutMembers(), new ClusterReplica.Domains(state, new LeaseManager(state.leases()),
-                        new DisruptionController(state.disruptions(), 0.8), new Verdicts(state.disruptions())));
+                        new DisruptionController(state.disruptions(), 0.8), new OutlierDetector(state.disruptions())));
         replica.start();
         time.runUntil(time.getAsDouble() + 30);
-        assertThat(replica.leading()).isTrue();
+        assertThat(replica.isLeader()).isTrue();
         return replica;
     }
 
@@ -161,12 +161,12 @@
         }
 
         @Override
-        public void mayGo(String member, long token) {
+        public void grantShutdown(String member, long token) {
             // there are no members
         }
 
         @Override
-        public void go(String member, long token, String version) {
+        public void shutDown(String member, long token, String version) {
             // there are no members
         }
     }
--- a/src/test/java/topazladder/net/peer/PeerTest.java
+++ b/src/test/java/topazladder/net/peer/PeerTest.java
@@ -29,15 +29,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import topazladder.config.ServiceSettings.Address;
-import topazladder.knowledge.Fact;
-import topazladder.knowledge.Learning;
+import topazladder.knowledge.SharedEstimate;
+import topazladder.knowledge.EstimateExchange;
 import topazladder.knowledge.Origin;
 import topazladder.net.codec.MalformedMessageException;
 import topazladder.net.codec.PeerFrames;
 import topazladder.net.codec.PeerMessages;
 import topazladder.peer.proto.Chunk;
 import topazladder.peer.proto.Header;
-import topazladder.peering.Giving;
+import topazladder.peering.ShareLimiter;
 import topazladder.request.LearnedEstimate;
 import topazladder.request.LearnedEstimate.Kind;
 import topazladder.service.Counters;
@@ -63,20 +63,20 @@
 
     @BeforeEach
     void listen() throws Exception {
-        Learning learning = new Learning(GIVER, PeerNode::seconds, List.of());
-        List<Fact> heard = new ArrayList<>();
+        EstimateExchange learning = new EstimateExchange(GIVER, PeerNode::seconds, List.of());
+        List<SharedEstimate> heard = new ArrayList<>();
         for (int origin = 0; origin < 5; origin++) {
             for (Kind kind : List.of(Kind.RUN_TIME, Kind.CALLS_IN_FLIGHT, Kind.COMPLETION_RATE)) {
-                heard.add(new Fact(kind, "", new Origin("o" + origin, 1, 4, 1, 9), origin + 0.5, 40,
+                heard.add(new SharedEstimate(kind, "", new Origin("o" + origin, 1, 4, 1, 9), origin + 0.5, 40,
                         PeerNode.seconds(), 3));
             }
         }
-        learning.hear(heard);
+        learning.receive(heard);
         heard.forEach(f -> truth.add(f.origin().name() + f.kind() + f.value()));
         truth.add("giver" + Kind.RUN_TIME + 0.1);
         // Giving's rate and part of the loop are PeeringTest's to hold. Here they never bind: with a part of 1, a busy
         // machine made a share take long enough that the next ask was put off, and what a test saw hung on the load.
-        server = new PeerServer(vertx, learning, () -> own, () -> phase, counters, new Giving(1e6, 1e6),
+        server = new PeerServer(vertx, learning, () -> own, () -> phase, counters, new ShareLimiter(1e6, 1e6),
                 () -> givenKeys, null);
         at = free();
         server.listen(at).toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
@@ -95,12 +95,12 @@
 
     /** What one try brought, and how it ended. */
     private static final class Heard implements PeerAsker.Listener {
-        final List<Fact> facts = new ArrayList<>();
+        final List<SharedEstimate> facts = new ArrayList<>();
         final List<String> ends = new ArrayList<>();
         final CompletableFuture<String> end = new CompletableFuture<>();
 
         @Override
-        public void heard(int number, Collection<Fact> more) {
+        public void heard(int number, Collection<SharedEstimate> more) {
             facts.addAll(more);
         }
 
@@ -202,7 +202,7 @@
         Heard heard = ask(at, KEY);
         assertThat(heard.ends).containsExactly("whole");
         assertThat(heard.known()).isEqualTo(truth);
-        assertThat(heard.facts).allSatisfy(f -> assertThat(f.seenAt()).isLessThanOrEqualTo(PeerNode.seconds()));
+        assertThat(heard.facts).allSatisfy(f -> assertThat(f.measuredAt()).isLessThanOrEqualTo(PeerNode.seconds()));
         assertThat(counters.get(Count.SHARES_SENT)).isEqualTo(1);
     }
 
@@ -341,7 +341,7 @@
         Chunk chunk = Chunk.newBuilder().setOrigin(topazladder.peer.proto.Origin.newBuilder().setName("n"))
                 .addFacts(topazladder.peer.proto.Fact.newBuilder().setKind(99).setWeight(1))
                 .addFacts(topazladder.peer.proto.Fact.newBuilder().setKind(1).setWeight(1)).build();
-        assertThat(PeerMessages.chunk(chunk.toByteArray(), 0)).extracting(Fact::kind).containsExactly(Kind.values()[0]);
+        assertThat(PeerMessages.chunk(chunk.toByteArray(), 0)).extracting(SharedEstimate::kind).containsExactly(Kind.values()[0]);
         byte[] tooNew = Header.newBuilder().setSchema(9).setReadableFrom(9).build().toByteArray();
         assertThatThrownBy(() -> PeerMessages.head(tooNew)).isInstanceOf(MalformedMessageException.class)
                 .hasMessage("needs a reader of schema 9, this is 1");
--- a/src/test/java/topazladder/peering/PeeringTest.java
+++ b/src/test/java/topazladder/peering/EstimateFetcherTest.java
@@ -13,17 +13,17 @@
 import java.util.stream.IntStream;
 import org.assertj.core.data.Offset;
 import org.junit.jupiter.api.Test;
-import topazladder.peering.Asking.Ask;
-import topazladder.peering.Asking.Bounds;
-import topazladder.peering.Asking.Drop;
-import topazladder.peering.Asking.Phase;
-import topazladder.peering.Asking.Step;
-import topazladder.peering.Asking.Wake;
-import topazladder.peering.Giving.Turn;
+import topazladder.peering.EstimateFetcher.Fetch;
+import topazladder.peering.EstimateFetcher.Limits;
+import topazladder.peering.EstimateFetcher.Cancel;
+import topazladder.peering.EstimateFetcher.Phase;
+import topazladder.peering.EstimateFetcher.Step;
+import topazladder.peering.EstimateFetcher.ScheduleTick;
+import topazladder.peering.ShareLimiter.Decision;
 
 /** Which peers starting instances ask, how often and until when, and how running ones limit their shares. */
-class PeeringTest {
-    private static final Bounds BOUNDS = new Bounds(0.15, 2, 6);
+class EstimateFetcherTest {
+    private static final Limits BOUNDS = new Limits(0.15, 2, 6);
 
     /** How a peer answers: after how many seconds, and with which result. */
     private record Answer(double after, String result, double retryAfter) {
@@ -41,14 +41,14 @@
 
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparingInt(Event::order));
-        private final Map<Asking, Integer> wakes = new HashMap<>();
+        private final Map<EstimateFetcher, Integer> wakes = new HashMap<>();
         private final List<String> asked = new ArrayList<>();
-        private final Map<Asking, Double> endedAt = new HashMap<>();
-        private final BiFunction<String, Candidate, Answer> answers;
+        private final Map<EstimateFetcher, Double> endedAt = new HashMap<>();
+        private final BiFunction<String, PeerCandidate, Answer> answers;
         private double now;
         private int order;
 
-        Simulation(BiFunction<String, Candidate, Answer> answers) {
+        Simulation(BiFunction<String, PeerCandidate, Answer> answers) {
             this.answers = answers;
         }
 
@@ -56,24 +56,24 @@
             events.add(new Event(time, order++, action));
         }
 
-        Asking start(String name, List<Candidate> peers) {
-            Asking asking = new Asking(name, 1, "east", BOUNDS, new SplittableRandom(name.hashCode()));
+        EstimateFetcher start(String name, List<PeerCandidate> peers) {
+            EstimateFetcher asking = new EstimateFetcher(name, 1, "east", BOUNDS, new SplittableRandom(name.hashCode()));
             at(now, () -> carryOut(name, asking, asking.start(now, peers)));
             return asking;
         }
 
-        void carryOut(String name, Asking asking, List<Step> steps) {
+        void carryOut(String name, EstimateFetcher asking, List<Step> steps) {
             for (Step step : steps) {
-                if (step instanceof Ask ask) {
+                if (step instanceof Fetch ask) {
                     asked.add(name + ">" + ask.peer().name());
                     Answer answer = answers.apply(name, ask.peer());
                     at(now + answer.after(), () -> carryOut(name, asking, switch (answer.result()) {
-                        case "learned" -> asking.learned(now, ask.number());
-                        case "postponed" -> asking.later(now, ask.number(), answer.retryAfter());
+                        case "learned" -> asking.shareReceived(now, ask.number());
+                        case "postponed" -> asking.postponed(now, ask.number(), answer.retryAfter());
                         case "failed" -> asking.failed(now, ask.number());
                         default -> List.of();
                     }));
-                } else if (step instanceof Wake wake) {
+                } else if (step instanceof ScheduleTick wake) {
                     int wakeNumber = wakes.merge(asking, 1, Integer::sum);
                     at(now + wake.seconds(), () -> {
                         if (wakes.get(asking) == wakeNumber) {
@@ -97,18 +97,18 @@
         }
     }
 
-    private static List<Candidate> peers(int count) {
+    private static List<PeerCandidate> peers(int count) {
         return IntStream.range(0, count)
-                .mapToObj(i -> new Candidate("p" + i, "127.0.0.1:" + (5000 + i), i % 2 == 0 ? "east" : "west"))
+                .mapToObj(i -> new PeerCandidate("p" + i, "127.0.0.1:" + (5000 + i), i % 2 == 0 ? "east" : "west"))
                 .toList();
     }
 
     @Test
     void deadPeersAndTheAskerItselfAreGivenUpWithinTheLimits() {
-        List<Candidate> all = new ArrayList<>(peers(4));
-        all.add(new Candidate("me", "127.0.0.1:4999", "east"));
+        List<PeerCandidate> all = new ArrayList<>(peers(4));
+        all.add(new PeerCandidate("me", "127.0.0.1:4999", "east"));
         Simulation simulation = new Simulation((asker, peer) -> DEAD);
-        Asking asking = simulation.start("me", all);
+        EstimateFetcher asking = simulation.start("me", all);
         simulation.run();
         assertThat(asking.phase()).isEqualTo(Phase.GIVEN_UP);
         assertThat(simulation.asked).hasSize(6).doesNotContain("me>me");
@@ -117,9 +117,9 @@
 
     @Test
     void anAttemptThatHangsIsHedgedAndTheSecondPeersShareIsUsed() {
-        Candidate first = PeerRanking.of("me", 1, "east", peers(3)).get(0);
+        PeerCandidate first = PeerRanking.of("me", 1, "east", peers(3)).get(0);
         Simulation simulation = new Simulation((asker, peer) -> peer.equals(first) ? HANGS : GOOD);
-        Asking asking = simulation.start("me", peers(3));
+        EstimateFetcher asking = simulation.start("me", peers(3));
         simulation.run();
         assertThat(asking.phase()).isEqualTo(Phase.LEARNED);
         assertThat(simulation.asked).hasSize(2);
@@ -128,17 +128,17 @@
 
     @Test
     void anAttemptThatIsBeingAnsweredIsNotHedged() {
-        Asking asking = new Asking("me", 1, "", BOUNDS, new SplittableRandom(1));
+        EstimateFetcher asking = new EstimateFetcher("me", 1, "", BOUNDS, new SplittableRandom(1));
         asking.start(0, peers(3));
-        asking.heard(1);
-        assertThat(asking.tick(1)).noneMatch(Ask.class::isInstance);
-        assertThat(asking.tick(2.1)).anyMatch(Drop.class::isInstance);
+        asking.partReceived(1);
+        assertThat(asking.tick(1)).noneMatch(Fetch.class::isInstance);
+        assertThat(asking.tick(2.1)).anyMatch(Cancel.class::isInstance);
     }
 
     @Test
     void attemptsThatAllHangEndByTheirTimeouts() {
         Simulation simulation = new Simulation((asker, peer) -> HANGS);
-        Asking asking = simulation.start("me", peers(10));
+        EstimateFetcher asking = simulation.start("me", peers(10));
         simulation.run();
         assertThat(asking.phase()).isEqualTo(Phase.GIVEN_UP);
         assertThat(simulation.asked).hasSize(6);
@@ -148,8 +148,8 @@
     @Test
     void twoColdInstancesThatAskEachOtherGiveUpAtOnce() {
         Simulation simulation = new Simulation((asker, peer) -> COLD);
-        Asking a = simulation.start("a", List.of(new Candidate("b", "127.0.0.1:1", "")));
-        Asking b = simulation.start("b", List.of(new Candidate("a", "127.0.0.1:2", "")));
+        EstimateFetcher a = simulation.start("a", List.of(new PeerCandidate("b", "127.0.0.1:1", "")));
+        EstimateFetcher b = simulation.start("b", List.of(new PeerCandidate("a", "127.0.0.1:2", "")));
         simulation.run();
         assertThat(List.of(a.phase(), b.phase())).containsOnly(Phase.GIVEN_UP);
         assertThat(simulation.asked).containsExactlyInAnyOrder("a>b", "b>a");
@@ -157,18 +157,18 @@
 
     @Test
     void aHundredAskersOfOnePeerAreServedAtItsRateOrSentElsewhereWithinTheLimits() {
-        Giving giving = new Giving(5, 0.02);
+        ShareLimiter giving = new ShareLimiter(5, 0.02);
         Simulation[] simulation = new Simulation[1];
         List<Double> shareTimes = new ArrayList<>();
         simulation[0] = new Simulation((asker, peer) -> {
-            Turn turn = giving.ask(simulation[0].now, asker);
-            if (turn.now()) {
+            Decision turn = giving.request(simulation[0].now, asker);
+            if (turn.isGranted()) {
                 shareTimes.add(simulation[0].now);
                 return GOOD;
             }
-            return new Answer(0.002, "postponed", turn.comeBackIn());
+            return new Answer(0.002, "postponed", turn.retryAfterSeconds());
         });
-        List<Asking> all = IntStream.range(0, 100).mapToObj(i -> simulation[0].start("c" + i, peers(1))).toList();
+        List<EstimateFetcher> all = IntStream.range(0, 100).mapToObj(i -> simulation[0].start("c" + i, peers(1))).toList();
         simulation[0].run();
         assertThat(all).allMatch(a -> a.phase() != Phase.ASKING);
         long learned = all.stream().filter(a -> a.phase() == Phase.LEARNED).count();
@@ -199,18 +199,18 @@
 
     @Test
     void aPeerThatIsRemovedChangesNothingInTheOrderOfTheOthers() {
-        List<Candidate> ten = PeerRanking.of("me", 1, "east", peers(10));
-        List<Candidate> nine = PeerRanking.of("me", 1, "east", peers(9));
+        List<PeerCandidate> ten = PeerRanking.of("me", 1, "east", peers(10));
+        List<PeerCandidate> nine = PeerRanking.of("me", 1, "east", peers(9));
         assertThat(ten.stream().filter(nine::contains).toList()).isEqualTo(nine);
     }
 
     @Test
     void aNewListAddsNewPeersAndRepeatsNoneThatHadNoShare() {
         Simulation simulation = new Simulation((asker, peer) -> peer.name().equals("p3") ? GOOD : COLD);
-        Asking asking = new Asking("me", 1, "", BOUNDS, new SplittableRandom(1));
+        EstimateFetcher asking = new EstimateFetcher("me", 1, "", BOUNDS, new SplittableRandom(1));
         simulation.at(0, () -> simulation.carryOut("me", asking, asking.start(0, List.of(peers(1).get(0),
-                new Candidate("slow", "127.0.0.1:9", "")))));
-        simulation.at(0.001, () -> simulation.carryOut("me", asking, asking.replace(0.001, peers(4))));
+                new PeerCandidate("slow", "127.0.0.1:9", "")))));
+        simulation.at(0.001, () -> simulation.carryOut("me", asking, asking.replacePeers(0.001, peers(4))));
         simulation.run();
         assertThat(asking.phase()).isEqualTo(Phase.LEARNED);
         assertThat(simulation.asked).doesNotHaveDuplicates().contains("me>p3");
@@ -218,14 +218,14 @@
 
     @Test
     void sharesTakeNoMoreOfTheEventLoopThanTheirPart() {
-        Giving giving = new Giving(1000, 0.02);
-        assertThat(giving.ask(0, "a").now()).isTrue();
-        giving.took(0.01, 0.01);
-        Turn turn = giving.ask(0.02, "b");
-        assertThat(turn.now()).isFalse();
-        assertThat(turn.comeBackIn()).isCloseTo(0.49, Offset.offset(1e-9));
-        assertThat(giving.ask(0.3, "b").comeBackIn()).as("a peer that comes too early keeps its reservation")
+        ShareLimiter giving = new ShareLimiter(1000, 0.02);
+        assertThat(giving.request(0, "a").isGranted()).isTrue();
+        giving.recordCost(0.01, 0.01);
+        Decision turn = giving.request(0.02, "b");
+        assertThat(turn.isGranted()).isFalse();
+        assertThat(turn.retryAfterSeconds()).isCloseTo(0.49, Offset.offset(1e-9));
+        assertThat(giving.request(0.3, "b").retryAfterSeconds()).as("a peer that comes too early keeps its reservation")
                 .isCloseTo(0.21, Offset.offset(1e-9));
-        assertThat(giving.ask(0.52, "b").now()).isTrue();
+        assertThat(giving.request(0.52, "b").isGranted()).isTrue();
     }
 }
--- a/src/test/java/topazladder/release/JudgeTest.java
+++ b/src/test/java/topazladder/release/CanaryAnalysisTest.java
@@ -7,10 +7,10 @@
 import java.util.SplittableRandom;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import topazladder.release.Judge.Verdict;
+import topazladder.release.CanaryAnalysis.Verdict;
 
 /** How often the canary analysis finds an equally good version worse, and how surely one that is worse. */
-class JudgeTest {
+class CanaryAnalysisTest {
     private static final int SAMPLES = 200;
 
     /**
@@ -25,16 +25,16 @@
     private static int samplesUntilWorse(long seed, double servedLoss, double failed, double leak, String zone,
             int instancesOnB) {
         SplittableRandom random = new SplittableRandom(seed);
-        Judge analysis = new Judge(Judge.Terms.USUAL);
+        CanaryAnalysis analysis = new CanaryAnalysis(CanaryAnalysis.Thresholds.DEFAULT);
         double[] offsets = random.doubles(10, -0.01, 0.01).toArray();
         double drift = 0;
         for (int n = 0; n < SAMPLES; n++) {
             drift = 0.8 * drift + random.nextDouble(-0.01, 0.01); // common to all instances
-            List<Judge.Look> samples = new ArrayList<>();
+            List<CanaryAnalysis.Sample> samples = new ArrayList<>();
             for (int i = 0; i < offsets.length; i++) {
                 boolean isOnB = i < instancesOnB;
                 boolean isWorse = isOnB && (zone.isEmpty() || zone.equals("zone-" + i % 2));
-                samples.add(new Judge.Look("n" + i, "zone-" + i % 2, isOnB,
+                samples.add(new CanaryAnalysis.Sample("n" + i, "zone-" + i % 2, isOnB,
                         0.9 + offsets[i] + drift + random.nextDouble(-0.02, 0.02) - (isWorse ? servedLoss : 0),
                         isWorse ? failed : 0,
                         60 + random.nextDouble(-5, 5) + (isWorse ? leak * n : 0)));
@@ -75,9 +75,9 @@
 
     @Test
     void withoutInstancesOnATheVerdictIsInconclusive() {
-        Judge analysis = new Judge(Judge.Terms.USUAL);
+        CanaryAnalysis analysis = new CanaryAnalysis(CanaryAnalysis.Thresholds.DEFAULT);
         for (int i = 0; i < 50; i++) {
-            analysis.addSamples(List.of(new Judge.Look("n0", "", true, 0.1, 0.5, 900)));
+            analysis.addSamples(List.of(new CanaryAnalysis.Sample("n0", "", true, 0.1, 0.5, 900)));
         }
         assertThat(analysis.verdict()).isEqualTo(Verdict.INCONCLUSIVE);
         assertThat(analysis.sampleCount()).isZero();
--- a/src/test/java/topazladder/rig/HallRigIT.java
+++ b/src/test/java/topazladder/rig/HallRigIT.java
@@ -23,8 +23,8 @@
 import topazladder.faults.Fault;
 import topazladder.faults.Fault.Kind;
 import topazladder.faults.Schedule;
-import topazladder.hall.Saying;
-import topazladder.hall.Saying.Command;
+import topazladder.hall.ClusterMessage;
+import topazladder.hall.ClusterMessage.Command;
 
 /**
  * Several processes of the packed program under faults: safe by the ledger that the rig keeps, and all right again at
@@ -219,7 +219,7 @@
     }
 
     private static List<String> outs(HallRig rig) throws Exception {
-        Saying.Told told = rig.ask(3, Command.Kind.OUTS, "", "");
+        ClusterMessage.CommandResponse told = rig.ask(3, Command.Kind.OUTS, "", "");
         return !told.done() ? List.of() : new JsonObject(told.text()).getJsonArray("outs").stream()
                 .map(o -> (JsonObject) o).filter(o -> !o.getString("phase").equals("ASKED"))
                 .map(o -> o.getString("name")).toList();
@@ -228,7 +228,7 @@
     /** Until it stands so at all members. */
     private static void awaitBelow(HallRig rig, String server, String is) throws Exception {
         for (int i = 0; i < 4;) {
-            Saying.Told told = rig.ask(i, Command.Kind.STATUS, "", "");
+            ClusterMessage.CommandResponse told = rig.ask(i, Command.Kind.STATUS, "", "");
             String stands = told.done() ? new JsonObject(told.text()).getJsonObject("below").getString(server) : "";
             if (stands.startsWith(is)) {
                 i++;
@@ -295,7 +295,7 @@
 
     private static String holder(HallRig rig) throws Exception {
         for (int i = 0;; i = (i + 1) % 3) {
-            Saying.Told told = rig.ask(i, Command.Kind.DUTIES, "", "");
+            ClusterMessage.CommandResponse told = rig.ask(i, Command.Kind.DUTIES, "", "");
             String holder = told.done() ? new JsonObject(told.text()).getJsonArray("duties").getJsonObject(0)
                     .getString("holder") : null;
             if (holder != null) {
@@ -307,7 +307,7 @@
 
     private static void operators(HallRig rig) throws Exception {
         // Asked of a member that does not vote: it passes on.
-        Saying.Told told = rig.ask(4, Command.Kind.DUTIES, "", "");
+        ClusterMessage.CommandResponse told = rig.ask(4, Command.Kind.DUTIES, "", "");
         assertThat(told.done()).as(told.text()).isTrue();
         JsonArray duties = new JsonObject(told.text()).getJsonArray("duties");
         assertThat(duties).hasSize(3);
