--- a/src/main/java/topazladder/cluster/ClusterMember.java
+++ b/src/main/java/topazladder/cluster/ClusterMember.java
@@ -33,7 +33,7 @@
     private static final double EARLY_POLL_INTERVAL_SECONDS = 0.2;
     private static final double LEAVE_NOTICE_INTERVAL_SECONDS = 0.3;
 
-    /** What the node needs of its environment. */
+    /** What the member needs of its environment. */
     public interface Environment {
 
         /**
--- a/src/main/java/topazladder/cluster/ClusterMessage.java
+++ b/src/main/java/topazladder/cluster/ClusterMessage.java
@@ -116,7 +116,9 @@
     record LeaveNotice(MemberIdentity from, String by) implements ClusterMessage {
     }
 
-    /** A voter whose folder was empty asks to be added to the group, under a birth that was never used before. */
+    /**
+     * A voter whose data folder was empty asks to be added to the group, under a folder id that was never used before.
+     */
     record JoinRequest(VoterEndpoint endpoint) implements ClusterMessage {
     }
 
--- a/src/main/java/topazladder/cluster/RolloutStart.java
+++ b/src/main/java/topazladder/cluster/RolloutStart.java
@@ -82,6 +82,7 @@
                     + ", which rollouts need; a majority of the voters has to run a version that does";
         }
         if (replica.state().leases().leases().stream().noneMatch(d -> d.settings().name().equals(CONTROLLER_LEASE))) {
+            // The settings keep older words: there a duty is a lease, and a release is a rollout.
             return "hall.duties has no duty named " + CONTROLLER_LEASE + ", which runs the rollout controller";
         }
         return view.members().stream().map(this::refusalBy).filter(why -> why != null).findFirst().orElse(null);
--- a/src/main/java/topazladder/cluster/VoterNode.java
+++ b/src/main/java/topazladder/cluster/VoterNode.java
@@ -24,8 +24,8 @@
 
 /**
  * A member's replica in the consensus group, without I/O but for its store. A voter whose store is empty does not vote,
- * since it has forgotten how it voted before: it asks the group to be added, under a new birth. All calls come on the
- * one thread that the timers run on.
+ * since it has forgotten how it voted before: it asks the group to be added, under a new folder id. All calls come on
+ * the one thread that the timers run on.
  */
 public final class VoterNode {
     private static final Logger LOG = LoggerFactory.getLogger(VoterNode.class);
@@ -82,7 +82,10 @@
     /**
      * Creates a voter whose replicated state and decisions are given; tests pass some with an injected defect.
      *
-     * @param leaseManager null for the default; likewise the two behind it
+     * @param leaseManager null for a {@link LeaseManager} of the leases in the state
+     * @param disruptionController null for a {@link DisruptionController} of the disruptions in the state, which
+     *     records an instance as lost after {@code LOST_AFTER_HEARTBEATS} heartbeats
+     * @param verdicts null for an {@link OutlierDetector} of the disruptions in the state
      */
     public VoterNode(MemberSettings settings, VoterStore store, Scheduler timers, DoubleSupplier clock,
             RandomGenerator random, Environment environment, ClusterState state, LeaseManager leaseManager,
--- a/src/main/java/topazladder/config/RolloutPlanFile.java
+++ b/src/main/java/topazladder/config/RolloutPlanFile.java
@@ -13,7 +13,7 @@
  * <ul>
  * <li>{@code name}: that of the version {@code to}; {@code patience}: 120; {@code tries}: 2; {@code most_out}: 1
  * <li>of each wave, {@code zone}: all zones; {@code most}: no limit; {@code share}: 1; {@code soak}: 60
- * <li>{@code judge}: {@link CanaryAnalysis.Settings#DEFAULTS}
+ * <li>{@code judge}: {@link CanaryAnalysis.Thresholds#DEFAULT}
  * </ul>
  */
 public final class RolloutPlanFile {
--- a/src/main/java/topazladder/endpoint/EndpointSelector.java
+++ b/src/main/java/topazladder/endpoint/EndpointSelector.java
@@ -248,7 +248,7 @@
      *
      * @param permitted whether the leader permits it
      * @param leaderLost whether this instance hears from no leader
-     * @param othersEjected number of other endpoints that are not in full use
+     * @param othersEjected number of other endpoints that are ejected, or in slow start after an ejection
      */
     protected boolean mayEject(boolean permitted, boolean leaderLost, long othersEjected) {
         return permitted || leaderLost && othersEjected < settings.maxOwnEjections();
--- a/src/main/java/topazladder/endpoint/OutlierDetector.java
+++ b/src/main/java/topazladder/endpoint/OutlierDetector.java
@@ -180,6 +180,8 @@
                 }
             }
             case GRANTED, GONE -> {
+                // A dependency's incarnation counts its returns. Here each of them has failed, so it is also how often
+                // the endpoint was ejected anew.
                 if (disruption.reason() == Reason.ILL
                         && (inPhase >= EjectionBackoff.seconds(disruption.incarnation()) || mostUnhealthy)) {
                     propose(new DisruptionCommand.Rejoin(target), target, commands);
@@ -214,7 +216,10 @@
         return 2 * unhealthy > total;
     }
 
-    /** Whether an instance's reports count; overridden to inject a defect. */
+    /**
+     * Whether an instance's votes on endpoints count; overridden to inject a defect. It applies to the votes only: how
+     * many instances are not credible, and which may eject by themselves, is found without it.
+     */
     protected boolean isCredible(boolean credible) {
         return credible;
     }
--- a/src/main/java/topazladder/membership/Membership.java
+++ b/src/main/java/topazladder/membership/Membership.java
@@ -19,7 +19,7 @@
 import topazladder.membership.MemberStatus.State;
 
 /**
- * One member's view of the cluster, kept by the SWIM protocol with Lifeguard's extensions. In each probe period one
+ * One member's view of the cluster, kept by the SWIM protocol with Lifeguard's extensions. In each probe interval one
  * other member is pinged, in an order that is shuffled anew each round. A member that does not answer is pinged
  * through a few others, then suspected, then declared gone unless it refutes the suspicion in time (SWIM). Timeouts
  * follow the measured round-trip times and this member's own health: a member that runs late, or that gets no nacks
@@ -33,7 +33,8 @@
     /**
      * Settings of the protocol.
      *
-     * @param probePeriodSeconds seconds between two probes
+     * @param probePeriodSeconds the probe period; the probe interval, from one probe to the next, is the period times
+     *     (1 + {@link Membership#healthScore})
      * @param indirectProbeHelpers number of members asked for an indirect ping
      * @param goneRetentionSeconds seconds for which a member that is gone is kept, and contacted now and then
      */
@@ -77,12 +78,15 @@
     /** Longest suspicion as a multiple of the shortest. */
     private static final double MAX_SUSPICION_FACTOR = 6;
     private static final int MAX_HEALTH_SCORE = 8;
-    /** Probe periods between two table exchanges with a random member. */
+    /** Probe intervals between two table exchanges with a random member. */
     private static final int SYNC_PERIODS = 15;
-    /** Probe periods between two attempts to reach a member that is gone, or a seed. */
+    /** Probe intervals between two attempts to reach a member that is gone, or a seed. */
     private static final int RECONNECT_PERIODS = 5;
     private static final int MAX_INDIRECT_PROBES = 64;
-    /** A sync is answered with the whole table, or with this many pages of one above this many full messages. */
+    /**
+     * Pages, of one message each, that answer a sync where the table is larger than this many full messages; a smaller
+     * table is sent whole.
+     */
     private static final int MAX_SYNC_PAGES = 4;
 
     private final Settings settings;
@@ -119,7 +123,7 @@
         }
     }
 
-    /** This member's probe of the current period. */
+    /** This member's probe of the current interval. */
     private static final class Probe {
         private final String target;
         private final long number;
--- a/src/main/java/topazladder/peering/EstimateFetcher.java
+++ b/src/main/java/topazladder/peering/EstimateFetcher.java
@@ -53,7 +53,7 @@
     public record Cancel(int number) implements Step {
     }
 
-    /** Call {@link LeasePoll#tick} after that time; replaces the last such step. */
+    /** Call {@link EstimateFetcher#tick} after that time; replaces the last such step. */
     public record ScheduleTick(double seconds) implements Step {
     }
 
--- a/src/main/java/topazladder/rollout/CanaryAnalysis.java
+++ b/src/main/java/topazladder/rollout/CanaryAnalysis.java
@@ -16,6 +16,7 @@
  * how far the means of the instances on A lie apart.
  */
 public final class CanaryAnalysis {
+    /** Samples that a series needs before it is judged. Only moments at which both versions were sampled count. */
     private static final int MIN_SAMPLES = 5;
     /** Number of samples at which the bounds are tightest. */
     private static final double TIGHTEST_AT_SAMPLES = 40;
@@ -52,11 +53,11 @@
 
     /** What the samples so far show. */
     public enum Verdict {
-        /** Too few samples, or B looks worse by chance or by less than it may. */
+        /** Too few samples, or B serves less or fails more by the threshold or beyond, but not surely. */
         INCONCLUSIVE,
-        /** B looks as good as A. */
+        /** On average B is no worse than A in served and failed share, or worse by less than the threshold. */
         PASSED,
-        /** B is worse than it may be. */
+        /** B is surely worse than A by more than a threshold, be it in served share, failed share or memory. */
         FAILED
     }
 
@@ -90,9 +91,13 @@
     }
 
     private final Thresholds terms;
+    /** Differences in served share. */
     private final Map<String, Series> payoff = new TreeMap<>(); // by zone, and over all zones
+    /** Differences in failed share. */
     private final Series failed = new Series();
+    /** Ratios of B's memory to A's, less 1. */
     private final Series memory = new Series();
+    /** Served shares. */
     private final Map<String, Series> servedByInstanceOnA = new HashMap<>();
     private String failureReason = "";
 
@@ -178,12 +183,12 @@
         return failureReason;
     }
 
-    /** Moments at which both versions were sampled. */
+    /** Number of samples, each of a moment at which both versions were sampled. */
     public int sampleCount() {
         return payoff.containsKey(ALL_ZONES) ? payoff.get(ALL_ZONES).n : 0;
     }
 
-    /** For operators: the difference in payoff and its bounds. */
+    /** For operators: the difference in served share, its bounds, and the {@link #sampleCount}. */
     @Override
     public String toString() {
         Series all = payoff.get(ALL_ZONES);
--- a/src/main/java/topazladder/rollout/Rollout.java
+++ b/src/main/java/topazladder/rollout/Rollout.java
@@ -30,12 +30,12 @@
      * One step, for operators.
      *
      * @param atMillis time of day at the proposer; nothing is decided by it
-     * @param description happened
+     * @param description what happened
      */
     public record Event(long atMillis, String description) {
     }
 
-    /** Whether all instances are updated and the analysis has passed. */
+    /** Whether the rollout has ended: all instances are updated. The analysis may have had nothing to compare. */
     public boolean isDone() {
         return phase == Phase.DONE;
     }
@@ -45,7 +45,7 @@
         return plan.targetVersion(isRollback);
     }
 
-    /** The part of that instance, or null where it has none. */
+    /** The target for the instance of that name, or null if the rollout does not cover it. */
     public RolloutTarget findTarget(String name) {
         return targets.stream().filter(place -> place.name().equals(name)).findFirst().orElse(null);
     }
--- a/src/main/java/topazladder/rollout/RolloutCommand.java
+++ b/src/main/java/topazladder/rollout/RolloutCommand.java
@@ -48,7 +48,10 @@
     record RecordUpdate(Proposer proposer, long rolloutId, int generation, String instance) implements RolloutCommand {
     }
 
-    /** Starts the next wave, as the analysis of the one before has passed. */
+    /**
+     * Starts the next wave: the analysis of the one before has passed, had nothing to compare, or was not needed, as
+     * the soak time is 0 or this is a rollback.
+     */
     record StartWave(Proposer proposer, long rolloutId, int generation, int wave) implements RolloutCommand {
     }
 
@@ -65,7 +68,10 @@
         }
     }
 
-    /** Ends the rollout: all instances are updated and the analysis has passed. */
+    /**
+     * Ends the rollout: all instances are updated. The last wave has no soak, so the analysis need not have passed, as
+     * long as it has not failed.
+     */
     record Complete(Proposer proposer, long rolloutId, int generation) implements RolloutCommand {
     }
 
--- a/src/main/java/topazladder/rollout/RolloutController.java
+++ b/src/main/java/topazladder/rollout/RolloutController.java
@@ -25,7 +25,10 @@
     private static final double MIN_ANALYSIS_SECONDS = 30;
     /** Seconds between two samples: rates are reported over a window, so that closer samples repeat the same data. */
     private static final double SAMPLE_INTERVAL_SECONDS = 3;
-    /** Requests that may wait for a grant at once, or half as many as instances are unavailable where that is more. */
+    /**
+     * Lower bound of the limit on requests that wait for a grant at once; the limit is half the number of unavailable
+     * instances of the rollout where that is more.
+     */
     private static final int MIN_WAITING_REQUESTS = 4;
     /** Processes of one instance that may end during its update before the new version counts as one that crashes. */
     private static final int MAX_ENDED_PROCESSES = 3;
--- a/src/main/java/topazladder/rollout/RolloutPlan.java
+++ b/src/main/java/topazladder/rollout/RolloutPlan.java
@@ -35,7 +35,10 @@
         return back ? from : to;
     }
 
-    /** Soak seconds of that wave; the additional last wave takes those of the wave before. */
+    /**
+     * Soak seconds of that wave by the plan; an additional last wave has those of the wave before. The rollout
+     * controller uses 0 instead in a rollback, and once all instances are updated: the last wave has no soak.
+     */
     double soakSeconds(int wave) {
         return waves.isEmpty() ? 0 : waves.get(Math.min(wave, waves.size() - 1)).soakSeconds();
     }
--- a/src/main/java/topazladder/rollout/RolloutStateMachine.java
+++ b/src/main/java/topazladder/rollout/RolloutStateMachine.java
@@ -17,6 +17,9 @@
  * <p>Invariants: there is one rollout at a time; only the holder of the rollout lease advances it, under the latest
  * fencing token; an instance that is updated is not requested again in the same direction; while the rollout is halted
  * nothing is requested for it.
+ *
+ * <p>The lease is checked only for commands whose fencing token is above 0. Those of operators carry 0, and pass
+ * without it.
  */
 public class RolloutStateMachine {
     private final LeaseStateMachine leases;
@@ -33,7 +36,7 @@
      * What became of a command.
      *
      * @param rolloutId of the rollout that it was applied to; 0 where there is none
-     * @param rejection the command changed nothing, or null where it was applied
+     * @param rejection why the command changed nothing, or null if it was applied
      */
     public record Outcome(long rolloutId, String rejection) {
 
--- a/src/main/java/topazladder/rollout/RolloutStatus.java
+++ b/src/main/java/topazladder/rollout/RolloutStatus.java
@@ -16,7 +16,7 @@
  */
 public record RolloutStatus(Rollout rollout, List<InstanceStatus> members, String leader, boolean supportsAdditions) {
 
-    /** With an unknown leader, and additions. */
+    /** Creates a status in which the leader is not known and additions are supported. */
     public RolloutStatus(Rollout release, List<InstanceStatus> members) {
         this(release, members, "", true);
     }
--- a/src/main/java/topazladder/rollout/RolloutTarget.java
+++ b/src/main/java/topazladder/rollout/RolloutTarget.java
@@ -14,11 +14,14 @@
 
     /** Printed by name, sent and stored by ordinal: names and order stay. */
     public enum Stage {
-        /** Not updated: it has not been restarted yet, or it has returned in another version than the target. */
+        /**
+         * Still to be updated, not departed: it has not been restarted yet, or it has returned in another version than
+         * the target.
+         */
         LEFT,
         /** Its grant is requested; the {@link topazladder.disruption.Disruption} says how far it is. */
         ASKED,
-        /** It runs the target version, and serves as its peers do. */
+        /** Updated: it runs the target version, and serves as its peers do. */
         MOVED
     }
 
